--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -39,10 +39,7 @@
         "fleet.view": fleet.View("m1", "prod", [MEMBER, FEW], True, 8, 9),
         "leases.ask": leases.Ask(2, [("tidy", BALLOT)], [("tidy", GRANT)], True, "tidy"),
         "leases.ask.least": leases.Ask(),
-        **{
-            f"leases.replied.{at}": leases.Replied(said, GRANT, 700, BALLOT)
-            for at, said in enumerate(Said)
-        },
+        **{f"leases.replied.{at}": leases.Replied(said, GRANT, 700, BALLOT) for at, said in enumerate(Said)},
         "leases.told": leases.Told("tidy", BALLOT, GRANT),
         "leases.answer": leases.Answer(
             "silent",
@@ -63,7 +60,13 @@
         "freshness.pull": freshness.Pull(3, 5, 70),
         "freshness.pull.least": freshness.Pull(0),
         "freshness.news": freshness.News(
-            5, "m1", 71, True, ["e1", "e2"], [(0, 4, 70, 2, 900, 1), (1, 4, 71, -1, -1, -1)], [(0, 33), (1, 44)]
+            5,
+            "m1",
+            71,
+            True,
+            ["e1", "e2"],
+            [(0, 4, 70, 2, 900, 1), (1, 4, 71, -1, -1, -1)],
+            [(0, 33), (1, 44)],
         ),
         "freshness.news.least": freshness.News(),
         "freshness.pin-ask": freshness.PinAsk("closing-17", 300000),
--- /dev/null
+++ b/tests/store_samples.py
@@ -0,0 +1,110 @@
+"""Writes one file of each store with fixed content, and says what an earlier release's file has to give back.
+
+`tests/data/stores/` holds these files as the release before the code was renamed wrote them.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import sqlite3
+import threading
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from tests import message_samples
+from vanerelay.fleet import words as fleet_words
+from vanerelay.leases import words as lease_words
+from vanerelay.leases.disk import Disk
+from vanerelay.leases.voting import META, SPACE
+from vanerelay.membership import records
+from vanerelay.membership.store import open_store
+from vanerelay.rollout.record import Record
+from vanerelay.rollout.store import Store
+
+LIST = {
+    "revision": 7,
+    "members": [
+        {
+            "id": "e1",
+            "host_port": "10.0.0.1:6565",
+            "locality": "here",
+            "flavor": "k",
+            "cell": 2,
+            "phase": "DRAINING",
+            "size": 2.5,
+            "up_since_ms": 1700000000000,
+            "weight": 50,
+        },
+        {"id": "e2", "host_port": "10.0.0.2:6565", "locality": "here", "flavor": "k"},
+    ],
+}
+LOCATIONS, KINDS = {"here": 0}, {"k": 0}
+SETTINGS = {"classes": [{"name": "look"}], "groupSize": 3}
+PLAN = 'name = "change"\n'
+BASELINE = msgspec.msgpack.encode(message_samples.json_samples()["rollout.baseline"])
+EVENTS = [message_samples.json_samples()[name] for name in ("rollout.event", "rollout.event.least")]
+
+
+class DirectReactor:
+    """Calls from threads at once; `wait` until the one that was expected has come."""
+
+    def __init__(self) -> None:
+        self._called = threading.Event()
+
+    def callFromThread(self, call: Any, *values: Any) -> None:
+        call(*values)
+        self._called.set()
+
+    def wait(self) -> None:
+        assert self._called.wait(10)
+
+
+def write_promises(folder: Path) -> None:
+    """What a voter keeps: its meta record and one task."""
+    reactor = DirectReactor()
+    disk = Disk(reactor, str(folder))
+    told = lease_words.Told("tidy", message_samples.BALLOT, message_samples.GRANT)
+    disk.put(SPACE, {META: msgspec.msgpack.encode((3, 2)), "tidy": fleet_words.pack(told)})
+    reactor.wait()
+    disk.close()
+
+
+def write_membership(folder: Path) -> None:
+    found = records.read(json.dumps(LIST).encode(), LOCATIONS, KINDS)
+    store = open_store(str(folder), 50)
+    store.save("main", 7, 1700000000000, "accepted", {"/engines.json": found}, ["here"], ["k"])
+    store.pin("main", 7)
+    store.close()
+
+
+def write_record(folder: Path) -> None:
+    record = Record(str(folder / "change.record"))
+    record.begin("change", PLAN, 3)
+    record.claim(4)
+    record.keep_baseline(BASELINE)
+    for event in EVENTS:
+        record.add(event)
+    record.say("pause")
+    record.close()
+
+
+def write_orders(folder: Path) -> None:
+    store = Store(str(folder))
+    store.at_start("0123456789ab")
+    store.keep("7/change")
+    store.ordered(SETTINGS)
+    store.write("release", "new")
+
+
+def rows(path: Path) -> list[str]:
+    """Tables and rows of a database, as SQL; large blobs by their digest."""
+    base = sqlite3.connect(f"file:{path}?mode=ro&immutable=1", uri=True)
+    found = [
+        line if len(line) < 500 else hashlib.sha256(line.encode()).hexdigest() for line in base.iterdump()
+    ]
+    pragmas = [base.execute(f"pragma {name}").fetchone()[0] for name in ("application_id", "user_version")]
+    base.close()
+    return [*found, *map(str, pragmas)]
