--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -1,7 +1,7 @@
-"""One message of each kind that gateways, controllers and supervisors send each other, by a name of its own.
+"""One message of each kind that gateways, controllers and supervisors send each other.
 
-The values are given by position, so that renaming a field changes nothing here: the bytes on the wire are what
-`tests/data/messages.json` holds, as the release before this page of samples wrote them.
+The values are given by position, so that renaming a field changes nothing here: the bytes on the wire are
+what `tests/data/messages.json` holds, as an earlier release wrote them.
 """
 
 from __future__ import annotations
--- a/tests/recorded_decisions.py
+++ b/tests/recorded_decisions.py
@@ -1,4 +1,4 @@
-"""Runs of a few gateways on the simulator's wire, made from a seed: the same lines in give the same lines out.
+"""Seeded runs of a few gateways on the simulator's wire: the same lines in give the same lines out.
 
 `python -m tests.recorded_decisions` plays every run and writes what went in and came out to
 `tests/data/decisions/`. What is kept there was written by the release before the code was renamed: it is
--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -139,3 +139,10 @@
 )
 def test_each_side_answers_the_kinds_of_question_that_earlier_releases_ask(subsystem, kinds):
     assert sorted(kinds()) == message_samples.KINDS[subsystem]
+
+
+def test_each_figure_of_a_service_class_has_its_place_in_the_array():
+    tally = Tally()
+    for code, value, answered_after in ((0, 1.0, 20), (0, 0.5, 90), (1, 0.25, 5), (2, 0.0, 5), (2, 0.0, 5)):
+        tally.answered("look", value, code, answered_after, 3)
+    assert packed(tally.told()) == GOLDEN["tally"]
