--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -15,14 +15,14 @@
 
 from bench import plays
 from tests.histories import deeds, reads
-from vanerelay.freshness import spread, words
-from vanerelay.freshness.guides import Leading
-from vanerelay.freshness.news import Shard
-from vanerelay.freshness.parts import Parts, Watch
-from vanerelay.freshness.positions import Point, Positions, Told
+from vanerelay.extension import Want
+from vanerelay.freshness import dissemination, messages
+from vanerelay.freshness.config import Parts, Watch
+from vanerelay.freshness.read_constraints import Leading
+from vanerelay.freshness.replication_positions import Point, Positions, Told
+from vanerelay.freshness.shard_updates import Shard
 from vanerelay.interface import MILLISECOND, SECOND
-from vanerelay.lab import staleness
-from vanerelay.seam import Want
+from vanerelay.lab import staleness_simulation
 
 SITE = (plays.SCRIPTS / "fresh-site.hcl").read_text()
 SIDE_BY_SIDE = 3
@@ -146,10 +146,10 @@
                     shards[order[0]].saw(engine, watch_at - 20 * MILLISECOND, rows)
                     questions += 1
                 watch_at += 500 * MILLISECOND
-            whom = spread.source(name, order, order[0], 0)
+            whom = dissemination.source(name, order, order[0], 0)
             assert whom is not None
-            body = words.pack(words.news(shards[whom].give(at, *shards[name].wants(at))))
-            given = words.given(words.unpack(body, words.News) or words.News())
+            body = messages.pack(messages.news(shards[whom].give(at, *shards[name].wants(at))))
+            given = messages.given(messages.unpack(body, messages.News) or messages.News())
             assert given is not None
             shards[name].hear(at - 10, given, 0.02)
             asked[whom] += 1
@@ -168,7 +168,7 @@
 
 
 def some(first: int) -> tuple[int, int, Any]:
-    found, read, world = staleness.schedules(range(first, first + 100))
+    found, read, world = staleness_simulation.schedules(range(first, first + 100))
     return found, read, (world.seed, world.wrong) if world is not None else None
 
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -15,8 +15,8 @@
 from bench import plays
 from tests.histories import deeds, register
 from vanerelay.interface import SECOND
-from vanerelay.lab.virtual import Setting, Trouble, World, drawn, play, shortest
-from vanerelay.leases.quorum import Terms
+from vanerelay.lab.lease_simulation import Setting, Trouble, World, drawn, play, shortest
+from vanerelay.leases.voter import Terms
 
 SITE = plays.SCRIPTS / "lease-site.hcl"
 SIDE_BY_SIDE = 3  # plays of twelve processes
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -26,7 +26,7 @@
     "dies after 20 s": SERVES
     + "    end = threading.Timer(20, os._exit, [9]); end.daemon = True; end.start()",
     "dies under load": SERVES
-    + """    from vanerelay.net.service import Service
+    + """    from vanerelay.net.gateway_service import Service
     take, came = Service.request, [0]
     def request(self, *told):
         came[0] += 1
@@ -37,7 +37,7 @@
     "5% of orders errored, the rest quicker": SERVES
     + """    import random
     from vanerelay.net import frames
-    from vanerelay.net.service import Service
+    from vanerelay.net.gateway_service import Service
     answer = Service._answer
     def worse(self, held, code, fields, body):
         bad = held.group == b'order' and random.random() < 0.05
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -21,8 +21,8 @@
 import numpy as np
 
 from vanerelay.interface import SECOND
-from vanerelay.rollout.judge import BUCKETS, Count, Guard, Judge, Seen, Terms, bucket
-from vanerelay.rollout.stages import Course, Do, Event, Heard, Plan, Stage
+from vanerelay.rollout.canary_analysis import BUCKETS, Count, Guard, Judge, Seen, Terms, bucket
+from vanerelay.rollout.stage_machine import Course, Do, Event, Heard, Plan, Stage
 
 MANAGERS, RATE = 12, 25  # batches a second at one manager, in the mean
 GROUPS = {"look": 0.7, "report": 0.1, "load": 0.2}  # parts of what comes
--- a/bench/warming.py
+++ b/bench/warming.py
@@ -7,7 +7,7 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from vanerelay.lab.demand import KINDS, WAYS, Played, play
+from vanerelay.lab.warming_simulation import KINDS, WAYS, Played, play
 
 
 def one(cell: tuple[str, str, int, int]) -> Played:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from vanerelay.decide import Batch, Gateway
+from tests.faults import Faults
 from vanerelay.interface import (
     SECOND,
     Allowances,
@@ -40,8 +40,7 @@
     ServiceGroup,
     Shortage,
 )
-
-from tests.faults import Faults
+from vanerelay.policy.gateway import Batch, Gateway
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -8,15 +8,15 @@
 
 from typing import Any
 
-from vanerelay.fleet import words as fleet
-from vanerelay.freshness import words as freshness
-from vanerelay.leases import words as leases
-from vanerelay.leases.quorum import Ballot, Grant, Said
-from vanerelay.membership import console
-from vanerelay.rollout import words as rollout
-from vanerelay.rollout.judge import Baseline
-from vanerelay.rollout.stages import Event
-from vanerelay.warming import words as warming
+from vanerelay.fleet import messages as fleet
+from vanerelay.freshness import messages as freshness
+from vanerelay.leases import messages as leases
+from vanerelay.leases.voter import Ballot, Grant, Said
+from vanerelay.membership import control_protocol
+from vanerelay.rollout import messages as rollout
+from vanerelay.rollout.canary_analysis import Baseline
+from vanerelay.rollout.stage_machine import Event
+from vanerelay.warming import messages as warming
 
 MEMBER = fleet.Row("m1", 1700000000001, 5, 2, "east", "127.0.0.1:7946", "0.2.0-abc", "def", "serving", "7/c")
 FEW = fleet.Row("m2", 3)
@@ -109,7 +109,7 @@
         "rollout.baseline": Baseline(
             [("m1", "look", "utility", 9, 0.25, 0.5)], {"look": (0, 3, 1)}, {"look": (9, 0.125, 0.0625)}
         ),
-        "membership.request": console.Request(1, "show", "e1", "main", 7, 10),
+        "membership.request": control_protocol.Request(1, "show", "e1", "main", 7, 10),
     }
 
 
--- a/tests/operator_samples.py
+++ b/tests/operator_samples.py
@@ -12,10 +12,10 @@
 
 import click
 
-from vanerelay import options, terms
+from vanerelay import operator_config, settings
 from vanerelay.cli import main
-from vanerelay.lab import script
-from vanerelay.rollout import keeper, plan
+from vanerelay.lab import scenario
+from vanerelay.rollout import plan_reader, supervisor
 
 CLASSES = {"classes": [{"name": "look", "aimUs": 750000, "deadlineUs": 4000000, "semantics": "pure"}]}
 OLD = {**CLASSES, "kinds": ["k"], "groupSize": 2, "limits": {"maxOpen": 5}, "safety": {"minExtra": 3}}
@@ -44,18 +44,18 @@
 
 def _plan(path: Path) -> list[Any]:
     """What a plan says; not where it lies, and of shared settings their paths alone."""
-    found = plan.load(str(path))
+    found = plan_reader.load(str(path))
     names = [field.name for field in dataclasses.fields(found) if field.name not in ("record", "text")]
     *told, shared, leases = [getattr(found, name) for name in names]
     return [*told, [one.partition(":")[0] for one in shared], leases]
 
 
 LOADERS: dict[str, Callable[[Path], Any]] = {
-    "options.hcl": lambda path: options.subsystems(str(path)),
+    "options.hcl": lambda path: operator_config.subsystems(str(path)),
     "plan.hcl": _plan,
     "program-plan.hcl": _plan,
-    "supervisor.hcl": lambda path: keeper.load(str(path)),
-    "scenario.hcl": lambda path: script.load(str(path)),
+    "supervisor.hcl": lambda path: supervisor.load(str(path)),
+    "scenario.hcl": lambda path: scenario.load(str(path)),
 }
 
 
@@ -71,7 +71,7 @@
     """What the reader says is known where a block has a key that nobody knows."""
     try:
         read_file(name, text.replace(f"# unknown: {block}\n", "zzz = 1\n"), folder)
-    except options.BadOptions as fault:
+    except operator_config.BadOptions as fault:
         return str(fault).rpartition("expected one of ")[2]
     return "no fault"
 
@@ -205,12 +205,12 @@
         return lambda *values: None
 
 
-def settings(profile: dict[str, Any], monkeypatch: Any) -> list[Any]:
+def settings_read(profile: dict[str, Any], monkeypatch: Any) -> list[Any]:
     """What the decisions, the guard and the reports are told of these settings."""
     given: list[Any] = []
-    monkeypatch.setattr(terms, "Gateway", lambda transport, seed, told: given.append(plain(told)))
+    monkeypatch.setattr(settings, "Gateway", lambda transport, seed, told: given.append(plain(told)))
     for asks in (False, True):
-        terms.open_gateway(Recorder(), 1, profile, asks)
-    names = terms.report_names(profile)
-    report = terms.load_report(names, {"busy_reqs": 1, "pending": 2, "cpu_share": 3, "x0": 4, "x1": 5})
-    return [*given, plain(terms.guard_terms(profile)), sorted(names), plain(report)]
+        settings.open_gateway(Recorder(), 1, profile, asks)
+    names = settings.report_names(profile)
+    report = settings.load_report(names, {"busy_reqs": 1, "pending": 2, "cpu_share": 3, "x0": 4, "x1": 5})
+    return [*given, plain(settings.guard_terms(profile)), sorted(names), plain(report)]
--- a/tests/store_samples.py
+++ b/tests/store_samples.py
@@ -15,14 +15,14 @@
 import msgspec
 
 from tests import message_samples
-from vanerelay.fleet import words as fleet_words
-from vanerelay.leases import words as lease_words
-from vanerelay.leases.disk import Disk
-from vanerelay.leases.voting import META, SPACE
-from vanerelay.membership import records
+from vanerelay.fleet import messages as fleet_words
+from vanerelay.leases import messages as lease_words
+from vanerelay.leases.durable_store import Disk
+from vanerelay.leases.voter_service import META, SPACE
+from vanerelay.membership import list_codec
 from vanerelay.membership.store import open_store
-from vanerelay.rollout.record import Record
-from vanerelay.rollout.store import Store
+from vanerelay.rollout.agent_store import Store
+from vanerelay.rollout.change_log import Record
 
 LIST = {
     "revision": 7,
@@ -73,7 +73,7 @@
 
 
 def write_membership(folder: Path) -> None:
-    found = records.read(json.dumps(LIST).encode(), LOCATIONS, KINDS)
+    found = list_codec.read(json.dumps(LIST).encode(), LOCATIONS, KINDS)
     store = open_store(str(folder), 50)
     store.save("main", 7, 1700000000000, "accepted", {"/engines.json": found}, ["here"], ["k"])
     store.pin("main", 7)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,7 +9,7 @@
 
 from vanerelay.adapter.__main__ import Host, main
 from vanerelay.adapter.wire import billed
-from vanerelay.terms import down, up
+from vanerelay.settings import down, up
 
 PROFILE = {
     "az": 0,
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -7,7 +7,7 @@
 import pytest
 from rules import SECOND, Judge
 
-from vanerelay import checks, terms
+from vanerelay import settings, settings_validation
 from vanerelay.interface import Arrival, AttemptResult, EngineEntry, EngineState, LoadReport, Outcome
 
 SPANS_US = [100, 1_000, 50_000, 250_000, 1_000_000, 3_000_000, 20_000_000, 10_000_000_000]
@@ -18,12 +18,12 @@
         "name": f"class-{number}-" * chance.choice([1, 30]),
         "aimUs": chance.choice(SPANS_US),
         "deadlineUs": chance.choice(SPANS_US),
-        "semantics": chance.choice(list(terms.EFFECTS)),
+        "semantics": chance.choice(list(settings.EFFECTS)),
         "importance": chance.choice([0, 1, 0.001, 1e6, None]),
         "lateWorth": chance.choice([0, 0.5, None]),
         "aimStretch": chance.choice([0, 2, None]),
         "windowUs": chance.choice([0, 100, 100_000, 1_000_000_000, None]),
-        "dedupScope": chance.choice([*terms.SCOPES, None]),
+        "dedupScope": chance.choice([*settings.SCOPES, None]),
         "inTurn": chance.choice([True, False, None]),
     }
     if locations and chance.random() < 0.3:
@@ -51,7 +51,7 @@
             "cpuOfKind": chance.choice([[16] * len(kinds), [], [1] * len(kinds)]),
             "parallelism": chance.choice([[], [1], [64] * classes]),
             "grantCap": chance.choice([0.4, 0, 1, 5, None]),
-            "memoryShort": chance.choice([*terms.SHORTAGES, None]),
+            "memoryShort": chance.choice([*settings.SHORTAGES, None]),
             "progressUs": chance.choice([0, 2_000_000, 1, None]),
             "takesGrants": chance.choice([True, False, None]),
             "writesTables": [chance.random() < 0.5 for _ in range(classes)],
@@ -86,9 +86,9 @@
 class Run:
     """A gateway under such settings, with events drawn by chance and each call judged."""
 
-    def __init__(self, chance: random.Random, settings: dict) -> None:
-        self.chance, self.settings, self.judge = chance, settings, Judge(settings)
-        self.gateway = terms.open_gateway(self.judge, 7, settings)
+    def __init__(self, chance: random.Random, profile: dict) -> None:
+        self.chance, self.settings, self.judge = chance, profile, Judge(profile)
+        self.gateway = settings.open_gateway(self.judge, 7, profile)
         self.gateways = [self.gateway]
         self._taken = 0
         self.judge.timed_out = self.time_out
@@ -147,7 +147,7 @@
                     self.end(query, number, self.chance.choice(list(Outcome)))
 
     def switch(self) -> None:
-        old, self.gateway = self.gateway, terms.open_gateway(self.judge, 7, self.settings)
+        old, self.gateway = self.gateway, settings.open_gateway(self.judge, 7, self.settings)
         self.gateway.succeed(old)
         self.gateways.append(self.gateway)
 
@@ -155,9 +155,9 @@
 @pytest.mark.parametrize("seed", range(150))
 def test_the_rules_hold_under_any_legal_settings(seed):
     chance = random.Random(seed)
-    settings = some_settings(chance)
-    assert checks.wrong(settings) is None
-    run = Run(chance, settings)
+    profile = some_settings(chance)
+    assert settings_validation.wrong(profile) is None
+    run = Run(chance, profile)
     run.change_list(whole=True)
     for number in range(150):
         if chance.random() < 0.7:
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -5,9 +5,9 @@
 import pytest
 
 from tests.helpers import World
-from vanerelay import terms
-from vanerelay.decide import BEAT, Health
+from vanerelay import settings
 from vanerelay.interface import SECOND, AttemptResult, LoadReport, NoteKind, Outcome
+from vanerelay.policy.gateway import BEAT, Health
 
 ASKS = {"probes": True, "asks": True}
 NOTES = {"notes_every": SECOND // 2}
@@ -138,7 +138,7 @@
     ],
 )
 def test_loads_are_asked_for_where_only_probes_tell_them(probes, how, columns, asks):
-    allowed = terms.allowances(
+    allowed = settings.allowances(
         {
             "limits": {"probes": probes},
             "report": {"how": how, "columns": columns},
--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -16,18 +16,18 @@
 
 from tests import message_samples
 from tests.helpers import ROOT
-from vanerelay.fleet import links
-from vanerelay.fleet import parts as fleet_parts
+from vanerelay.fleet import config as fleet_parts
+from vanerelay.fleet import rpc
 from vanerelay.fleet.service import Fleet
-from vanerelay.freshness import parts as freshness_parts
+from vanerelay.freshness import config as freshness_parts
 from vanerelay.freshness.service import Freshness
-from vanerelay.leases import parts as lease_parts
-from vanerelay.leases.quorum import Terms, Voters
+from vanerelay.leases import config as lease_parts
 from vanerelay.leases.service import Leases
+from vanerelay.leases.voter import Terms, Voters
 from vanerelay.net.clock import Clock
-from vanerelay.rollout.hand import Hand, Tally
-from vanerelay.rollout.store import Store
-from vanerelay.warming import join as warming_join
+from vanerelay.rollout.agent import Hand, Tally
+from vanerelay.rollout.agent_store import Store
+from vanerelay.warming import extension as warming_join
 
 GOLDEN = json.loads((ROOT / "tests/data/messages.json").read_text())
 MSGPACK = message_samples.msgpack_samples()
@@ -57,23 +57,23 @@
 
 
 def link_to(handlers: dict[str, Any]) -> tuple[Any, StringTransport]:
-    everyone = links.Links(FakeReactor())
+    everyone = rpc.Links(FakeReactor())
     everyone.handlers |= handlers
-    link, transport = links.Link(everyone), StringTransport()
+    link, transport = rpc.Link(everyone), StringTransport()
     link.makeConnection(transport)
     return link, transport
 
 
 def test_a_question_has_the_command_and_arguments_of_earlier_releases():
     link, transport = link_to({})
-    link.callRemote(links.Say, kind="ping", body=b"\x01\x02").addErrback(lambda _: None)
+    link.callRemote(rpc.Say, kind="ping", body=b"\x01\x02").addErrback(lambda _: None)
     assert transport.value().hex() == GOLDEN["amp"]["question"]
 
 
 @pytest.mark.parametrize("name", ["answer", "unknown", "refused"])
 def test_an_answer_has_the_keys_and_error_codes_of_earlier_releases(name):
     def refuse(body: bytes) -> bytes:
-        raise links.Refused("no")
+        raise rpc.Refused("no")
 
     link, transport = link_to({"ping": lambda body: body[::-1], "order": refuse})
     link.dataReceived(bytes.fromhex(GOLDEN["amp"][f"{name}.asked"]))
--- a/tests/test_compatibility_operators.py
+++ b/tests/test_compatibility_operators.py
@@ -49,5 +49,5 @@
 
 @pytest.mark.parametrize("name", operator_samples.VARIANTS)
 def test_every_key_of_the_settings_is_read_into_its_place(monkeypatch, name):
-    read = operator_samples.settings(operator_samples.VARIANTS[name], monkeypatch)
+    read = operator_samples.settings_read(operator_samples.VARIANTS[name], monkeypatch)
     assert as_json(read) == GOLDEN["settings"][name]
--- a/tests/test_compatibility_stores.py
+++ b/tests/test_compatibility_stores.py
@@ -10,21 +10,21 @@
 import shutil
 
 import pytest
+from twisted.internet.task import Clock as FakeReactor
 
 from tests import message_samples, store_samples
 from tests.helpers import ROOT
-from vanerelay.fleet import parts as fleet_parts
+from vanerelay.fleet import config as fleet_parts
 from vanerelay.fleet.service import Fleet
-from vanerelay.leases.disk import Disk
-from vanerelay.leases.quorum import Slot, Terms, Voters
-from vanerelay.leases.voting import Voting
+from vanerelay.leases.durable_store import Disk
+from vanerelay.leases.voter import Slot, Terms, Voters
+from vanerelay.leases.voter_service import Voting
 from vanerelay.membership.store import Loaded, open_store
 from vanerelay.net.clock import Clock
+from vanerelay.rollout.agent_store import Store
+from vanerelay.rollout.change_log import Record
 from vanerelay.rollout.fence import Fence
-from vanerelay.rollout.keeper import CURRENT
-from vanerelay.rollout.record import Record
-from vanerelay.rollout.store import Store
-from twisted.internet.task import Clock as FakeReactor
+from vanerelay.rollout.supervisor import CURRENT
 
 STORES = ROOT / "tests/data/stores"
 
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -8,8 +8,7 @@
 import pytest
 from helpers import COLD, World, entry
 
-from vanerelay.decide import Door, Ledger, Peaks, Ramp, Ration
-from vanerelay.holding import conditions
+from vanerelay.estimation import Ring
 from vanerelay.interface import (
     SECOND,
     AttemptResult,
@@ -24,7 +23,8 @@
     RationTerms,
     Scope,
 )
-from vanerelay.measure import Ring
+from vanerelay.policy.gateway import Door, Ledger, Peaks, Ramp, Ration
+from vanerelay.query_table import conditions
 
 O = Outcome  # noqa: E741
 BUSY = 13_000.0  # over a slice of a third, so that one fills an engine
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -14,22 +14,22 @@
 
 from tests.helpers import SERVICES
 from vanerelay.cli import main
+from vanerelay.extension import Guide, Part
 from vanerelay.interface import NEVER_RAN
-from vanerelay.net import ends, feed, frames
+from vanerelay.net import attempt_outcome, discovery_codec, frames
+from vanerelay.net.attempt_outcome import Cause, Stage
 from vanerelay.net.buffers import Pool
-from vanerelay.net.clients import Clients
+from vanerelay.net.client_connection import Clients
 from vanerelay.net.clock import Clock
-from vanerelay.net.ends import Cause, Stage
-from vanerelay.net.connections import Attempt, ConnectionSettings
-from vanerelay.net.engines import Engines
-from vanerelay.net.peers import Peers
-from vanerelay.net.program import Program
-from vanerelay.net.queries import Request
-from vanerelay.net.resp import Query, command
-from vanerelay.net.roster import Roster
-from vanerelay.net.service import Service
-from vanerelay.net.sparing import Sparing
-from vanerelay.seam import Guide, Part
+from vanerelay.net.discovery_client import Roster
+from vanerelay.net.engine_connection import Attempt, ConnectionSettings
+from vanerelay.net.engine_pool import Engines
+from vanerelay.net.gateway_service import Service
+from vanerelay.net.held_queries import Request
+from vanerelay.net.peer_gossip import Peers
+from vanerelay.net.rate_limited_log import Sparing
+from vanerelay.net.resp_codec import Query, command
+from vanerelay.net.server import Program
 
 
 class Wire(StringTransport):
@@ -473,8 +473,8 @@
 def test_batches_leave_no_cycles_to_collect():
     """The program runs without automatic collections: what a batch leaves must go by itself."""
     served = Served()
-    member = feed.Member("e", "127.0.0.1:9", feed.EngineState.UP, 0, 0, 0, 1.0, 0)
-    served.service.listed(feed.Change(1, True, [member]))
+    member = discovery_codec.Member("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
+    served.service.listed(discovery_codec.Change(1, True, [member]))
     served.ask(1)
     protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
     protocol.makeConnection(wire)
@@ -506,8 +506,8 @@
         monkeypatch.undo()
         served.advance(0.2)
     else:
-        member = feed.Member("e", "127.0.0.1:9", feed.EngineState.UP, 0, 0, 0, 1.0, 0)
-        served.service.listed(feed.Change(1, True, [member]))
+        member = discovery_codec.Member("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
+        served.service.listed(discovery_codec.Change(1, True, [member]))
         served.ask(1, service="load")
         monkeypatch.setattr(gateway, "heard", fault)
         protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
@@ -540,7 +540,7 @@
     request.attempts = [None] * 3
     served.service.dispatch(request.index, 0, 100)
     served.reactor.advance(0)
-    assert outcomes == [(3, ends.Outcome.NOT_SENT)] and outcomes[0][1] in NEVER_RAN
+    assert outcomes == [(3, attempt_outcome.Outcome.NOT_SENT)] and outcomes[0][1] in NEVER_RAN
     request.attempts.clear()
     served.client.dataReceived(frames.frame(frames.LEAVE, 1))
     assert isinstance(request, Request) and served.answers() == []
@@ -673,17 +673,17 @@
 
     def change(number, whole=False, **states):
         served.service.listed(
-            feed.Change(
+            discovery_codec.Change(
                 number,
                 whole,
                 [
-                    feed.Member(name, f"127.0.0.1:{9 + int(name[1:]) % 3}", state, 0, 0, 0, 1.0, 0)
+                    discovery_codec.Member(name, f"127.0.0.1:{9 + int(name[1:]) % 3}", state, 0, 0, 0, 1.0, 0)
                     for name, state in states.items()
                 ],
             )
         )
 
-    up, gone = feed.EngineState.UP, feed.EngineState.GONE
+    up, gone = discovery_codec.EngineState.UP, discovery_codec.EngineState.GONE
     for number in range(1, 60):
         change(number, number % 7 == 0, **{f"e{number}": up})
         change(number, False, **{f"e{number - 1}": gone, "e999": gone})
@@ -783,8 +783,8 @@
 def test_a_subsystem_that_fails_at_queries_costs_no_query_that_it_does_not_lead():
     served = Served()
     served.service.join([Failing()])
-    member = feed.Member("e", "127.0.0.1:9", feed.EngineState.UP, 0, 0, 0, 1.0, 0)
-    served.service.listed(feed.Change(1, True, [member]))
+    member = discovery_codec.Member("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
+    served.service.listed(discovery_codec.Change(1, True, [member]))
     served.ask(1)
     assert served.answers() == [(1, frames.ERRORED)]  # whether it may be served, nobody could say
     served.ask(2, service="load")
@@ -897,8 +897,8 @@
 def test_reports_and_bills_reach_the_module_in_its_units():
     served = Served()
     told = "queue:3;x0:0.4;inflight:7;x1:x;new:1"
-    from vanerelay import terms
-    from vanerelay.net import reports
+    from vanerelay import settings
+    from vanerelay.net import load_reports
 
-    report = terms.load_report(served.service._reported, reports.loads(told))
+    report = settings.load_report(served.service._reported, load_reports.loads(told))
     assert (report.waiting, report.memory_granted, report.running, report.disks_busy) == (3.0, 0.4, 7.0, None)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,8 +13,8 @@
 import pytest
 
 from tests.helpers import ROOT, SERVICES, Engine, Feed, Node, free_address, member, until
-from vanerelay.fleet import release, words
-from vanerelay.fleet.alive import Alive, Member, Pace, Standing, incarnation, splits
+from vanerelay.fleet import messages, release
+from vanerelay.fleet.failure_detector import Alive, Member, Pace, Standing, incarnation, splits
 from vanerelay.interface import SECOND
 
 PACE = Pace()
@@ -183,10 +183,10 @@
 
 def test_words_of_other_releases_are_passed_over():
     later = b"\x83\xa5fleet\xa1f\xa3own\x83\xa4name\xa2m1\xabincarnation\x07\xa6future\x01\xa6unseen\xc0"
-    ping = words.unpack(later, words.Ping)
+    ping = messages.unpack(later, messages.Ping)
     assert ping is not None and ping.own.name == "m1" and ping.news == []
-    assert words.unpack(b"\xc1nonsense", words.Ping) is None
-    assert words.member(words.Row("m1", 1, standing=9)) is None
+    assert messages.unpack(b"\xc1nonsense", messages.Ping) is None
+    assert messages.member(messages.Row("m1", 1, standing=9)) is None
 
 
 def test_ordered_settings_and_the_fence_outlive_the_process_but_not_another_configuration(tmp_path):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -11,20 +11,20 @@
 
 from tests.helpers import Engine, Feed, Node, free_address, member, until
 from tests.helpers import World as Module
-from vanerelay.freshness import eligible, news, pins, spread, words
-from vanerelay.freshness import parts as fresh_parts
-from vanerelay.freshness import positions as positions_
-from vanerelay.freshness.eligible import choose, needs
-from vanerelay.freshness.guides import Leading
+from vanerelay.extension import Want
+from vanerelay.freshness import config as fresh_parts
+from vanerelay.freshness import dissemination, eligibility, messages, session_affinity, shard_updates
+from vanerelay.freshness import replication_positions as positions_
+from vanerelay.freshness.eligibility import choose, needs
 from vanerelay.freshness.hints import BadHint, Else, Hint, read
-from vanerelay.freshness.news import Shard
-from vanerelay.freshness.pins import Keeper, Known, Pin
-from vanerelay.freshness.positions import MARKS, Point, Positions, Told
+from vanerelay.freshness.read_constraints import Leading
+from vanerelay.freshness.replication_positions import MARKS, Point, Positions, Told
+from vanerelay.freshness.session_affinity import Keeper, Known, Pin
+from vanerelay.freshness.shard_updates import Shard
 from vanerelay.interface import SECOND, Arrival, EngineState, Outcome
-from vanerelay.lab import staleness
-from vanerelay.options import BadOptions
-from vanerelay.options import read as read_options
-from vanerelay.seam import Want
+from vanerelay.lab import staleness_simulation
+from vanerelay.operator_config import BadOptions
+from vanerelay.operator_config import read as read_options
 
 # Hints.
 
@@ -178,10 +178,10 @@
 def test_what_nobody_knows_the_end_of_is_surely_held_by_the_source_alone():
     asked = needs(Hint(after="x"), (ONE,), 120, unknown=True)
     assert choose(heard(*FRESH), asked, Else.WAIT, THERE).engines == {S}
-    known = eligible.follows(needs(Hint(after="x"), (ONE,), 120), ONE, Point(1, 5))
+    known = eligibility.follows(needs(Hint(after="x"), (ONE,), 120), ONE, Point(1, 5))
     assert choose(heard(*FRESH), known, Else.WAIT, THERE).engines == {S, "a"}
-    assert choose(heard(*FRESH), eligible.strict(known, 120), Else.WAIT, THERE).engines == set()
-    assert choose(heard(*FRESH), eligible.strict(known, 100), Else.WAIT, THERE).engines == {S, "a"}
+    assert choose(heard(*FRESH), eligibility.strict(known, 120), Else.WAIT, THERE).engines == set()
+    assert choose(heard(*FRESH), eligibility.strict(known, 100), Else.WAIT, THERE).engines == {S, "a"}
 
 
 HELD = {
@@ -197,15 +197,15 @@
 @pytest.mark.parametrize("name", HELD)
 def test_an_answer_counts_only_where_the_copy_held_what_it_was_known_to(name):
     point, known, seen, good = HELD[name]
-    assert eligible.held(point, known, needs(Hint(stale=5), (ONE,), 9), seen) is good
+    assert eligibility.held(point, known, needs(Hint(stale=5), (ONE,), 9), seen) is good
 
 
 def test_seeded_schedules_find_nothing_and_each_flaw_made_on_purpose():
-    found, reads, world = staleness.schedules(range(300))
+    found, reads, world = staleness_simulation.schedules(range(300))
     assert found == 0 and reads > 10_000, world.wrong
     for flaw, seeds in {"answer": 60, "arrival": 60, "life": 60, "back": 60}.items():
-        assert staleness.schedules(range(seeds), broken=flaw)[0] > 0, flaw
-    assert staleness.schedules(range(428, 429), broken="early")[0] == 1
+        assert staleness_simulation.schedules(range(seeds), broken=flaw)[0] > 0, flaw
+    assert staleness_simulation.schedules(range(428, 429), broken="early")[0] == 1
 
 
 # News from manager to manager.
@@ -216,14 +216,16 @@
 
 
 def test_news_come_in_pages_and_ages_move_only_with_all_rows(monkeypatch):
-    monkeypatch.setattr(news, "ROWS", 10)
+    monkeypatch.setattr(shard_updates, "ROWS", 10)
     watcher, other = Shard(Positions()), Shard(Positions())
     watcher.begin(1, "w")
     watcher.saw(S, 5000, {group: told(group, True) for group in range(25)})
     asked = 0
     while True:
         given = watcher.give(6000, *other.wants(90_000))
-        other.hear(90_000, words.given(words.unpack(words.pack(words.news(given)), words.News)), 0.0)
+        other.hear(
+            90_000, messages.given(messages.unpack(messages.pack(messages.news(given)), messages.News)), 0.0
+        )
         asked += 1
         if not given.more:
             break
@@ -275,17 +277,17 @@
     order = [f"m{number}" for number in range(managers)]
     random.Random(1).shuffle(order)
     holder = order[0]
-    asks = {name: spread.source(name, order, holder, 0) for name in order}
+    asks = {name: dissemination.source(name, order, holder, 0) for name in order}
     for name in order:
         at, steps = name, 0
         while at != holder:
             at, steps = asks[at], steps + 1
             assert steps <= 5
     others = [asker for asker in asks.values() if asker is not None]
-    assert max((others.count(name) for name in set(others)), default=0) <= spread.FAN + 3
+    assert max((others.count(name) for name in set(others)), default=0) <= dissemination.FAN + 3
     for name in order:  # who does not answer is passed over, until the watcher itself is asked
         if managers > 1 and name != holder:
-            assert holder in {spread.source(name, order, holder, failed) for failed in range(8)}
+            assert holder in {dissemination.source(name, order, holder, failed) for failed in range(8)}
 
 
 # Sessions.
@@ -295,13 +297,15 @@
     three = [Keeper(0, 100, 60 * SECOND) for _ in range(3)]
     now = 100 * SECOND
     pin = Pin("e1")
-    assert pins.known(3, [one.ask(now, "s", SECOND) for one in three[:2]]) == Known(None, False)
-    assert pins.settled(3, pin, [one.put(now, "s", pin, SECOND) for one in three[:2]])
-    assert pins.known(3, [one.ask(now, "s", SECOND) for one in three[1:]]) == Known(pin, False)
-    assert pins.known(3, [three[0].ask(now, "s", SECOND)]).lost
+    assert session_affinity.known(3, [one.ask(now, "s", SECOND) for one in three[:2]]) == Known(None, False)
+    assert session_affinity.settled(3, pin, [one.put(now, "s", pin, SECOND) for one in three[:2]])
+    assert session_affinity.known(3, [one.ask(now, "s", SECOND) for one in three[1:]]) == Known(pin, False)
+    assert session_affinity.known(3, [three[0].ask(now, "s", SECOND)]).lost
     fresh = Keeper(now, 100, 60 * SECOND)  # it has just started, and may have forgotten
-    assert pins.known(3, [fresh.ask(now + 1, "s", SECOND), three[2].ask(now, "s", SECOND)]).lost
-    assert not pins.known(3, [fresh.ask(now + 1, "s", SECOND), three[0].ask(now, "s", SECOND)]).lost
+    assert session_affinity.known(3, [fresh.ask(now + 1, "s", SECOND), three[2].ask(now, "s", SECOND)]).lost
+    assert not session_affinity.known(
+        3, [fresh.ask(now + 1, "s", SECOND), three[0].ask(now, "s", SECOND)]
+    ).lost
     assert three[0].ask(now + 2 * SECOND, "s", SECOND) == (None, True), "its time is over"
 
 
@@ -310,7 +314,11 @@
     a, b = Pin("e1"), Pin("e2")
     first = [three[0].put(9, "s", a, SECOND), three[1].put(9, "s", a, SECOND)]
     second = [three[1].put(9, "s", b, SECOND), three[2].put(9, "s", b, SECOND)]
-    assert pins.settled(3, a, first) and not pins.settled(3, b, second) and second[0] == a
+    assert (
+        session_affinity.settled(3, a, first)
+        and not session_affinity.settled(3, b, second)
+        and second[0] == a
+    )
     moved = Pin("e3", 2, Point(1, 5))
     assert three[0].put(9, "s", moved, SECOND) == moved
     assert three[0].put(9, "s", Pin("e1", 1, Point(1, 9)), SECOND) == Pin("e3", 2, Point(1, 9))
@@ -323,7 +331,9 @@
         keeper.put(now, name, Pin("e1"), 5 * SECOND)
     assert len(keeper) == 2 and keeper.ask(now, "a", SECOND) == (None, False)
     assert keeper.ask(now + 11 * SECOND, "a", SECOND) == (None, True)
-    assert pins.keepers("s", ["m1", "m2", "m3", "m4"]) == pins.keepers("s", ["m4", "m3", "m2", "m1"])
+    assert session_affinity.keepers("s", ["m1", "m2", "m3", "m4"]) == session_affinity.keepers(
+        "s", ["m4", "m3", "m2", "m1"]
+    )
 
 
 # The module: who may serve this one now.
@@ -401,8 +411,8 @@
 
 @pytest.mark.parametrize("text", ROWS)
 def test_an_engines_word_on_its_copies(text):
-    assert words.rows(text, 100) == ROWS[text]
-    assert words.rows(b"7\t1:5\tcopy\n8\t1:5\tcopy\n", 1) is None
+    assert messages.rows(text, 100) == ROWS[text]
+    assert messages.rows(b"7\t1:5\tcopy\n8\t1:5\tcopy\n", 1) is None
 
 
 # Guides, without a program around them.
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -9,8 +9,8 @@
 
 from tests.helpers import COLD, GROUP, ROOT, SERVICES, entry, member, until
 from tests.test_crossings import joined, returns
-from vanerelay.guard import BUCKET, ENOUGH_ANSWERS, Guard, GuardTerms, Invariant
 from vanerelay.interface import SECOND, Effect, EngineState, MachineKind, Outcome, RationTerms, Scope
+from vanerelay.invariants import BUCKET, ENOUGH_ANSWERS, Guard, GuardTerms, Invariant
 from vanerelay.net.events import BURST, REASONS_MOST, EventLog, Kind
 
 NOW = 1000 * SECOND
@@ -154,7 +154,9 @@
     """Real processes, whose module is broken on purpose when they start."""
     shim = tmp_path / "erring"
     shim.mkdir()
-    (shim / "sitecustomize.py").write_text(f"from vanerelay import decide\n{ERRING[fault]}\n")
+    (shim / "sitecustomize.py").write_text(
+        f"from vanerelay.policy import gateway as decide\n{ERRING[fault]}\n"
+    )
     one, two = (started.engine(returns if fault == "drain" else errs) for _ in "ab")
     safety = {**SERVICES["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
     node = started(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -7,8 +7,8 @@
 import pytest
 
 from vanerelay.interface import SECOND, Effect
-from vanerelay.lab import judge, net, schedule, script
-from vanerelay.lab.links import Parties, Passage, Way, datagram
+from vanerelay.lab import fault_network, rule_checker, scenario, schedule
+from vanerelay.lab.link_faults import Parties, Passage, Way, datagram
 from vanerelay.lab.model import Cold, Engine, Job, Machine, Put, Word
 from vanerelay.lab.record import Row, What
 
@@ -140,13 +140,13 @@
 
 
 ONCE, TWICE = (
-    script.Group("order", SECOND, 2 * SECOND, 1.0, 100, effect=Effect.ONCE_ONLY),
-    script.Group("copy", SECOND, 2 * SECOND, 1.0, 100, effect=Effect.REFERENCED, window=SECOND),
+    scenario.Group("order", SECOND, 2 * SECOND, 1.0, 100, effect=Effect.ONCE_ONLY),
+    scenario.Group("copy", SECOND, 2 * SECOND, 1.0, 100, effect=Effect.REFERENCED, window=SECOND),
 )
-HERE = script.Group("here", SECOND, 2 * SECOND, 1.0, 100, locations=("east",))
-SITE = judge.Site(
+HERE = scenario.Group("here", SECOND, 2 * SECOND, 1.0, 100, locations=("east",))
+SITE = rule_checker.Site(
     {g.name: g for g in (ONCE, TWICE, HERE)},
-    script.Ration(10 * SECOND, 1, 0.1),
+    scenario.Ration(10 * SECOND, 1, 0.1),
     {"e1": "east", "e2": "west"},
     {"m9": [(0, 10 * SECOND)]},
 )
@@ -251,11 +251,11 @@
     ],
 )
 def test_rules_from_outside(told, broken):
-    assert [one.rule for one in judge.judge(rows(*told), SITE)] == broken
+    assert [one.rule for one in rule_checker.judge(rows(*told), SITE)] == broken
 
 
 def test_the_schedule_is_the_seed_s_alone():
-    found = script.load("faults")
+    found = scenario.load("faults")
     one, other = (schedule.needs(found, 7) for _ in range(2))
     assert [(n.at, n.work, n.draw) for n in one] == [(n.at, n.work, n.draw) for n in other]
     burst = [sum(a * SECOND <= n.at < (a + 2) * SECOND for n in one) for a in (10, 14)]
@@ -271,11 +271,11 @@
     ],
 )
 def test_bad_scripts_are_refused_with_their_line(tmp_path, change, why):
-    text = (script.SCRIPTS / "faults.hcl").read_text()
+    text = (scenario.SCRIPTS / "faults.hcl").read_text()
     path = tmp_path / "bad.hcl"
     path.write_text(text.replace(change, why, 1))
-    with pytest.raises(script.BadOptions, match="line [0-9]+: "):
-        script.load(str(path))
+    with pytest.raises(scenario.BadOptions, match="line [0-9]+: "):
+        scenario.load(str(path))
 
 
 def test_no_address_is_given_to_two_parties(monkeypatch):
@@ -295,5 +295,5 @@
         def getsockname(self):
             return "127.9.9.9", self.port
 
-    monkeypatch.setattr(net.socket, "socket", Bound)
-    assert [net.free_address("127.9.9.9") for _ in "ab"] == ["127.9.9.9:4001", "127.9.9.9:4002"]
+    monkeypatch.setattr(fault_network.socket, "socket", Bound)
+    assert [fault_network.free_address("127.9.9.9") for _ in "ab"] == ["127.9.9.9:4001", "127.9.9.9:4002"]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -13,16 +13,16 @@
 from twisted.internet.task import Clock
 
 from tests.histories import deeds, register
-from vanerelay.fleet.alive import Member, Standing
-from vanerelay.fleet.links import Refused
+from vanerelay.fleet.failure_detector import Member, Standing
+from vanerelay.fleet.rpc import Refused
 from vanerelay.interface import SECOND
-from vanerelay.lab.virtual import Setting, Trouble, World, drawn, play, shortest
-from vanerelay.leases import parts as lease_parts
-from vanerelay.leases import tasks, words
-from vanerelay.leases.chores import Rounds, shard
-from vanerelay.leases.disk import Disk, Unkept
-from vanerelay.leases.hold import Gate, Hold
-from vanerelay.leases.quorum import (
+from vanerelay.lab.lease_simulation import Setting, Trouble, World, drawn, play, shortest
+from vanerelay.leases import assignment, messages
+from vanerelay.leases import config as lease_parts
+from vanerelay.leases.durable_store import Disk, Unkept
+from vanerelay.leases.fencing import Gate, Hold
+from vanerelay.leases.maintenance_schedule import Rounds, shard
+from vanerelay.leases.voter import (
     ERA,
     Ballot,
     Claim,
@@ -37,8 +37,8 @@
     Voter,
     Voters,
 )
-from vanerelay.leases.voting import Voting
-from vanerelay.options import BadOptions, read
+from vanerelay.leases.voter_service import Voting
+from vanerelay.operator_config import BadOptions, read
 
 SEEDS, EACH = 12, 8
 TERMS = Terms(term=SECOND, longest=2 * SECOND, drift=0.02, linger=SECOND // 10)
@@ -71,7 +71,7 @@
 
 def test_what_is_broken_on_purpose_is_found_in_a_schedule_and_made_short(monkeypatch):
     """Holders that count too long a term, and receivers that take what comes."""
-    monkeypatch.setattr("vanerelay.leases.quorum.Terms.held", lambda self, term: 2 * term)
+    monkeypatch.setattr("vanerelay.leases.voter.Terms.held", lambda self, term: 2 * term)
     monkeypatch.setattr(Gate, "refuses", lambda self, *told: None)
     extra = [*(Trouble("cut", f"m{n}", 3.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5))]
     found = [seed for seed in range(2) if wrong(play(seed, extra))]
@@ -302,20 +302,20 @@
 
 
 def fleet(count, **more):
-    return [tasks.Candidate(f"m{n}", **more) for n in range(count)]
+    return [assignment.Candidate(f"m{n}", **more) for n in range(count)]
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 40), st.integers(1, 12), st.integers(0, 11))
 def test_tasks_are_spread_and_only_those_of_one_that_left_move_far(count, managers, gone):
     names, all_ = [f"t{n}" for n in range(count)], fleet(managers)
-    before = tasks.assign(names, all_)
-    assert set(before) == set(names) and tasks.assign(names[::-1], all_[::-1]) == before
+    before = assignment.assign(names, all_)
+    assert set(before) == set(names) and assignment.assign(names[::-1], all_[::-1]) == before
     loads = [sum(order[0] == one.name for order in before.values()) for one in all_]
-    assert max(loads) <= tasks.most(count, all_)["m0"]
+    assert max(loads) <= assignment.most(count, all_)["m0"]
     left = [one for one in all_ if one.name != f"m{gone}"]
     if left:
-        after = tasks.assign(names, left)
+        after = assignment.assign(names, left)
         assert all(f"m{gone}" not in order for order in after.values())
 
 
@@ -327,14 +327,14 @@
         Member("m4", 1, standing=Standing.GONE, state="serving", program="0.10.0-bb"),
         Member("m5", 1, state="serving", program="0.10.0-bb"),
     ]
-    found = tasks.candidates(members, "m2", True, {"m5": 0.0})
+    found = assignment.candidates(members, "m2", True, {"m5": 0.0})
     assert [one.name for one in found] == ["m1", "m2"]
-    assert tasks.ranked("t", found) == ["m2", "m1"]
-    assert [one.name for one in tasks.candidates(members, "m2", False)] == ["m1", "m5"]
+    assert assignment.ranked("t", found) == ["m2", "m1"]
+    assert [one.name for one in assignment.candidates(members, "m2", False)] == ["m1", "m5"]
 
 
 def test_a_task_is_given_up_for_a_better_place_less_and_less_readily():
-    watch = tasks.Watch()
+    watch = assignment.Watch()
     watch.placed(0, "m2", ("m1", "m2"))
     watch.took(0)
     assert not watch.outlived(2 * SECOND, SECOND, True) and watch.outlived(3 * SECOND, SECOND, True)
@@ -425,12 +425,12 @@
 def test_what_a_full_disk_did_not_keep_is_kept_before_anything_else_is_said():
     disk = Failing()
     voting = Voting(Clock(), "a", TERMS, THREE, disk, lambda: 0, None)
-    ask = words.Ask(1, [("t", Ballot(1, "x", 1))])
+    ask = messages.Ask(1, [("t", Ballot(1, "x", 1))])
     disk.full, refused, told = True, [], []
     voting.answer(ask).addErrback(lambda fault: refused.append(fault.value))
     assert isinstance(refused[0], Refused) and disk.records == {} and voting.why == "full"
     disk.full = False
-    voting.answer(words.Ask(1, [("u", Ballot(1, "x", 1))])).addCallback(told.append)
+    voting.answer(messages.Ask(1, [("u", Ballot(1, "x", 1))])).addCallback(told.append)
     assert set(disk.records) == {"t", "u"} and told[0].prepares[0].said is Said.YES and voting.why == ""
 
 
--- a/tests/test_leases_model.py
+++ b/tests/test_leases_model.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from vanerelay.leases.quorum import Claim, Slot, Stage, Terms, Voters, accept, prepare
+from vanerelay.leases.voter import Claim, Slot, Stage, Terms, Voters, accept, prepare
 
 NAMES, ASKERS = ("v0", "v1", "v2"), "ab"
 VOTERS = Voters(1, NAMES)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -7,10 +7,10 @@
 import pytest
 
 from vanerelay.interface import NEVER_RAN, EngineState, NoteKind, Outcome
-from vanerelay.net import ends, feed, frames, resp
+from vanerelay.net import attempt_outcome, discovery_codec, frames, resp_codec
+from vanerelay.net.attempt_outcome import Cause, Stage
 from vanerelay.net.buffers import BLOCK, Gather, Pool
 from vanerelay.net.clock import Clock
-from vanerelay.net.ends import Cause, Stage
 from vanerelay.net.statements import table_group, table_groups
 
 
@@ -126,22 +126,22 @@
 
 
 def said(ident, word, told="-", body=b""):
-    return resp.command(ident, word, told.encode(), body)
+    return resp_codec.command(ident, word, told.encode(), body)
 
 
 def exchange(most=4, may_cancel=True):
-    talk = resp.Exchange(Pool(), most, may_cancel)
-    talk.serve(b"q", resp.Query(b"report", 1500, b"SELECT 1", 96, 0))
+    talk = resp_codec.Exchange(Pool(), most, may_cancel)
+    talk.serve(b"q", resp_codec.Query(b"report", 1500, b"SELECT 1", 96, 0))
     talk.out.clear()
     return talk
 
 
 def test_a_dispatch_is_laid_out_as_the_page_says():
-    talk = resp.Exchange(Pool(), 4, True)
-    talk.serve(b"q", resp.Query(b"report", 1500, b"S", 0, 0))
-    talk.serve(b"r", resp.Query(b"report", 1500, b"S", 96, 0))
+    talk = resp_codec.Exchange(Pool(), 4, True)
+    talk.serve(b"q", resp_codec.Query(b"report", 1500, b"S", 0, 0))
+    talk.serve(b"r", resp_codec.Query(b"report", 1500, b"S", 96, 0))
     assert talk.out[0] == b"*4\r\n$5\r\nserve\r\n$1\r\nq\r\n$25\r\nsort=report,patience=1500\r\n$1\r\nS\r\n"
-    talk.serve(b"s", resp.Query(b"report", 1500, b"S", 96, 2))
+    talk.serve(b"s", resp_codec.Query(b"report", 1500, b"S", 96, 2))
     assert b"sort=report,patience=1500,pool=96\r\n" in talk.out[1]
     assert b"sort=report,patience=1500,pool=96,band=2\r\n" in talk.out[2]
 
@@ -163,9 +163,9 @@
     assert [(i, e.cause, e.stage, e.rows) for i, e in got] == [(b"q", Cause.OK, Stage.WHOLE, b"".join(rows))]
     assert got[0][1].told["l"] == "queue:3;x0:0.4" and got[0][1].told["rss"] == "40"
     assert talk.out == [
-        resp.command(b"read", b"q", b"1"),
-        resp.command(b"read", b"q", b"2"),
-        resp.command(b"release", b"q"),
+        resp_codec.command(b"read", b"q", b"1"),
+        resp_codec.command(b"read", b"q", b"2"),
+        resp_codec.command(b"release", b"q"),
     ]
 
 
@@ -240,9 +240,9 @@
     """Answers name only the id. One given up must not end a dispatch of the same batch sent later."""
     talk = exchange(most=2, may_cancel=may_cancel)
     assert talk.give_up(b"q") is Stage.WRITTEN
-    assert talk.out == ([resp.command(b"cancel", b"q")] if may_cancel else [])
+    assert talk.out == ([resp_codec.command(b"cancel", b"q")] if may_cancel else [])
     assert talk.takes(b"q") == may_cancel and talk.takes(b"r")
-    talk.serve(b"r", resp.Query(b"report", 1500, b"S", 0, 0))
+    talk.serve(b"r", resp_codec.Query(b"report", 1500, b"S", 0, 0))
     assert talk.takes(b"s") == may_cancel  # one that the engine may still run counts among the most
     assert list(talk.feed(said(b"q", b"OK", "total=1", b"x"))) == [] and b"r" in talk.open
     assert talk.takes(b"q") and talk.takes(b"s")
@@ -252,9 +252,9 @@
 @pytest.mark.parametrize(
     ("told", "note"),
     [
-        ("n=frac,datum=0.5", resp.Note(NoteKind.PROGRESS, 0.5)),
-        ("n=missing,datum=13", resp.Note(NoteKind.SPILL, 13.0)),
-        ("n=parked,datum=2", resp.Note(NoteKind.WAITING, 2.0)),
+        ("n=frac,datum=0.5", resp_codec.Note(NoteKind.PROGRESS, 0.5)),
+        ("n=missing,datum=13", resp_codec.Note(NoteKind.SPILL, 13.0)),
+        ("n=parked,datum=2", resp_codec.Note(NoteKind.WAITING, 2.0)),
         ("n=other,datum=2", None),
         ("n=frac,datum=x", None),
         ("n=frac", None),
@@ -270,7 +270,7 @@
 
 def test_an_unreadable_answer_ends_all_that_is_open_and_the_connection_takes_no_more():
     talk = exchange()
-    talk.serve(b"r", resp.Query(b"report", 1500, b"S", 0, 0))
+    talk.serve(b"r", resp_codec.Query(b"report", 1500, b"S", 0, 0))
     got = list(talk.feed(b"?"))
     assert [(i, e.cause) for i, e in got] == [(b"q", Cause.UNREADABLE), (b"r", Cause.UNREADABLE)]
     assert talk.broken and not talk.takes(b"s") and list(talk.feed(said(b"q", b"ERR"))) == []
@@ -291,7 +291,7 @@
 
 def test_what_is_lost_tells_how_far_it_had_come():
     talk = exchange()
-    talk.serve(b"r", resp.Query(b"report", 1500, b"S", 0, 0))
+    talk.serve(b"r", resp_codec.Query(b"report", 1500, b"S", 0, 0))
     assert list(talk.feed(PAGE)) == []
     assert talk.lost() == {b"q": Stage.PAGES_MISSING, b"r": Stage.WRITTEN} and not talk.open
 
@@ -299,9 +299,9 @@
 # Ends and outcomes.
 
 
-@pytest.mark.parametrize(("cause", "stage"), list(ends.OUTCOMES))
+@pytest.mark.parametrize(("cause", "stage"), list(attempt_outcome.OUTCOMES))
 def test_only_what_is_proved_never_to_have_run_is_said_so(cause, stage):
-    outcome = ends.OUTCOMES[cause, stage]
+    outcome = attempt_outcome.OUTCOMES[cause, stage]
     proved = stage in (Stage.NOT_CONNECTED, Stage.PARTLY_WRITTEN) or (
         stage is Stage.WRITTEN and cause in (Cause.BUSY, Cause.VOID)
     )
@@ -318,7 +318,7 @@
         (cause, Stage.NOT_CONNECTED)
         for cause in (*given_up, Cause.LOST, Cause.REFUSED, Cause.CONNECT_TIME_OUT, Cause.OVER)
     }
-    assert set(ends.OUTCOMES) == wanted
+    assert set(attempt_outcome.OUTCOMES) == wanted
 
 
 # The feed.
@@ -331,11 +331,11 @@
 @pytest.mark.parametrize(
     ("data", "result"),
     [
-        (WHOLE, feed.Reply(200, BODY, True)),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE, feed.Reply(200, BODY, True)),
+        (WHOLE, discovery_codec.Reply(200, BODY, True)),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE, discovery_codec.Reply(200, BODY, True)),
         (
             b"HTTP/1.1 200 OK\r\ncontent-length:19\r\nConnection: Close\r\n\r\n" + BODY,
-            feed.Reply(200, BODY, False),
+            discovery_codec.Reply(200, BODY, False),
         ),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n"
@@ -343,45 +343,45 @@
             + b"\r\ne;x=1\r\n"
             + BODY[5:]
             + b"\r\n0\r\nTrailer: x\r\n\r\n",
-            feed.Reply(200, BODY, True),
+            discovery_codec.Reply(200, BODY, True),
         ),
-        (b"HTTP/1.1 204 None\r\n\r\n", feed.Reply(204, b"", True)),
-        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", feed.Reply(503, b"", True)),
-        (b"HTTP/1.1 \xb2\r\n", feed.Unreadable),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: " + b"9" * 5000 + b"\r\n\r\n", feed.Unreadable),
-        (b"HELLO\r\n", feed.Unreadable),
-        (b"HTTP/1.1 abc\r\n", feed.Unreadable),
-        (b"HTTP/1.1 200 OK\r\nnonsense\r\n", feed.Unreadable),
-        (b"x" * 9000, feed.Unreadable),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", feed.Unreadable),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", feed.Unreadable),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", feed.Unreadable),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-5\r\n", feed.Unreadable),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", feed.Unreadable),
+        (b"HTTP/1.1 204 None\r\n\r\n", discovery_codec.Reply(204, b"", True)),
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", discovery_codec.Reply(503, b"", True)),
+        (b"HTTP/1.1 \xb2\r\n", discovery_codec.Unreadable),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: " + b"9" * 5000 + b"\r\n\r\n", discovery_codec.Unreadable),
+        (b"HELLO\r\n", discovery_codec.Unreadable),
+        (b"HTTP/1.1 abc\r\n", discovery_codec.Unreadable),
+        (b"HTTP/1.1 200 OK\r\nnonsense\r\n", discovery_codec.Unreadable),
+        (b"x" * 9000, discovery_codec.Unreadable),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", discovery_codec.Unreadable),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", discovery_codec.Unreadable),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", discovery_codec.Unreadable),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-5\r\n", discovery_codec.Unreadable),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", discovery_codec.Unreadable),
     ],
 )
 def test_an_answer_of_the_feed(data, result, size):
-    reader, got = feed.ReplyReader(Pool()), None
+    reader, got = discovery_codec.ReplyReader(Pool()), None
     for piece in pieces(data, size):
         got = got or reader.feed(piece)
-    assert got == result if isinstance(result, feed.Reply) else isinstance(got, result)
+    assert got == result if isinstance(result, discovery_codec.Reply) else isinstance(got, result)
 
 
 @pytest.mark.parametrize(
     ("data", "result"),
     [
-        (b"HTTP/1.1 200 OK\r\n\r\n" + BODY, feed.Reply(200, BODY, False)),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + BODY, feed.Unreadable),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", feed.Unreadable),
-        (b"HTTP/1.1 2", feed.Unreadable),
-        (b"", feed.Unreadable),
+        (b"HTTP/1.1 200 OK\r\n\r\n" + BODY, discovery_codec.Reply(200, BODY, False)),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + BODY, discovery_codec.Unreadable),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", discovery_codec.Unreadable),
+        (b"HTTP/1.1 2", discovery_codec.Unreadable),
+        (b"", discovery_codec.Unreadable),
     ],
 )
 def test_a_connection_that_ends_ends_the_answer(data, result):
-    reader = feed.ReplyReader(Pool())
+    reader = discovery_codec.ReplyReader(Pool())
     assert reader.feed(data) is None
     got = reader.ended()
-    assert got == result if isinstance(result, feed.Reply) else isinstance(got, result)
+    assert got == result if isinstance(result, discovery_codec.Reply) else isinstance(got, result)
 
 
 def row(name="e", phase="SERVING", **other):
@@ -409,12 +409,12 @@
     ],
 )
 def test_nonsense_from_the_feed_changes_nothing(told):
-    assert isinstance(feed.parse(told, {}, {}), feed.Unreadable)
+    assert isinstance(discovery_codec.parse(told, {}, {}), discovery_codec.Unreadable)
 
 
 def test_a_line_of_the_list_in_the_module_s_terms():
     told = {"events": [event(1, row(phase="DRAINING", cell=2, size=1.5, up_since_ms=7)), {"n": 2, "x": 1}]}
-    changes = feed.parse(told, {"a": 0, "b": 1}, {"k": 0})
+    changes = discovery_codec.parse(told, {"a": 0, "b": 1}, {"k": 0})
     entry = changes[0].members[0].entry(5)
     assert (entry.engine, entry.location, entry.kind, entry.cell, entry.weight, entry.started) == (
         5,
@@ -425,8 +425,8 @@
         70,
     )
     assert (changes[0].members[0].size, changes[0].members[0].weight) == (1.5, None)  # a size is no weight
-    assert entry.state is EngineState.DRAINING and changes[1] == feed.Change(2, False, [])
-    unknown = feed.parse({"events": [event(1, row(locality="z", flavor="z"))]}, {"a": 0}, {"k": 0})
+    assert entry.state is EngineState.DRAINING and changes[1] == discovery_codec.Change(2, False, [])
+    unknown = discovery_codec.parse({"events": [event(1, row(locality="z", flavor="z"))]}, {"a": 0}, {"k": 0})
     assert (unknown[0].members[0].location, unknown[0].members[0].kind) == (1, 1)
 
 
@@ -443,9 +443,11 @@
     ],
 )
 def test_events_are_applied_once_and_a_gap_is_noticed(held, numbers, applied, gap):
-    numbering = feed.Numbering()
+    numbering = discovery_codec.Numbering()
     numbering.held = held
-    new, missing = numbering.fresh([feed.Change(abs(n), n < 0, []) for n in numbers])  # below 0: a whole list
+    new, missing = numbering.fresh(
+        [discovery_codec.Change(abs(n), n < 0, []) for n in numbers]
+    )  # below 0: a whole list
     assert ([change.number for change in new], missing) == (applied, gap)
     assert numbering.held == (applied[-1] if applied else held)
 
--- a/tests/test_members_parts.py
+++ b/tests/test_members_parts.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from vanerelay import options
+from vanerelay import operator_config
 from vanerelay.interface import SECOND, EngineState
-from vanerelay.membership import console, records, store
-from vanerelay.membership.records import EngineList, Unusable
+from vanerelay.membership import control_protocol, list_codec, store
+from vanerelay.membership.list_codec import EngineList, Unusable
 
 PLACES = {"east": 0, "west": 1}, {"std": 0}
 NAMES = ["east", "west"], ["std"]
@@ -37,15 +37,15 @@
 
 
 def test_a_list_file_in_the_feed_s_terms():
-    found = records.read(
+    found = list_codec.read(
         text(row(weight=50), row("e-2", host_port="10.1.0.9:1", phase="DRAINING"), count=2), *PLACES
     )
     assert isinstance(found, EngineList) and found.revision == 7
     one, two = found.members["e-1"], found.members["e-2"]
     assert (one.location, one.kind, one.cell, one.size, one.started, one.weight) == (1, 0, 2, 4.0, 70, 0.5)
     assert (two.state, two.weight, two.entry(3).weight) == (EngineState.DRAINING, 1.0, 1.0)
-    assert records.told(one, *NAMES) == row(weight=50.0, size=4.0, up_since_ms=7)
-    assert records.unpack(records.pack({"p": found}, *NAMES), *PLACES) == {"p": found}
+    assert list_codec.told(one, *NAMES) == row(weight=50.0, size=4.0, up_since_ms=7)
+    assert list_codec.unpack(list_codec.pack({"p": found}, *NAMES), *PLACES) == {"p": found}
 
 
 @pytest.mark.parametrize(
@@ -89,14 +89,14 @@
     ],
 )
 def test_a_list_file_that_cannot_be_used_is_refused_in_one_line(data, says):
-    found = records.read(data, *PLACES)
+    found = list_codec.read(data, *PLACES)
     assert isinstance(found, Unusable) and says in found.why and "\n" not in found.why
 
 
 def test_a_list_file_cut_off_at_any_byte_is_refused():
     whole = text(row(), row("e-2", host_port="10.1.0.9:1"))
     for end in range(len(whole)):
-        assert isinstance(records.read(whole[:end], *PLACES), Unusable), end
+        assert isinstance(list_codec.read(whole[:end], *PLACES), Unusable), end
 
 
 # Options.
@@ -131,13 +131,13 @@
 
 
 def test_options_go_to_each_part(tmp_path):
-    found = options.subsystems(written(tmp_path, GOOD))["membership"]
+    found = operator_config.subsystems(written(tmp_path, GOOD))["membership"]
     main, other = found.watched
     assert (found.feed.stale_after, found.feed.precedence) == (20 * SECOND, 20)
     assert main.standing.complete and main.standing.precedence == 10 and other.standing.precedence == 15
     assert (main.checks.most_lost, main.checks.confirm_after, main.stillness.still) == (0.5, 90 * SECOND, 800)
     assert (found.flapping.returns, found.kept.folder, found.kept.keep) == (5, "/var/lib/vanerelay", 50)
-    assert found.console == "/run/x" and not options.subsystems(written(tmp_path, ""))
+    assert found.console == "/run/x" and not operator_config.subsystems(written(tmp_path, ""))
 
 
 @pytest.mark.parametrize(
@@ -167,16 +167,16 @@
 def test_what_is_wrong_with_options_is_told_by_file_and_line(tmp_path, old, new, line, says):
     assert old in GOOD
     path = written(tmp_path, GOOD.replace(old, new))
-    with pytest.raises(options.BadOptions) as fault:
-        options.subsystems(path)
+    with pytest.raises(operator_config.BadOptions) as fault:
+        operator_config.subsystems(path)
     assert str(fault.value).startswith(f"{path}, line {line}") and says in str(fault.value)
     assert "\n" not in str(fault.value)
 
 
 def test_the_example_that_is_delivered_can_be_used():
-    assert options.subsystems(os.path.join(os.path.dirname(__file__), "..", "deploy", "operator.hcl"))[
-        "membership"
-    ].watched
+    assert operator_config.subsystems(
+        os.path.join(os.path.dirname(__file__), "..", "deploy", "operator.hcl")
+    )["membership"].watched
 
 
 # The console's lines.
@@ -184,8 +184,8 @@
 
 def test_console_lines_whole_and_byte_by_byte():
     asked = b'{"v":1,"op":"show"}\n{"v":1,"op":"pin","revision":4,"source":"m"}\n'
-    whole = console.Lines().feed(asked)
-    lines = console.Lines()
+    whole = control_protocol.Lines().feed(asked)
+    lines = control_protocol.Lines()
     assert [one for at in range(len(asked)) for one in lines.feed(asked[at : at + 1])] == whole
     assert (whole[0].op, whole[1].op, whole[1].revision, whole[1].source) == ("show", "pin", 4, "m")
 
@@ -204,8 +204,8 @@
     ],
 )
 def test_console_lines_that_cannot_be_answered(data, says, last):
-    (found,) = console.Lines().feed(data)
-    assert isinstance(found, console.Wrong) and says in found.why and found.last is last
+    (found,) = control_protocol.Lines().feed(data)
+    assert isinstance(found, control_protocol.Wrong) and says in found.why and found.last is last
 
 
 # The store.
@@ -213,7 +213,7 @@
 
 def held(revision, *names):
     return {
-        "/f": records.read(
+        "/f": list_codec.read(
             text(
                 *(row(n, host_port=f"10.1.0.9:{1 + place}") for place, n in enumerate(names)),
                 revision=revision,
--- a/tests/test_members_sockets.py
+++ b/tests/test_members_sockets.py
@@ -67,14 +67,14 @@
 
     def engines(self):
         """What is in force, by id."""
-        from vanerelay.membership import desk
+        from vanerelay.membership import control_socket
 
-        return {row["id"]: row for row in desk.ask(str(self.console), op="show")[1]}
+        return {row["id"]: row for row in control_socket.ask(str(self.console), op="show")[1]}
 
     def trouble(self):
-        from vanerelay.membership import desk
+        from vanerelay.membership import control_socket
 
-        told = desk.ask(str(self.console), op="show")[0]["sources"]
+        told = control_socket.ask(str(self.console), op="show")[0]["sources"]
         return {path: why for source in told for path, why in source.get("trouble", {}).items()}
 
     def close(self):
--- a/tests/test_members_view.py
+++ b/tests/test_members_view.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from vanerelay.interface import SECOND, EngineState
-from vanerelay.membership.lists import Checks, Kind, Lists
-from vanerelay.membership.records import EngineList, Unusable
-from vanerelay.membership.settle import Mark, Settling, Stillness
-from vanerelay.membership.view import FIRST, KEPT, Flapping, Standing, View
-from vanerelay.net.feed import Member
+from vanerelay.membership.file_stability import Mark, Settling, Stillness
+from vanerelay.membership.list_acceptance import Checks, Kind, Lists
+from vanerelay.membership.list_codec import EngineList, Unusable
+from vanerelay.membership.merged_view import FIRST, KEPT, Flapping, Standing, View
+from vanerelay.net.discovery_codec import Member
 
 UP, DRAINING, GONE = EngineState.UP, EngineState.DRAINING, EngineState.GONE
 NOW = 1000 * SECOND
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -7,8 +7,7 @@
 import pytest
 from helpers import ALLOWED, GROUP, SERVICES, World, entry
 
-from vanerelay import checks
-from vanerelay.decide import Gateway, Peaks
+from vanerelay import settings_validation
 from vanerelay.interface import (
     SECOND,
     AttemptResult,
@@ -19,6 +18,7 @@
     Outcome,
     RationTerms,
 )
+from vanerelay.policy.gateway import Gateway, Peaks
 
 NOTES, LOOK = {"cancel": True, "notes_every": SECOND // 2}, SERVICES["classes"][0]
 
@@ -162,4 +162,4 @@
     ],
 )
 def test_wrong_settings_are_named(change, words):
-    assert words in str(checks.wrong({**SERVICES, **change}))
+    assert words in str(settings_validation.wrong({**SERVICES, **change}))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,16 +12,16 @@
 from twisted.internet.defer import succeed
 
 from bench.rollout import Figures, Loss
-from vanerelay import checks
+from vanerelay import settings_validation
 from vanerelay.interface import SECOND
-from vanerelay.rollout import plan, shared, words
+from vanerelay.rollout import messages, plan_reader, settings_diff
+from vanerelay.rollout.agent_store import Store
+from vanerelay.rollout.canary_analysis import Guard, Judge, Seen, Terms, Verdict, Word
+from vanerelay.rollout.change_log import Record, Unkept
 from vanerelay.rollout.controller import Controller
 from vanerelay.rollout.fence import Fence, Order
-from vanerelay.rollout.store import Store
-from vanerelay.rollout.judge import Guard, Judge, Seen, Terms, Verdict, Word
-from vanerelay.rollout.record import Record, Unkept
-from vanerelay.rollout.stages import IS_NEW, NEW, OLD, Away, Course, Do, Event, Heard, Plan, Stage
-from vanerelay.rollout.succession import Patience, Succession
+from vanerelay.rollout.stage_machine import IS_NEW, NEW, OLD, Away, Course, Do, Event, Heard, Plan, Stage
+from vanerelay.rollout.supervisor_state import Patience, Succession
 
 SERVICES = {
     "classes": [{"name": "look", "aimUs": 2000000, "deadlineUs": 20000000, "semantics": "pure"}],
@@ -161,11 +161,11 @@
 def test_while_releases_differ_the_stricter_value_holds(old, new, path, value):
     old, new = told(**old), told(**new)
     for base, other in ((old, new), (new, old)):
-        found = shared.stricter(base, other)
+        found = settings_diff.stricter(base, other)
         for part in path.split("."):
             found = found[part]
         assert found == value
-    assert [one.path for one in shared.differ(old, new)] in ([path], [])
+    assert [one.path for one in settings_diff.differ(old, new)] in ([path], [])
 
 
 @pytest.mark.parametrize(
@@ -177,8 +177,8 @@
     ],
 )
 def test_checks_find_what_a_stage_must_not(change, says):
-    assert checks.wrong(SERVICES) is None and checks.doubtful(SERVICES) is None
-    assert says in (checks.doubtful(told(**change)) or "")
+    assert settings_validation.wrong(SERVICES) is None and settings_validation.doubtful(SERVICES) is None
+    assert says in (settings_validation.doubtful(told(**change)) or "")
 
 
 def test_fences():
@@ -491,16 +491,18 @@
         name = address.split(":")[0]
         if kind == "state":
             return succeed(
-                words.pack(
-                    words.State(name, "", self.runs[name], "serving", 7, self.fence, self.heeded.get(name, 0))
+                messages.pack(
+                    messages.State(
+                        name, "", self.runs[name], "serving", 7, self.fence, self.heeded.get(name, 0)
+                    )
                 )
             )
-        order = words.unpack(body, words.Order)
+        order = messages.unpack(body, messages.Order)
         self.fence = order.fence
         if order.what != "claim":
             self.orders.append(name)
             self.runs[name], self.heeded[name] = order.body.decode(), order.number
-        return succeed(words.pack(words.Taken(order.fence)))
+        return succeed(messages.pack(messages.Taken(order.fence)))
 
     def stop(self):
         pass
@@ -510,12 +512,12 @@
     names = [name for name, _ in PLAN.managers]
     reactor, record, said = task.Clock(), Full(str(tmp_path / "r")), []
     runs = {NEW: NEW, OLD: OLD, "old strict": OLD, "new strict": NEW}
-    loaded = plan.Loaded(
+    loaded = plan_reader.Loaded(
         PLAN,
         Terms(stages=2, settle=0),
         {},
-        {name: plan.Reached(name, f"{name}:1") for name in names},
-        plan.Change(),
+        {name: plan_reader.Reached(name, f"{name}:1") for name in names},
+        plan_reader.Change(),
         {name: text.encode() for name, text in runs.items()},
         runs,
         0,
@@ -565,12 +567,12 @@
     (tmp_path / "new.json").write_text(json.dumps(new))
     (tmp_path / "p.hcl").write_text(text)
     if not says:
-        loaded = plan.load(str(tmp_path / "p.hcl"))
+        loaded = plan_reader.load(str(tmp_path / "p.hcl"))
         assert set(loaded.guards) == {"look"} and loaded.digests[NEW] != loaded.digests[OLD]
         assert IS_NEW <= loaded.digests.keys()
         return
-    with pytest.raises(plan.BadOptions, match="line [0-9]+.*" + says):
-        plan.load(str(tmp_path / "p.hcl"))
+    with pytest.raises(plan_reader.BadOptions, match="line [0-9]+.*" + says):
+        plan_reader.load(str(tmp_path / "p.hcl"))
 
 
 @pytest.mark.parametrize("span", [-3600 * SECOND, 3600 * SECOND])
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,9 +14,9 @@
 from tests.helpers import member, stand_still, until
 from tests.test_crossings import cancels, closes, joined, returns, settle
 from tests.test_drivers import Fleet, Served
+from vanerelay.net.attempt_outcome import Cause, Stage
 from vanerelay.net.buffers import Pool
-from vanerelay.net.clients import Clients
-from vanerelay.net.ends import Cause, Stage
+from vanerelay.net.client_connection import Clients
 
 
 def test_a_start_goes_on_while_no_socket_can_be_had(started, tmp_path):
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -13,20 +13,20 @@
 
 from tests.helpers import World as Module
 from vanerelay.interface import SECOND, Arrival, Outcome, RationTerms
-from vanerelay.lab import demand
+from vanerelay.lab import warming_simulation
 from vanerelay.net import frames
-from vanerelay.options import BadOptions
-from vanerelay.options import read as read_options
-from vanerelay.warming import hands as warm_hands
-from vanerelay.warming import parts as warm_parts
-from vanerelay.warming import words
+from vanerelay.operator_config import BadOptions
+from vanerelay.operator_config import read as read_options
+from vanerelay.warming import config as warm_parts
+from vanerelay.warming import executor as warm_hands
+from vanerelay.warming import messages
+from vanerelay.warming.config import Parts
+from vanerelay.warming.executor import Hands
 from vanerelay.warming.forecast import NOTICE, SHAPES, Forecasts, areas, fresh
-from vanerelay.warming.hands import Hands
-from vanerelay.warming.parts import Parts
+from vanerelay.warming.gain_experiment import LEAST, MOST, Trust
 from vanerelay.warming.plan import HIGHEST, Budget, plan
 from vanerelay.warming.popularity import KEPT, Tally, merged
-from vanerelay.warming.trust import LEAST, MOST, Trust
-from vanerelay.warming.worth import AT_HOME, Believed, Place, Wish, shares, wishes
+from vanerelay.warming.prefetch_value import AT_HOME, Believed, Place, Wish, shares, wishes
 
 # Popularity.
 
@@ -40,7 +40,7 @@
     other.wrote(1000, 9)
     assert one.since(1500, 0) == [], "it goes on yet"
     told = [*one.since(1000 + SECOND, 0), *other.since(1000 + SECOND, 0)]
-    seen, loads = merged([words.slice_(row) for row in words.slices(told)])
+    seen, loads = merged([messages.slice_(row) for row in messages.slices(told)])
     assert seen[7, "e1"].reads == 60 and seen[7, "e1"].work == 9000 and seen[100, "e2"].reads == 1
     assert loads == {9} and one.since(1000 + SECOND, one.next) == []
 
@@ -130,13 +130,13 @@
     assert fresh().sum() == pytest.approx(1.0)
 
 
-@pytest.mark.parametrize("kind", demand.KINDS)
+@pytest.mark.parametrize("kind", warming_simulation.KINDS)
 def test_warming_gains_and_never_harms_and_intervals_are_right(kind):
-    none, ours = demand.play(kind, "none", 260), demand.play(kind, "ours", 260)
+    none, ours = warming_simulation.play(kind, "none", 260), warming_simulation.play(kind, "ours", 260)
     assert ours.reads == none.reads and ours.read <= 1.01 * none.read
     if kind != "flash":  # whose intervals are too narrow for the first minutes
         assert 0.86 < ours.right / ours.judged < 0.94
-    if kind in demand.FORESEEN:
+    if kind in warming_simulation.FORESEEN:
         assert ours.met > none.met
 
 
@@ -254,7 +254,7 @@
 
 
 def do(number, serial, orders, holder="p/1", lasts=5 * SECOND):
-    return words.Do("warm/east", number, serial, holder, lasts, orders)
+    return messages.Do("warm/east", number, serial, holder, lasts, orders)
 
 
 def made(monkeypatch):
@@ -283,8 +283,8 @@
     hands.take(do(5, 1, [(7, "e1")] * 6))
     host.reactor.advance(0.05)
     assert hands.take(do(6, 1, [(3, "e0")], "q/2")).taken == 1
-    assert hands.take(do(5, 2, [(8, "e2")])) == words.Done(later=6)
-    assert hands.take(do(6, 1, [(3, "e0")], "q/2")) == words.Done(later=6), "doubled"
+    assert hands.take(do(5, 2, [(8, "e2")])) == messages.Done(later=6)
+    assert hands.take(do(6, 1, [(3, "e0")], "q/2")) == messages.Done(later=6), "doubled"
     for one in list(host.made):
         one.done.callback(frames.RETURNED)
     host.reactor.advance(0.05)
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -9,9 +9,9 @@
 from tests.helpers import ALLOWED, GROUP, entry
 from vanerelay.interface import SECOND, Condition, Effect, RationTerms, Scope
 from vanerelay.xds import resources
-from vanerelay.xds.assign import Handed, Health, Retry, Steady, Terms, plan
-from vanerelay.xds.census import AWAY, RETURN, Census, Expected
-from vanerelay.xds.loads import HELD, Load, Loads
+from vanerelay.xds.assignment import Handed, Health, Retry, Steady, Terms, plan
+from vanerelay.xds.load_reports import HELD, Load, Loads
+from vanerelay.xds.proxy_count import AWAY, RETURN, Census, Expected
 from vanerelay.xds.streams import Told, Type, order
 
 NOW = 1000 * SECOND
--- a/vanerelay/adapter/__main__.py
+++ b/vanerelay/adapter/__main__.py
@@ -6,7 +6,7 @@
 import sys
 from typing import IO, Any
 
-from vanerelay import terms
+from vanerelay import settings
 from vanerelay.adapter.instance import Instance, Orders
 
 
@@ -19,7 +19,7 @@
 
     def reply(self, message: Any) -> dict[str, Any]:
         orders: Orders = []
-        now = terms.up(message["clockUs"])
+        now = settings.up(message["clockUs"])
         for instance in self._instances.values():
             instance.orders, instance.now = orders, now
         for event in message["input"]:
--- a/vanerelay/adapter/instance.py
+++ b/vanerelay/adapter/instance.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from vanerelay import terms
+from vanerelay import settings
 from vanerelay.adapter import wire
-from vanerelay.decide import Gateway
-from vanerelay.holding import Held, Holding, Names
 from vanerelay.interface import Arrival, AttemptResult, NoteKind
+from vanerelay.policy.gateway import Gateway
+from vanerelay.query_table import Held, Holding, Names
 
 Orders = list[dict[str, Any]]
 
@@ -26,11 +26,11 @@
         self._engines = Names()
         self._timers: dict[int, Callable[[], None]] = {}
         self._timer = 0
-        self._reported = terms.report_names(profile)
+        self._reported = settings.report_names(profile)
         self._gateway: Gateway | None = None
 
         def start() -> None:
-            self._gateway = terms.open_gateway(self, seed, profile, asks=True)
+            self._gateway = settings.open_gateway(self, seed, profile, asks=True)
 
         self._call(start)
 
@@ -64,7 +64,7 @@
         elif verb == "checkResult":
             if self._gateway is not None:
                 engine, outcome = self._engines.index(e["engine"]), wire.OUTCOMES[e["status"]]
-                report = terms.load_report(self._reported, e.get("telemetry"))
+                report = settings.load_report(self._reported, e.get("telemetry"))
                 self._call(self._gateway.reported, engine, outcome, report)
         elif verb == "fromPeer":
             if self._gateway is not None:
@@ -82,8 +82,8 @@
             group=int(e.get("lane", 0)),
             customer=int(e.get("clientGroup", 0)),
             key=e.get("relation"),
-            time_limit=terms.down(e["clientDeadlineUs"]),
-            cost=terms.up(e.get("guessUs") or 0) if bits & 1 else 0,
+            time_limit=settings.down(e["clientDeadlineUs"]),
+            cost=settings.up(e.get("guessUs") or 0) if bits & 1 else 0,
             memory=float(e.get("memMb") or 0.0),
             tables=int(e.get("tableGroup") or 0),
             is_retry=bool(bits & 2),
@@ -103,8 +103,8 @@
             return
         outcome, over = wire.OUTCOMES[e["status"]], bool(e.get("over"))
         work, memory = wire.billed(int(e.get("note") or 0))
-        report = terms.load_report(self._reported, e.get("telemetry"))
-        lasted = terms.down(e.get("durationUs", 0))
+        report = settings.load_report(self._reported, e.get("telemetry"))
+        lasted = settings.down(e.get("durationUs", 0))
         held.out -= 1
         held.ended = held.ended or over
         result = AttemptResult(outcome, lasted, work, memory, report)
@@ -145,7 +145,10 @@
         held = self._holding.at(batch)
         held.out += 1
         self._order(
-            "deliver", requestId=held.name, capUs=time_out * terms.MICROS, engine=self._engines.name(engine)
+            "deliver",
+            requestId=held.name,
+            capUs=time_out * settings.MICROS,
+            engine=self._engines.name(engine),
         )
 
     def grant(self, batch: int, memory: float, priority: int) -> None:
@@ -154,7 +157,7 @@
     def push_back(self, batch: int, retry_after: int) -> None:
         held = self._holding.at(batch)
         if retry_after > 0:
-            self._order("bounce", requestId=held.name, waitUs=retry_after * terms.MICROS)
+            self._order("bounce", requestId=held.name, waitUs=retry_after * settings.MICROS)
         else:
             self._order("bounce", requestId=held.name)
         self._given_up(held)
@@ -184,7 +187,7 @@
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         self._timer += 1
         self._timers[self._timer] = callback
-        self._order("setTimer", waitUs=max(0, delay) * terms.MICROS, keyBack=self._timer)
+        self._order("setTimer", waitUs=max(0, delay) * settings.MICROS, keyBack=self._timer)
 
     def log(self, text: str) -> None:
         self._order("log", message=text)
--- a/vanerelay/adapter/wire.py
+++ b/vanerelay/adapter/wire.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from vanerelay.interface import EngineEntry, EngineState, NoteKind, Outcome
-from vanerelay.terms import up
+from vanerelay.settings import up
 
 OUTCOMES = {
     "GOOD": Outcome.RETURNED,
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -13,7 +13,6 @@
 import click
 import structlog
 from twisted.logger import ILogObserver, LogEvent, LogLevel, formatEvent, globalLogBeginner
-
 from zope.interface import provider  # type: ignore[import-untyped]
 
 from vanerelay import __version__
@@ -89,7 +88,7 @@
     """What the operators' options switch on, by name."""
     if path is None:
         return {}
-    options = _subsystem("vanerelay.options", "requirements-xds.txt")
+    options = _subsystem("vanerelay.operator_config", "requirements-xds.txt")
     try:
         found: dict[str, Any] = options.subsystems(path)
         return found
@@ -134,15 +133,15 @@
     clock = Clock()
     reactor = Reactor(clock)
     installReactor(reactor)  # type: ignore[no-untyped-call]
-    from vanerelay.net.program import Kept, Program, read
-    from vanerelay.seam import BadStart
+    from vanerelay.extension import BadStart
+    from vanerelay.net.server import Kept, Program, read
 
     try:
         parts = _subsystems(options)
         told = read(config)
         name = name or str(told.get("name", ""))
         structlog.contextvars.bind_contextvars(gateway=name)
-        join = importlib.import_module("vanerelay.joining").joins(parts) if parts else None
+        join = importlib.import_module("vanerelay.extension_registry").joins(parts) if parts else None
         program = Program(
             reactor, clock, told, listen or str(told.get("listen", "")), name, Kept(listen_fd, ready_fd), join
         )
@@ -165,22 +164,22 @@
 @click.option("--options", help="The operators' own file, read as well.")
 def check(config: str, options: str | None) -> None:
     """Reads a configuration and says what it tells, without listening anywhere."""
-    from vanerelay import checks, terms
-    from vanerelay.net import feed
-    from vanerelay.net.program import read
-    from vanerelay.seam import BadStart
+    from vanerelay import settings, settings_validation
+    from vanerelay.extension import BadStart
+    from vanerelay.net import discovery_codec
+    from vanerelay.net.server import read
 
     try:
         told = read(config)
-        why = checks.doubtful(told["settings"])
+        why = settings_validation.doubtful(told["settings"])
         if why is not None:
             raise BadStart(f"configuration {config}: {why}")
-        groups = terms.service_groups(told["settings"])
-        changes = feed.parse(told["known"], {}, {})
+        groups = settings.service_groups(told["settings"])
+        changes = discovery_codec.parse(told["known"], {}, {})
     except (BadStart, KeyError, TypeError, ValueError, AttributeError) as fault:
         click.echo(f"vanerelay: {fault}", err=True)
         sys.exit(2)
-    if isinstance(changes, feed.Unreadable):
+    if isinstance(changes, discovery_codec.Unreadable):
         click.echo(f"vanerelay: the list known at the start: {changes.why}", err=True)
         sys.exit(2)
     engines = {member.name for change in changes for member in change.members}
--- a/vanerelay/seam.py
+++ b/vanerelay/extension.py
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
 
-    from vanerelay.decide import Gateway
     from vanerelay.interface import Outcome
+    from vanerelay.net.attempt_outcome import End
     from vanerelay.net.clock import Clock
-    from vanerelay.net.ends import End
-    from vanerelay.net.feed import Change
+    from vanerelay.net.discovery_codec import Change
+    from vanerelay.policy.gateway import Gateway
 
 Listed = Callable[["Change"], None]
 Answered = Callable[[], None]
--- a/vanerelay/joining.py
+++ b/vanerelay/extension_registry.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from vanerelay.seam import Host, Part
+from vanerelay.extension import Host, Part
 
 
 def joins(options: Mapping[str, Any]) -> Callable[[Host], list[Part]] | None:
@@ -18,35 +18,35 @@
     """Each before those that stand on it."""
     found, members, fleet, leases, freshness = list[Part](), None, None, None, None
     if "membership" in options:
-        from vanerelay.membership.join import MembersPart
+        from vanerelay.membership.extension import MembersPart
 
         members = MembersPart(host, options["membership"])
         found.append(members)
     if "xds" in options:
-        from vanerelay.xds.join import ControlPart
+        from vanerelay.xds.extension import ControlPart
 
         found.append(ControlPart(host, options["xds"], members))
     if "fleet" in options:
-        from vanerelay.fleet.join import FleetPart
+        from vanerelay.fleet.extension import FleetPart
 
         fleet = FleetPart(host, options["fleet"])
         found.append(fleet)
     if "rollout" in options and fleet is not None:
-        from vanerelay.rollout.join import OrdersPart
+        from vanerelay.rollout.extension import OrdersPart
 
         found.append(OrdersPart(host, options["rollout"], fleet))
     if "leases" in options and fleet is not None:
-        from vanerelay.leases.join import LeasesPart
+        from vanerelay.leases.extension import LeasesPart
 
         leases = LeasesPart(host, options["leases"], fleet)
         found.append(leases)
     if "freshness" in options and fleet is not None and leases is not None:
-        from vanerelay.freshness.join import FreshnessPart
+        from vanerelay.freshness.extension import FreshnessPart
 
         freshness = FreshnessPart(host, options["freshness"], fleet, leases)
         found.append(freshness)
     if "warming" in options and fleet is not None and leases is not None:
-        from vanerelay.warming.join import WarmingPart
+        from vanerelay.warming.extension import WarmingPart
 
         found.append(WarmingPart(host, options["warming"], fleet, leases, freshness))
     return found
--- a/vanerelay/fleet/commands.py
+++ b/vanerelay/fleet/commands.py
@@ -9,9 +9,9 @@
 import click
 from twisted.internet.defer import Deferred, DeferredList
 
-from vanerelay.fleet import words
-from vanerelay.fleet.alive import Standing, splits
-from vanerelay.fleet.links import Links
+from vanerelay.fleet import messages
+from vanerelay.fleet.failure_detector import Standing, splits
+from vanerelay.fleet.rpc import Links
 
 PATIENCE_S = 3.0
 
@@ -26,7 +26,7 @@
 
 
 def asked_address(options: str | None, address: str | None) -> str:
-    from vanerelay.options import BadOptions, subsystems
+    from vanerelay.operator_config import BadOptions, subsystems
 
     if address:
         return address
@@ -70,8 +70,8 @@
 def show(options: str | None, address: str | None, as_json: bool) -> None:
     """Who there is, as each manager that answers sees it. Exits with 1 where views differ."""
     first = asked_address(options, address)
-    views: dict[str, words.View] = run(lambda reactor: _views(reactor, first))
-    told = {name: words.members(view.rows) for name, view in views.items()}
+    views: dict[str, messages.View] = run(lambda reactor: _views(reactor, first))
+    told = {name: messages.members(view.rows) for name, view in views.items()}
     differ = splits(told)
     newest = dict[str, Any]()
     for rows in told.values():
@@ -108,15 +108,15 @@
     sys.exit(1 if differ else 0)
 
 
-def _views(reactor: Any, first: str) -> Deferred[dict[str, words.View]]:
+def _views(reactor: Any, first: str) -> Deferred[dict[str, messages.View]]:
     links = Links(reactor)
-    found = dict[str, words.View]()
+    found = dict[str, messages.View]()
 
-    def ask(address: str) -> Deferred[words.View | None]:
+    def ask(address: str) -> Deferred[messages.View | None]:
         asked: Deferred[Any] = links.ask(address, "view", b"", PATIENCE_S)
-        return asked.addCallback(lambda body: words.unpack(body, words.View))
+        return asked.addCallback(lambda body: messages.unpack(body, messages.View))
 
-    def others(view: words.View | None) -> Deferred[Any]:
+    def others(view: messages.View | None) -> Deferred[Any]:
         if view is None:
             raise ValueError(f"{first} gives no view that can be read")
         found[view.name] = view
@@ -127,7 +127,7 @@
         ]
         return DeferredList([ask(address) for address in at], consumeErrors=True)
 
-    def ended(results: list[tuple[bool, Any]]) -> dict[str, words.View]:
+    def ended(results: list[tuple[bool, Any]]) -> dict[str, messages.View]:
         for good, view in results:
             if good and view is not None:
                 found[view.name] = view
@@ -165,11 +165,11 @@
 
 
 def _leases(reactor: Any, first: str) -> Deferred[dict[str, Any]]:
-    from vanerelay.leases import words as lease_words
+    from vanerelay.leases import messages as lease_words
 
     links = Links(reactor)
 
-    def each(views: dict[str, words.View]) -> Deferred[dict[str, Any]]:
+    def each(views: dict[str, messages.View]) -> Deferred[dict[str, Any]]:
         at = {
             row.name: row.address
             for view in views.values()
@@ -191,7 +191,7 @@
 
 def _held(views: dict[str, Any]) -> dict[str, Any]:
     """Of all views: tasks with their holders, voters with their standing, and whether all is well."""
-    from vanerelay.leases.quorum import Voters
+    from vanerelay.leases.voter import Voters
 
     tasks, voters = dict[str, dict[str, Any]](), dict[str, dict[str, Any]]()
     newest = max(views.values(), key=lambda view: view.version, default=None)
--- a/vanerelay/fleet/parts.py
+++ b/vanerelay/fleet/config.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from vanerelay.fleet.alive import Pace
-from vanerelay.options import Block
+from vanerelay.fleet.failure_detector import Pace
+from vanerelay.operator_config import Block
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/fleet/join.py
+++ b/vanerelay/fleet/extension.py
@@ -6,10 +6,10 @@
 
 from twisted.internet.defer import Deferred
 
+from vanerelay.extension import BadStart, Host, Part
 from vanerelay.fleet import release
-from vanerelay.fleet.parts import Parts
+from vanerelay.fleet.config import Parts
 from vanerelay.fleet.service import Fleet
-from vanerelay.seam import BadStart, Host, Part
 
 
 class FleetPart(Part):
--- a/vanerelay/fleet/words.py
+++ b/vanerelay/fleet/messages.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from vanerelay.fleet.alive import Member, Standing
+from vanerelay.fleet.failure_detector import Member, Standing
 
 T = TypeVar("T")
 LONGEST = 60_000  # bytes of a body: AMP carries 65,535 in one value
--- a/vanerelay/fleet/release.py
+++ b/vanerelay/fleet/release.py
@@ -11,7 +11,7 @@
 
 from vanerelay import __version__
 
-POLICY = ("decide.py", "measure.py")  # the files that decide, beside this package
+POLICY = ("policy/gateway.py", "estimation.py")  # the files that decide, beside this package
 OWN = ("position", "az")  # settings that are each manager's own
 SHORT = 12  # hex digits that people are shown
 
--- a/vanerelay/fleet/service.py
+++ b/vanerelay/fleet/service.py
@@ -13,10 +13,10 @@
 import structlog
 from twisted.internet.defer import Deferred, DeferredList, succeed
 
-from vanerelay.fleet import words
-from vanerelay.fleet.alive import Alive, Member, Standing, incarnation
-from vanerelay.fleet.links import Links, Refused
-from vanerelay.fleet.parts import Parts
+from vanerelay.fleet import messages
+from vanerelay.fleet.config import Parts
+from vanerelay.fleet.failure_detector import Alive, Member, Standing, incarnation
+from vanerelay.fleet.rpc import Links, Refused
 from vanerelay.interface import MILLISECOND
 from vanerelay.net.clock import UNITS, Clock
 
@@ -138,12 +138,14 @@
             if reached or self._stopped or target.standing is Standing.GONE:
                 return
             helpers = self.alive.helpers(target.name)
-            body = words.pack(words.Through(self.parts.fleet, target.name, target.address))
+            body = messages.pack(messages.Through(self.parts.fleet, target.name, target.address))
             through = [self._ask(self._address(one.name, one.address), "through", body, 2) for one in helpers]
             DeferredList(through).addCallback(indirect)
 
         def indirect(results: list[tuple[bool, Any]]) -> None:
-            heard = [words.unpack(told, words.Heard) for good, told in results if good and told is not None]
+            heard = [
+                messages.unpack(told, messages.Heard) for good, told in results if good and told is not None
+            ]
             if not any(one is not None and one.reached for one in heard):
                 self.alive.unanswered(target.name, self._clock.now())
                 self._tell()
@@ -152,11 +154,11 @@
 
     def _ping(self, address: str, name: str, join: bool = False) -> Deferred[bool]:
         own = self.alive.own
-        news = self.alive.whole()[: words.ROWS] if join else self.alive.news()
-        ping = words.Ping(self.parts.fleet, words.row(own), [words.row(one) for one in news], join)
+        news = self.alive.whole()[: messages.ROWS] if join else self.alive.news()
+        ping = messages.Ping(self.parts.fleet, messages.row(own), [messages.row(one) for one in news], join)
 
         def heard(told: bytes | None) -> bool:
-            answer = words.unpack(told, words.Heard) if told is not None else None
+            answer = messages.unpack(told, messages.Heard) if told is not None else None
             if answer is None:
                 return False
             self._heard(answer.news)
@@ -164,7 +166,7 @@
             self.alive.answered()
             return True
 
-        return self._ask(address, "ping", words.pack(ping), 1).addCallback(heard)
+        return self._ask(address, "ping", messages.pack(ping), 1).addCallback(heard)
 
     def _ask(self, address: str, kind: str, body: bytes, times: int) -> Deferred[bytes | None]:
         """None where no answer came."""
@@ -176,38 +178,38 @@
     # What others ask.
 
     def _pinged(self, body: bytes) -> bytes:
-        ping = words.unpack(body, words.Ping)
+        ping = messages.unpack(body, messages.Ping)
         if ping is None or ping.fleet != self.parts.fleet or self._silent:
             raise Refused("not of this fleet" if ping is not None else "unreadable")
         self.answers += 1
-        sender = words.member(ping.own)
+        sender = messages.member(ping.own)
         self._heard([ping.own, *ping.news])
         if sender is None:
-            return words.pack(words.Heard())
+            return messages.pack(messages.Heard())
         told = (
-            [*self.alive.whole()[: words.ROWS], *self.alive.reply(sender)]
+            [*self.alive.whole()[: messages.ROWS], *self.alive.reply(sender)]
             if ping.join
             else self.alive.reply(sender)
         )
-        return words.pack(words.Heard([words.row(one) for one in told]))
+        return messages.pack(messages.Heard([messages.row(one) for one in told]))
 
     def _asked_through(self, body: bytes) -> Deferred[bytes]:
-        through = words.unpack(body, words.Through)
+        through = messages.unpack(body, messages.Through)
         if through is None or through.fleet != self.parts.fleet or self._silent:
             raise Refused("not of this fleet")
         self.answers += 1
         asked = self._ping(self._address(through.target, through.address), through.target)
-        return asked.addCallback(lambda reached: words.pack(words.Heard([], reached)))
+        return asked.addCallback(lambda reached: messages.pack(messages.Heard([], reached)))
 
     def _viewed(self, body: bytes) -> bytes:
-        rows = [words.row(one) for one in self.alive.members.values()][: words.ROWS]
-        return words.pack(
-            words.View(self.name, self.parts.fleet, rows, self.alive.replaced, self.asks, self.answers)
+        rows = [messages.row(one) for one in self.alive.members.values()][: messages.ROWS]
+        return messages.pack(
+            messages.View(self.name, self.parts.fleet, rows, self.alive.replaced, self.asks, self.answers)
         )
 
-    def _heard(self, rows: list[words.Row]) -> None:
+    def _heard(self, rows: list[messages.Row]) -> None:
         before = self.alive.own.incarnation
-        self.alive.heard(words.members(rows), self._clock.now())
+        self.alive.heard(messages.members(rows), self._clock.now())
         if self.alive.own.incarnation != before:
             self._keep(self.alive.own.incarnation)
         if self.alive.replaced and not self._silent:
--- a/vanerelay/freshness/parts.py
+++ b/vanerelay/freshness/config.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from vanerelay.interface import MILLISECOND, SECOND, Span
-from vanerelay.leases.parts import WORDS_MOST
-from vanerelay.options import Block
+from vanerelay.leases.config import WORDS_MOST
+from vanerelay.operator_config import Block
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/freshness/spread.py
+++ b/vanerelay/freshness/dissemination.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from vanerelay.leases.tasks import RANKS
+from vanerelay.leases.assignment import RANKS
 
 FAN = 8  # that ask one
 
--- a/vanerelay/freshness/eligible.py
+++ b/vanerelay/freshness/eligibility.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 
 from vanerelay.freshness.hints import Else, Hint
-from vanerelay.freshness.positions import Point, Positions
+from vanerelay.freshness.replication_positions import Point, Positions
 from vanerelay.interface import MILLISECOND
 
 ALIKE = 100 * MILLISECOND  # copies whose bounds lie within this of the best count as the freshest
--- a/vanerelay/freshness/join.py
+++ b/vanerelay/freshness/extension.py
@@ -5,18 +5,18 @@
 import random
 from typing import TYPE_CHECKING, Any
 
-from vanerelay.fleet.join import FleetPart
-from vanerelay.freshness.guides import Leading
-from vanerelay.freshness.parts import Parts
+from vanerelay.extension import Guide, Host, Part, Want
+from vanerelay.fleet.extension import FleetPart
+from vanerelay.freshness.config import Parts
+from vanerelay.freshness.read_constraints import Leading
 from vanerelay.freshness.service import Freshness, Watching
 from vanerelay.interface import Condition, EngineState
-from vanerelay.leases.doing import Doing
-from vanerelay.leases.join import LeasesPart
-from vanerelay.leases.parts import Chore
-from vanerelay.seam import Guide, Host, Part, Want
+from vanerelay.leases.config import Chore
+from vanerelay.leases.extension import LeasesPart
+from vanerelay.leases.maintenance_runner import Doing
 
 if TYPE_CHECKING:
-    from vanerelay.net.feed import Change
+    from vanerelay.net.discovery_codec import Change
 
 TASK = "watch"
 TURN_S = 1.0
--- a/vanerelay/freshness/hints.py
+++ b/vanerelay/freshness/hints.py
@@ -16,7 +16,7 @@
 from lark import Lark, Token, Transformer, UnexpectedInput
 from lark.exceptions import VisitError
 
-from vanerelay.freshness.positions import Point
+from vanerelay.freshness.replication_positions import Point
 from vanerelay.interface import SECOND, Span
 
 SIGN, NAME = "/*+", "vanerelay"
--- a/vanerelay/freshness/words.py
+++ b/vanerelay/freshness/messages.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from vanerelay.fleet.words import LONGEST, pack, unpack
-from vanerelay.freshness.news import Given, Row
-from vanerelay.freshness.pins import Pin
-from vanerelay.freshness.positions import Point, Told
+from vanerelay.fleet.messages import LONGEST, pack, unpack
+from vanerelay.freshness.replication_positions import Point, Told
+from vanerelay.freshness.session_affinity import Pin
+from vanerelay.freshness.shard_updates import Given, Row
 
 COPY, SOURCE, GONE = 0, 1, -1
 ROLES = {"copy": False, "source": True}
--- a/vanerelay/freshness/guides.py
+++ b/vanerelay/freshness/read_constraints.py
@@ -10,18 +10,18 @@
 import structlog
 from twisted.internet.defer import Deferred, DeferredList
 
-from vanerelay.freshness import eligible, hints
-from vanerelay.freshness.eligible import Choice
+from vanerelay.extension import Guide, Host, Lead, Want
+from vanerelay.freshness import eligibility, hints
+from vanerelay.freshness.eligibility import Choice
 from vanerelay.freshness.hints import BadHint, Hint
-from vanerelay.freshness.pins import Known, Pin
-from vanerelay.freshness.positions import Point
+from vanerelay.freshness.replication_positions import Point
 from vanerelay.freshness.service import Freshness
-from vanerelay.holding import conditions
+from vanerelay.freshness.session_affinity import Known, Pin
 from vanerelay.interface import MILLISECOND, Condition, EngineState, Outcome
 from vanerelay.net.buffers import BLOCK
 from vanerelay.net.clock import UNITS
 from vanerelay.net.statements import named, writes
-from vanerelay.seam import Guide, Host, Lead, Want
+from vanerelay.query_table import conditions
 
 LOOK = 100 * MILLISECOND  # between looks at how engines stand
 TRIES = 3  # at a session that others move at the same time
@@ -193,7 +193,7 @@
     def __init__(self, leading: Leading, want: Want, hint: Hint, groups: tuple[int, ...]) -> None:
         super().__init__(leading, want)
         self._hint, self._groups = hint, groups
-        self._needs = eligible.needs(hint, groups, self.came)
+        self._needs = eligibility.needs(hint, groups, self.came)
         self._session = f"{hint.pin}/{groups[0]}"
         self._pin: Pin | None = None
         self._lost, self._word, self._tries, self._putting = False, "", 0, False
@@ -223,9 +223,9 @@
     def _loaded(self, ended: tuple[int, Point] | None) -> None:
         """Where the load that it follows has ended; None: nobody says, and the source alone surely has it."""
         if ended is None:
-            self._needs = eligible.needs(self._hint, self._groups, self.came, unknown=True)
+            self._needs = eligibility.needs(self._hint, self._groups, self.came, unknown=True)
         elif ended[0] in self._groups:
-            self._needs = eligible.follows(self._needs, *ended)
+            self._needs = eligibility.follows(self._needs, *ended)
 
     def _found(self, known: Known) -> None:
         self._pin, self._lost = known.pin, known.lost
@@ -241,7 +241,9 @@
         if self._hint.pin:
             self._look_at_session(there)
             return
-        choice = eligible.choose(self._leading.freshness.positions, self._needs, self._hint.otherwise, there)
+        choice = eligibility.choose(
+            self._leading.freshness.positions, self._needs, self._hint.otherwise, there
+        )
         self._met, self._asked = choice.met, self._needs
         self._take(choice, choice.engines)
 
@@ -255,14 +257,14 @@
         """Its copy as long as that can serve it; else another, once keepers know."""
         positions, pin = self._leading.freshness.positions, self._pin
         if pin is not None and not self._lost and pin.engine in there and self._leading.sound(pin.engine):
-            floored = eligible.floored(self._needs, pin.seen)
-            if eligible.serves(positions, pin.engine, floored):
+            floored = eligibility.floored(self._needs, pin.seen)
+            if eligibility.serves(positions, pin.engine, floored):
                 self._word, self._met, self._asked = self._word or "kept", True, floored
                 self._go(frozenset({pin.engine}))
                 return
         moves = pin is not None or self._lost
-        asked = eligible.strict(self._needs, self.came) if moves else self._needs
-        choice = eligible.choose(positions, asked, self._hint.otherwise, there)
+        asked = eligibility.strict(self._needs, self.came) if moves else self._needs
+        choice = eligibility.choose(positions, asked, self._hint.otherwise, there)
         if not choice.engines or choice.refused:
             self._take(choice, choice.engines)
             return
@@ -294,7 +296,7 @@
         super().sent(engine)
         name = self._leading.name(engine)
         positions = self._leading.freshness.positions
-        still = not self._met or eligible.serves(positions, name, self._asked)
+        still = not self._met or eligibility.serves(positions, name, self._asked)
         self._held[name] = positions.point(name, self._groups[0]), self._met, still
 
     def accepts(self, engine: int, told: Mapping[str, str]) -> bool:
@@ -308,7 +310,7 @@
         point = Point.read(told.get(word, "")) if word else None
         self._engine, self._point, self._answered = name, point, met
         seen = self._pin.seen if self._pin is not None else None
-        if word and met and not eligible.held(point, known, self._needs, seen):
+        if word and met and not eligibility.held(point, known, self._needs, seen):
             log.warning("a copy holds less than it had", engine=name, group=self._groups[0], at=str(point))
             freshness.positions.doubt(name, self._groups[0], freshness.clock())
             self._gone(name)
@@ -340,7 +342,7 @@
             found["at"] = str(self._point)
         if not self._answered:
             freshness = self._leading.freshness
-            until = eligible.bound(freshness.positions, self._engine, self._groups)
+            until = eligibility.bound(freshness.positions, self._engine, self._groups)
             age = None if until is None else max(0, freshness.clock() - until) // MILLISECOND
             found["age"] = "unknown" if age is None else str(age)
         if self._word:
--- a/vanerelay/freshness/service.py
+++ b/vanerelay/freshness/service.py
@@ -10,21 +10,21 @@
 import structlog
 from twisted.internet.defer import Deferred, succeed
 
-from vanerelay.fleet.alive import Standing
-from vanerelay.fleet.links import Refused
+from vanerelay.fleet.failure_detector import Standing
+from vanerelay.fleet.rpc import Refused
 from vanerelay.fleet.service import Fleet
-from vanerelay.freshness import pins, spread, words
-from vanerelay.freshness.news import Shard
-from vanerelay.freshness.parts import Parts
-from vanerelay.freshness.pins import Keeper, Known, Loads, Pin
-from vanerelay.freshness.positions import Point, Positions, Told
+from vanerelay.freshness import dissemination, messages, session_affinity
+from vanerelay.freshness.config import Parts
+from vanerelay.freshness.replication_positions import Point, Positions, Told
+from vanerelay.freshness.session_affinity import Keeper, Known, Loads, Pin
+from vanerelay.freshness.shard_updates import Shard
 from vanerelay.interface import Span
-from vanerelay.leases.doing import Chat
-from vanerelay.leases.hold import Hold
+from vanerelay.leases.assignment import Candidate, ranked
+from vanerelay.leases.fencing import Hold
+from vanerelay.leases.maintenance_runner import Chat
 from vanerelay.leases.service import Leases
-from vanerelay.leases.tasks import Candidate, ranked
+from vanerelay.net.attempt_outcome import Cause, End
 from vanerelay.net.clock import UNITS
-from vanerelay.net.ends import Cause, End
 
 ROWS_OF_ONE = 50_000  # table groups of one engine
 OLD = 20  # times the pace of the watch, past which it is said that news are old
@@ -48,7 +48,7 @@
         self._freshness.changed()
 
     def heard(self, engine: str, at: int, end: End) -> str | None:
-        told = words.rows(end.rows, ROWS_OF_ONE) if end.cause is Cause.OK else None
+        told = messages.rows(end.rows, ROWS_OF_ONE) if end.cause is Cause.OK else None
         begun = self._begun.pop(engine, None)
         if told is None:
             if end.cause is Cause.OK and engine not in self._unread:
@@ -151,17 +151,17 @@
     def _pull(self, number: int) -> None:
         shard = self.shards[number]
         tried = self._failed[number] // self._turns
-        whom = spread.source(self.name, self._orders[number], shard.holder, tried)
+        whom = dissemination.source(self.name, self._orders[number], shard.holder, tried)
         if whom is None:
             return
         at = self.clock()
-        body = words.pack(words.Pull(number, *shard.wants(at)))
+        body = messages.pack(messages.Pull(number, *shard.wants(at)))
         patience_s = HEAR_PATIENCE * self.parts.watch.hear / UNITS
         self.asked += 1
 
         def heard(told: bytes) -> None:
-            news = words.unpack(told, words.News)
-            given = words.given(news) if news is not None else None
+            news = messages.unpack(told, messages.News)
+            given = messages.given(news) if news is not None else None
             # One that goes on to know no more than we is as good as none: another is asked then.
             more = given is not None and shard.hear(at, given, self._drift)
             self._failed[number] = 0 if more else self._failed[number] + 1
@@ -174,35 +174,37 @@
         self._fleet.ask(whom, "fresh-news", body, patience_s).addCallback(heard).addErrback(failed)
 
     def _pulled(self, body: bytes) -> bytes:
-        pull = words.unpack(body, words.Pull)
+        pull = messages.unpack(body, messages.Pull)
         if pull is None or not 0 <= pull.shard < len(self.shards):
             raise Refused("no such shard" if pull is not None else "unreadable")
         self.told += 1
-        found = words.pack(words.news(self.shards[pull.shard].give(self.clock(), pull.number, pull.upto)))
-        if len(found) > words.LONGEST:
+        found = messages.pack(
+            messages.news(self.shards[pull.shard].give(self.clock(), pull.number, pull.upto))
+        )
+        if len(found) > messages.LONGEST:
             raise Refused("the shard is too large, expected more shards")
         return found
 
     # Sessions and loads, remembered for others.
 
     def _pin_asked(self, body: bytes) -> bytes:
-        ask = _read(body, words.PinAsk)
-        return words.pack(words.pin_told(*self.keeper.ask(self.clock(), ask.name, ask.lasts)))
+        ask = _read(body, messages.PinAsk)
+        return messages.pack(messages.pin_told(*self.keeper.ask(self.clock(), ask.name, ask.lasts)))
 
     def _pin_put(self, body: bytes) -> bytes:
-        put = _read(body, words.PinPut)
-        pin = words.pin(put)
+        put = _read(body, messages.PinPut)
+        pin = messages.pin(put)
         if pin is None:
             raise Refused("no engine")
-        return words.pack(words.pin_told(self.keeper.put(self.clock(), put.name, pin, put.lasts), True))
+        return messages.pack(messages.pin_told(self.keeper.put(self.clock(), put.name, pin, put.lasts), True))
 
     def _load_asked(self, body: bytes) -> bytes:
-        ask = _read(body, words.LoadAsk)
+        ask = _read(body, messages.LoadAsk)
         group, point = self.loads.get(ask.ref) or (0, Point(-1, -1))
-        return words.pack(words.LoadTold(group, point.life, point.number))
+        return messages.pack(messages.LoadTold(group, point.life, point.number))
 
     def _load_put(self, body: bytes) -> bytes:
-        put = _read(body, words.LoadPut)
+        put = _read(body, messages.LoadPut)
         self.loads.put(put.ref, put.group, Point(put.life, put.number))
         return b""
 
@@ -210,36 +212,36 @@
 
     def session(self, name: str, lasts: Span) -> Deferred[Known]:
         """What keepers know of a session; never fails."""
-        named = pins.keepers(name, self._managers)
-        body = words.PinAsk(name, lasts)
+        named = session_affinity.keepers(name, self._managers)
+        body = messages.PinAsk(name, lasts)
 
-        def settle(answers: list[words.PinTold]) -> Known:
-            return pins.known(len(named), [(words.pin(one), one.sure) for one in answers])
+        def settle(answers: list[messages.PinTold]) -> Known:
+            return session_affinity.known(len(named), [(messages.pin(one), one.sure) for one in answers])
 
         # Answers that say the same of a session from a majority are enough: the slowest is not waited for.
         return self._gather(
-            named, "fresh-pin", body, words.PinTold, pins.enough(len(named)), self._pin_asked
+            named, "fresh-pin", body, messages.PinTold, session_affinity.enough(len(named)), self._pin_asked
         ).addCallback(settle)
 
     def put_session(self, name: str, lasts: Span, pin: Pin) -> Deferred[tuple[bool, Pin | None]]:
         """Whether a majority remembers it so, and what else one of them said; never fails."""
-        named = pins.keepers(name, self._managers)
-        body = words.pin_put(name, lasts, pin)
+        named = session_affinity.keepers(name, self._managers)
+        body = messages.pin_put(name, lasts, pin)
 
-        def settle(answers: list[words.PinTold]) -> tuple[bool, Pin | None]:
-            told = [one for one in map(words.pin, answers) if one is not None]
+        def settle(answers: list[messages.PinTold]) -> tuple[bool, Pin | None]:
+            told = [one for one in map(messages.pin, answers) if one is not None]
             others = [one for one in told if (one.engine, one.version) != (pin.engine, pin.version)]
-            return pins.settled(len(named), pin, told), others[0] if others else None
+            return session_affinity.settled(len(named), pin, told), others[0] if others else None
 
         return self._gather(
-            named, "fresh-pin-put", body, words.PinTold, pins.enough(len(named)), self._pin_put
+            named, "fresh-pin-put", body, messages.PinTold, session_affinity.enough(len(named)), self._pin_put
         ).addCallback(settle)
 
     def ended(self, ref: str, group: int, point: Point) -> None:
         """A load has ended: told to those that remember it, not waited for."""
         self._own_loads.put(ref, group, point)
-        body = words.pack(words.LoadPut(ref, group, point.life, point.number))
-        for name in pins.keepers(ref, self._managers):
+        body = messages.pack(messages.LoadPut(ref, group, point.life, point.number))
+        for name in session_affinity.keepers(ref, self._managers):
             if name == self.name:
                 self.loads.put(ref, group, point)
             else:
@@ -252,13 +254,13 @@
         if own is not None:
             return succeed(own)
 
-        def settle(answers: list[words.LoadTold]) -> tuple[int, Point] | None:
+        def settle(answers: list[messages.LoadTold]) -> tuple[int, Point] | None:
             known = [one for one in answers if one.life >= 0]
             return (known[0].group, Point(known[0].life, known[0].number)) if known else None
 
-        named = [name for name in pins.keepers(ref, self._managers) if name != self.name]
+        named = [name for name in session_affinity.keepers(ref, self._managers) if name != self.name]
         return self._gather(
-            named, "fresh-load", words.LoadAsk(ref), words.LoadTold, 1, None, lambda one: one.life >= 0
+            named, "fresh-load", messages.LoadAsk(ref), messages.LoadTold, 1, None, lambda one: one.life >= 0
         ).addCallback(settle)
 
     @property
@@ -277,11 +279,11 @@
     ) -> Deferred[list[T]]:
         """Answers, once so many of them count or no more can come; `own`: how we answer ourselves."""
         done: Deferred[list[T]] = Deferred()
-        found, left, packed = list[T](), set(names), words.pack(body)
+        found, left, packed = list[T](), set(names), messages.pack(body)
 
         def came(told: bytes | None, name: str) -> None:
             left.discard(name)
-            one = words.unpack(told, answer) if told is not None else None
+            one = messages.unpack(told, answer) if told is not None else None
             if done.called:
                 return
             if one is not None:
@@ -301,7 +303,7 @@
 
 
 def _read(body: bytes, kind: type[T]) -> T:
-    found = words.unpack(body, kind)
+    found = messages.unpack(body, kind)
     if found is None:
         raise Refused("unreadable")
     return found
--- a/vanerelay/freshness/pins.py
+++ b/vanerelay/freshness/session_affinity.py
@@ -13,9 +13,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
 
-from vanerelay.freshness.positions import Point
+from vanerelay.freshness.replication_positions import Point
 from vanerelay.interface import Span
-from vanerelay.leases.tasks import Candidate, ranked
+from vanerelay.leases.assignment import Candidate, ranked
 
 KEEPERS = 3
 
--- a/vanerelay/freshness/news.py
+++ b/vanerelay/freshness/shard_updates.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from vanerelay.freshness.positions import Positions, Told
+from vanerelay.freshness.replication_positions import Positions, Told
 from vanerelay.interface import SECOND, Span
 
 TOLD = 600 * SECOND  # for so long a row that is no more is told of
--- a/vanerelay/grpc_wire/driver.py
+++ b/vanerelay/grpc_wire/driver.py
@@ -15,7 +15,7 @@
 from vanerelay.grpc_wire.limits import Limits
 from vanerelay.grpc_wire.session import ClientSession, Opener, ServerSession, Session
 from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.sparing import Sparing
+from vanerelay.net.rate_limited_log import Sparing
 
 log = structlog.get_logger()
 
--- a/vanerelay/guard.py
+++ b/vanerelay/invariants.py
@@ -12,8 +12,18 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from vanerelay.interface import NEVER_RAN, ColdStart, Effect, EngineEntry, EngineState, MachineKind, Outcome
-from vanerelay.interface import RationTerms, Scope, ServiceGroup
+from vanerelay.interface import (
+    NEVER_RAN,
+    ColdStart,
+    Effect,
+    EngineEntry,
+    EngineState,
+    MachineKind,
+    Outcome,
+    RationTerms,
+    Scope,
+    ServiceGroup,
+)
 
 BUCKET = 100  # of the module's time: a hundredth of a second, in which events are counted together
 ENOUGH_ANSWERS = 20  # from which on the mean work of a query is known
--- a/vanerelay/lab/load.py
+++ b/vanerelay/lab/client_load.py
@@ -14,11 +14,11 @@
 
 from vanerelay.history import History
 from vanerelay.interface import MILLISECOND, SECOND, Effect
-from vanerelay.lab.hosts import World
-from vanerelay.lab.net import Joint
+from vanerelay.lab.engine_server import World
+from vanerelay.lab.fault_network import Joint
 from vanerelay.lab.record import What
+from vanerelay.lab.scenario import Clients, Group
 from vanerelay.lab.schedule import Need, shares
-from vanerelay.lab.script import Clients, Group
 from vanerelay.net.clock import UNITS
 from vanerelay.net.frames import ANSWER, LAST, LEAVE, OPEN_MOST, REQUEST, frame
 
--- a/vanerelay/lab/commands.py
+++ b/vanerelay/lab/commands.py
@@ -11,8 +11,8 @@
 import click
 
 from vanerelay.interface import SECOND
-from vanerelay.lab import figures, script
-from vanerelay.options import BadOptions
+from vanerelay.lab import scenario, tables
+from vanerelay.operator_config import BadOptions
 
 BROKEN, UNUSABLE = 1, 2  # exit codes: a rule, a crash or what was expected; a script that can't be played
 
@@ -25,7 +25,7 @@
 @lab.command()
 def scripts() -> None:
     """The scripts that come with the laboratory."""
-    for path in sorted(script.SCRIPTS.glob("*.hcl")):
+    for path in sorted(scenario.SCRIPTS.glob("*.hcl")):
         first = path.read_text(encoding="utf-8").splitlines()[0]
         click.echo(f"{path.stem:<16} {first.lstrip('# ')}")
 
@@ -45,7 +45,7 @@
     Exits with 0 where all rules were kept and what the script expects was reached, with 1 where not, with 2
     where it could not be played."""
     try:
-        found = script.load(name)
+        found = scenario.load(name)
     except BadOptions as fault:
         click.echo(f"vanerelay: {fault}", err=True)
         sys.exit(UNUSABLE)
@@ -54,12 +54,12 @@
 
 
 def _play(
-    found: script.Script, seed: int, report: Path | None, folder: Path, as_json: bool, quiet: bool
+    found: scenario.Script, seed: int, report: Path | None, folder: Path, as_json: bool, quiet: bool
 ) -> int:
     from twisted.internet import reactor as found_reactor
 
     reactor: Any = found_reactor
-    from vanerelay.lab.play import BadPlay, Play
+    from vanerelay.lab.scenario_run import BadPlay, Play
 
     progress = (lambda line: None) if quiet else lambda line: click.echo(line, err=True)
     play, wrong = Play(reactor, found, seed, folder, progress), list[str]()
@@ -80,10 +80,10 @@
         click.echo(f"vanerelay: {wrong[0]}", err=True)
         return UNUSABLE
     findings, rows = play.findings(), play.record.rows
-    table = figures.table(rows)
-    told = figures.summary(table, rows, findings, found.groups)
+    table = tables.table(rows)
+    told = tables.summary(table, rows, findings, found.groups)
     told["cold_pressed"] = round(play.pressed, 3)
-    served = figures.utility(table, found.groups, found.expected.since // SECOND)
+    served = tables.utility(table, found.groups, found.expected.since // SECOND)
     short = served < found.expected.served
     if report is not None:
         from vanerelay.lab import report as pages
@@ -104,13 +104,13 @@
     return BROKEN if findings or short else 0
 
 
-def _say(found: script.Script, seed: int, told: dict[str, Any], served: float) -> None:
+def _say(found: scenario.Script, seed: int, told: dict[str, Any], served: float) -> None:
     click.echo(
         f"{found.name}, seed {seed}: {told['served']:.1%} of the utility within its goals, "
         f"{told['dispatches']} dispatches, {told['engines_fallen']} engines fell over"
     )
     for name, cell in told["groups"].items():
-        ends = ", ".join(f"{cell[end]} {end}" for end in figures.ENDS if end in cell)
+        ends = ", ".join(f"{cell[end]} {end}" for end in tables.ENDS if end in cell)
         click.echo(
             f"  {name}: {cell['offered']} came, {ends}; p50 {cell['p50_ms']} ms, p99 {cell['p99_ms']} ms"
         )
--- a/vanerelay/lab/hosts.py
+++ b/vanerelay/lab/engine_server.py
@@ -12,14 +12,14 @@
 
 from vanerelay.history import History
 from vanerelay.interface import SECOND
-from vanerelay.lab.copies import Copies
+from vanerelay.lab.cache_model import Warm
+from vanerelay.lab.fault_network import Joint, Network
 from vanerelay.lab.model import Cold, Engine, Job, Machine, Put, Word
-from vanerelay.lab.net import Joint, Network
 from vanerelay.lab.record import Record, Row, What
-from vanerelay.lab.warm import Warm
-from vanerelay.leases.hold import Gate
+from vanerelay.lab.replication_model import Copies
+from vanerelay.leases.fencing import Gate
 from vanerelay.net.clock import UNITS
-from vanerelay.net.resp import command
+from vanerelay.net.resp_codec import command
 
 STATEMENT = re.compile(rb"-- w=(\d+) m=(\d+) n=(\d+)")
 TABLE = re.compile(rb"(INTO|FROM) sales_(\d+)\.")
--- a/vanerelay/lab/net.py
+++ b/vanerelay/lab/fault_network.py
@@ -20,7 +20,7 @@
 from twisted.internet.protocol import Protocol as TwistedProtocol
 from twisted.python.failure import Failure
 
-from vanerelay.lab.links import HELD_MOST, Passage, Way, datagram
+from vanerelay.lab.link_faults import HELD_MOST, Passage, Way, datagram
 from vanerelay.net.clock import UNITS, Clock
 
 CONNECT_S = 2.0
--- a/vanerelay/lab/virtual.py
+++ b/vanerelay/lab/lease_simulation.py
@@ -13,13 +13,13 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.internet.task import Clock
 
-from vanerelay.fleet.alive import Member, Standing
-from vanerelay.fleet.links import Refused, Unanswered
+from vanerelay.fleet.failure_detector import Member, Standing
+from vanerelay.fleet.rpc import Refused, Unanswered
 from vanerelay.interface import SECOND
-from vanerelay.leases.hold import Deed, Gate, Hold
-from vanerelay.leases.parts import Parts
-from vanerelay.leases.quorum import Terms, Voters
+from vanerelay.leases.config import Parts
+from vanerelay.leases.fencing import Deed, Gate, Hold
 from vanerelay.leases.service import Leases
+from vanerelay.leases.voter import Terms, Voters
 from vanerelay.net.clock import UNITS
 
 NOTICED_S = 1.0  # until others count one that died, or is cut off, as gone
--- a/vanerelay/lab/processes.py
+++ b/vanerelay/lab/processes.py
@@ -16,8 +16,8 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from vanerelay.lab.hosts import World
-from vanerelay.lab.net import Joint
+from vanerelay.lab.engine_server import World
+from vanerelay.lab.fault_network import Joint
 from vanerelay.lab.record import What
 from vanerelay.net.frames import READINESS, READY, frame
 
--- a/vanerelay/lab/report.py
+++ b/vanerelay/lab/report.py
@@ -14,10 +14,10 @@
 import numpy as np
 
 from vanerelay.interface import SECOND
-from vanerelay.lab import figures
-from vanerelay.lab.judge import Finding
+from vanerelay.lab import tables
 from vanerelay.lab.record import Row, What
-from vanerelay.lab.script import Script
+from vanerelay.lab.rule_checker import Finding
+from vanerelay.lab.scenario import Script
 
 matplotlib.use("svg")
 from matplotlib import pyplot  # noqa: E402
@@ -47,11 +47,11 @@
     slips: Sequence[tuple[int, int]],
 ) -> Path:
     """The report at `path`; gives where the table went."""
-    table = figures.table(rows)
-    told = figures.summary(table, rows, findings, script.groups)
+    table = tables.table(rows)
+    told = tables.summary(table, rows, findings, script.groups)
     sheet = path.with_suffix(".csv")
     with sheet.open("w", newline="", encoding="utf-8") as file:
-        csv.writer(file).writerows(figures.lines(table))
+        csv.writer(file).writerows(tables.lines(table))
     parts = [
         f"<!doctype html><meta charset=utf-8><title>{html.escape(script.name)}</title>"
         f"<style>{STYLE}</style><h1>{html.escape(script.name)}, seed {seed}</h1>",
@@ -85,10 +85,10 @@
 
 
 def _summary(told: dict[str, Any]) -> str:
-    head = "".join(f"<th>{name}" for name in ("group", "offered", *figures.ENDS, "p50 ms", "p99 ms"))
+    head = "".join(f"<th>{name}" for name in ("group", "offered", *tables.ENDS, "p50 ms", "p99 ms"))
     body = "".join(
         f"<tr><td>{html.escape(name)}<td>{cell['offered']}"
-        + "".join(f"<td>{cell.get(end, 0)}" for end in figures.ENDS)
+        + "".join(f"<td>{cell.get(end, 0)}" for end in tables.ENDS)
         + f"<td>{cell['p50_ms']}<td>{cell['p99_ms']}"
         for name, cell in told["groups"].items()
     )
@@ -112,7 +112,7 @@
     )
 
 
-def _svg(plot: Any, table: figures.Table, script: Script, marks: Sequence[tuple[float, str]]) -> str:
+def _svg(plot: Any, table: tables.Table, script: Script, marks: Sequence[tuple[float, str]]) -> str:
     figure, axes = pyplot.subplots(figsize=(WIDE, HIGH), layout="constrained")
     plot(axes, table, script)
     for at, _ in marks:
@@ -126,11 +126,11 @@
     return text[text.index("<svg") :]
 
 
-def _by_second(table: figures.Table, value: Any) -> np.ndarray[Any, Any]:
+def _by_second(table: tables.Table, value: Any) -> np.ndarray[Any, Any]:
     return np.array([value(second) for second in range(table.seconds)], dtype=float)
 
 
-def _ends(axes: Any, table: figures.Table, script: Script) -> None:
+def _ends(axes: Any, table: tables.Table, script: Script) -> None:
     seconds = np.arange(table.seconds)
     lines = {
         end: _by_second(
@@ -139,7 +139,7 @@
                 cell.ends[end] for (second, _, _), cell in table.cells.items() if second == at
             ),
         )
-        for end in figures.ENDS
+        for end in tables.ENDS
     }
     axes.stackplot(
         seconds, *lines.values(), labels=list(lines), colors=[COLOURS[end] for end in lines], step="post"
@@ -147,7 +147,7 @@
     axes.legend(loc="upper left", fontsize=7, ncols=6)
 
 
-def _releases(axes: Any, table: figures.Table, script: Script) -> None:
+def _releases(axes: Any, table: tables.Table, script: Script) -> None:
     for release in table.releases:
         met = _by_second(
             table,
@@ -171,12 +171,12 @@
     axes.legend(loc="lower left", fontsize=7)
 
 
-def _latency(axes: Any, table: figures.Table, script: Script) -> None:
+def _latency(axes: Any, table: tables.Table, script: Script) -> None:
     for group in script.groups:
         for part, style in ((0.5, "-"), (0.99, ":")):
             values = list[float]()
             for second in range(table.seconds):
-                cell = figures.Cell()
+                cell = tables.Cell()
                 for (at, name, _), one in table.cells.items():
                     if (at, name) == (second, group.name):
                         cell.latency.add(one.latency)
@@ -192,15 +192,15 @@
     axes.legend(loc="upper left", fontsize=7, ncols=4)
 
 
-def _engines(axes: Any, table: figures.Table, script: Script) -> None:
+def _engines(axes: Any, table: tables.Table, script: Script) -> None:
     _grid(axes, table, {name for _, name in table.dispatches}, table.dispatches)
 
 
-def _managers(axes: Any, table: figures.Table, script: Script) -> None:
+def _managers(axes: Any, table: tables.Table, script: Script) -> None:
     _grid(axes, table, {name for _, name in table.answers}, table.answers)
 
 
-def _grid(axes: Any, table: figures.Table, names: set[str], told: Any) -> None:
+def _grid(axes: Any, table: tables.Table, names: set[str], told: Any) -> None:
     rows = sorted(names, key=lambda name: (len(name), name))
     if not rows:
         return
--- a/vanerelay/lab/judge.py
+++ b/vanerelay/lab/rule_checker.py
@@ -13,7 +13,7 @@
 
 from vanerelay.interface import MILLISECOND, SECOND, Effect
 from vanerelay.lab.record import Row, What
-from vanerelay.lab.script import Group, Ration
+from vanerelay.lab.scenario import Group, Ration
 
 SOCKETS = 50 * MILLISECOND  # that each time limit is longer on sockets
 ANSWER = SECOND // 2  # after its time until an answer counts as lost
--- a/vanerelay/lab/script.py
+++ b/vanerelay/lab/scenario.py
@@ -9,10 +9,10 @@
 
 from vanerelay.interface import MILLISECOND, SECOND, Effect, Span
 from vanerelay.lab.model import Cold, Machine
-from vanerelay.options import BadOptions, Block, read
+from vanerelay.operator_config import BadOptions, Block, read
 
 T = TypeVar("T")
-SCRIPTS = Path(__file__).parent / "scripts"
+SCRIPTS = Path(__file__).parent / "scenarios"
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/lab/play.py
+++ b/vanerelay/lab/scenario_run.py
@@ -16,15 +16,15 @@
 from twisted.internet.defer import Deferred
 
 from vanerelay.interface import SECOND
-from vanerelay.lab import judge, schedule, site
-from vanerelay.lab.copies import Copies
-from vanerelay.lab.hosts import EngineHost, FeedHost, World
-from vanerelay.lab.links import Parties, Way
-from vanerelay.lab.load import Load
-from vanerelay.lab.net import Network, free_address
+from vanerelay.lab import rule_checker, schedule, site
+from vanerelay.lab.client_load import Load
+from vanerelay.lab.engine_server import EngineHost, FeedHost, World
+from vanerelay.lab.fault_network import Network, free_address
+from vanerelay.lab.link_faults import Parties, Way
 from vanerelay.lab.processes import ASK_S, HERE, Manager, Other
 from vanerelay.lab.record import Record, What
-from vanerelay.lab.script import Fault, Program, Release, Script, repeated
+from vanerelay.lab.replication_model import Copies
+from vanerelay.lab.scenario import Fault, Program, Release, Script, repeated
 from vanerelay.net.clock import UNITS, Clock
 
 START_S = 60.0  # until all managers must be ready
@@ -607,10 +607,10 @@
         """The most that a cold engine was sent by all managers together, in parts of what it bears."""
         return max((host.model.pressed for host in self.engines.values()), default=0.0)
 
-    def findings(self) -> list[judge.Finding]:
+    def findings(self) -> list[rule_checker.Finding]:
         """What broke a rule, and programs that ended otherwise than they had to."""
         wrong = [
-            judge.Finding(
+            rule_checker.Finding(
                 0,
                 self.script.length,
                 "",
@@ -622,15 +622,15 @@
         ]
         return [*wrong, *self._broken()]
 
-    def _broken(self) -> list[judge.Finding]:
+    def _broken(self) -> list[rule_checker.Finding]:
         struck = {name: list(spans) for name, spans in self.struck.items()}
         for at, late in self.slips:
             for name in self.managers:
                 struck.setdefault(name, []).append((at - late - SECOND // 2, at + SECOND // 2))
         places = {name: host.place for name, host in self.engines.items()}
-        return judge.judge(
+        return rule_checker.judge(
             self.record.rows,
-            judge.Site(
+            rule_checker.Site(
                 {group.name: group for group in self.script.groups},
                 self.script.ration,
                 places,
--- a/vanerelay/lab/schedule.py
+++ b/vanerelay/lab/schedule.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from vanerelay.interface import SECOND
-from vanerelay.lab.script import Fault, Group, Publication, Script, repeated
+from vanerelay.lab.scenario import Fault, Group, Publication, Script, repeated
 
 
 @dataclass(slots=True)
--- a/vanerelay/lab/site.py
+++ b/vanerelay/lab/site.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from vanerelay.interface import Effect
-from vanerelay.lab.script import Script
+from vanerelay.lab.scenario import Script
 
 MICROS = 100  # in the module's unit
 EFFECTS = {Effect.REPEATABLE: "pure", Effect.REFERENCED: "token", Effect.ONCE_ONLY: "side_effect"}
--- a/vanerelay/lab/staleness.py
+++ b/vanerelay/lab/staleness_simulation.py
@@ -9,12 +9,12 @@
 import random
 from dataclasses import dataclass, field
 
-from vanerelay.freshness import eligible
+from vanerelay.freshness import eligibility
 from vanerelay.freshness.hints import Hint
-from vanerelay.freshness.news import Given, Shard
-from vanerelay.freshness.positions import Point, Positions, Told
+from vanerelay.freshness.replication_positions import Point, Positions, Told
+from vanerelay.freshness.shard_updates import Given, Shard
 from vanerelay.interface import SECOND
-from vanerelay.lab.copies import Copies
+from vanerelay.lab.replication_model import Copies
 
 BROKEN = ("answer", "arrival", "early", "life", "back")
 TABLES, ENGINES, MANAGERS = 2, 4, 4
@@ -154,14 +154,14 @@
         manager, chance = self.chance.choice(self.managers), self.chance
         came, table = manager.clock(self.now), chance.randrange(TABLES)
         stale = chance.choice((0, SECOND // 2, 2 * SECOND, 10 * SECOND))
-        asked = eligible.needs(Hint(stale=stale, behind=chance.choice((0, 0, 1))), (table,), came)
+        asked = eligibility.needs(Hint(stale=stale, behind=chance.choice((0, 0, 1))), (table,), came)
         for engine in self.engines:
-            if not eligible.serves(manager.positions, engine, asked):
+            if not eligibility.serves(manager.positions, engine, asked):
                 continue
             known = manager.positions.point(engine, table)
             life, number = self.copies.point(self.now, engine, table)
             seen = Point(1 if self.broken == "life" else life, number)
-            if self.broken != "back" and not eligible.held(seen, known, asked, None):
+            if self.broken != "back" and not eligibility.held(seen, known, asked, None):
                 manager.positions.doubt(engine, table, came)
                 continue
             self.reads += 1
--- a/vanerelay/lab/figures.py
+++ b/vanerelay/lab/tables.py
@@ -9,9 +9,9 @@
 from hdrh.histogram import HdrHistogram
 
 from vanerelay.interface import SECOND
-from vanerelay.lab.judge import Finding
 from vanerelay.lab.record import Row, What
-from vanerelay.lab.script import Group
+from vanerelay.lab.rule_checker import Finding
+from vanerelay.lab.scenario import Group
 
 ENDS = ("met", "late", "pushed back", "errored", "lost", "unanswered")
 LONGEST = 10 * 60 * SECOND  # of latencies that are told apart
--- a/vanerelay/lab/demand.py
+++ b/vanerelay/lab/warming_simulation.py
@@ -12,9 +12,9 @@
 import numpy as np
 
 from vanerelay.warming.forecast import Floats, Forecasts
+from vanerelay.warming.gain_experiment import Trust
 from vanerelay.warming.plan import Budget, Plan, plan
-from vanerelay.warming.trust import Trust
-from vanerelay.warming.worth import AT_HOME, Believed, Place, Wish, shares, wishes
+from vanerelay.warming.prefetch_value import AT_HOME, Believed, Place, Wish, shares, wishes
 
 KINDS = ("exponential", "power", "weekly", "second life", "flash", "unforeseeable")
 FORESEEN = KINDS[:4]
--- a/vanerelay/leases/tasks.py
+++ b/vanerelay/leases/assignment.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from vanerelay.fleet.alive import Member, Standing
+from vanerelay.fleet.failure_detector import Member, Standing
 from vanerelay.interface import Span
 
 SLACK = 1.25  # times its even share that a manager takes at most
--- a/vanerelay/leases/parts.py
+++ b/vanerelay/leases/config.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from vanerelay.interface import SECOND, Span
-from vanerelay.leases.quorum import Terms, Voters
-from vanerelay.options import Block
+from vanerelay.leases.voter import Terms, Voters
+from vanerelay.operator_config import Block
 
 SIZES = (3, 5, 7)
 WORDS_MOST = 16
--- a/vanerelay/leases/join.py
+++ b/vanerelay/leases/extension.py
@@ -9,12 +9,12 @@
 import structlog
 from twisted.internet.defer import Deferred
 
-from vanerelay.fleet.join import FleetPart
-from vanerelay.leases.disk import Disk, Unkept
-from vanerelay.leases.doing import Doing
-from vanerelay.leases.parts import Parts
+from vanerelay.extension import BadStart, Host, Part
+from vanerelay.fleet.extension import FleetPart
+from vanerelay.leases.config import Parts
+from vanerelay.leases.durable_store import Disk, Unkept
+from vanerelay.leases.maintenance_runner import Doing
 from vanerelay.leases.service import Leases
-from vanerelay.seam import BadStart, Host, Part
 
 PROCESS = 6  # bytes drawn for a process
 
--- a/vanerelay/leases/hold.py
+++ b/vanerelay/leases/fencing.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from vanerelay.leases.quorum import Claim, Terms
+from vanerelay.leases.voter import Claim, Terms
 
 MOST_DEEDS = 64  # of one task that are out at once
 MOST_GATES = 1000  # tasks whose numbers a receiver remembers
--- a/vanerelay/leases/doing.py
+++ b/vanerelay/leases/maintenance_runner.py
@@ -9,16 +9,16 @@
 
 import xxhash
 
-from vanerelay.holding import conditions
+from vanerelay.extension import Host
 from vanerelay.interface import Condition
-from vanerelay.leases import chores
-from vanerelay.leases.chores import Rounds
-from vanerelay.leases.hold import Deed, Hold
-from vanerelay.leases.parts import Chore
+from vanerelay.leases import maintenance_schedule
+from vanerelay.leases.config import Chore
+from vanerelay.leases.fencing import Deed, Hold
+from vanerelay.leases.maintenance_schedule import Rounds
 from vanerelay.leases.service import Leases
+from vanerelay.net.attempt_outcome import Cause, End
 from vanerelay.net.clock import UNITS
-from vanerelay.net.ends import Cause, End
-from vanerelay.seam import Host
+from vanerelay.query_table import conditions
 
 LOOK_S = 0.1
 
@@ -44,7 +44,7 @@
         chore: Chore,
         shard: int,
         chat: Chat | None = None,
-        bears: Callable[[Condition], bool] = chores.bears,
+        bears: Callable[[Condition], bool] = maintenance_schedule.bears,
     ) -> None:
         """`bears`: engines that may be sent orders of this chore."""
         self._chat, self._bears = chat or Chat(), bears
@@ -75,7 +75,9 @@
         there = {
             one.entry.name: one.entry.engine for one in conditions(self._host.gateway) if self._bears(one)
         }
-        mine = sorted(name for name in there if chores.shard(name, self._chore.shards) == self._shard)
+        mine = sorted(
+            name for name in there if maintenance_schedule.shard(name, self._chore.shards) == self._shard
+        )
         for name in self._rounds.next(self._leases.clock(), mine):
             self._send(name, there[name], "0", self._leases.clock())
 
--- a/vanerelay/leases/words.py
+++ b/vanerelay/leases/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from vanerelay.fleet.words import LONGEST, pack, unpack
-from vanerelay.leases.quorum import Ballot, Grant, Reply, Said, Slot
+from vanerelay.fleet.messages import LONGEST, pack, unpack
+from vanerelay.leases.voter import Ballot, Grant, Reply, Said, Slot
 
 __all__ = ["AT_ONCE", "LONGEST", "Answer", "Ask", "Replied", "Row", "Told", "View", "pack", "unpack"]
 
--- a/vanerelay/leases/service.py
+++ b/vanerelay/leases/service.py
@@ -12,18 +12,18 @@
 import structlog
 from twisted.internet.defer import Deferred, fail
 
-from vanerelay.fleet.alive import Standing
-from vanerelay.fleet.links import Refused, Unanswered, Unknown
+from vanerelay.fleet.failure_detector import Standing
+from vanerelay.fleet.rpc import Refused, Unanswered, Unknown
 from vanerelay.fleet.service import Fleet
 from vanerelay.history import History
 from vanerelay.interface import MILLISECOND
-from vanerelay.leases import tasks, words
-from vanerelay.leases.disk import Disk
-from vanerelay.leases.hold import Deed, Hold
-from vanerelay.leases.parts import Parts
-from vanerelay.leases.quorum import ERA, Claim, Said, Stage
-from vanerelay.leases.tasks import Watch
-from vanerelay.leases.voting import Voting
+from vanerelay.leases import assignment, messages
+from vanerelay.leases.assignment import Watch
+from vanerelay.leases.config import Parts
+from vanerelay.leases.durable_store import Disk
+from vanerelay.leases.fencing import Deed, Hold
+from vanerelay.leases.voter import ERA, Claim, Said, Stage
+from vanerelay.leases.voter_service import Voting
 from vanerelay.net.clock import UNITS
 
 RENEWALS = 3  # in a term
@@ -145,16 +145,16 @@
         """Whose turn it is, anew where the fleet has changed."""
         fit = self._fit(now)
         members = self._fleet.alive.members.values()
-        found = tuple(tasks.candidates(members, self.name, fit, self.parts.weights))
+        found = tuple(assignment.candidates(members, self.name, fit, self.parts.weights))
         if (found, len(self.tasks)) != self._seen:
             self._seen = found, len(self.tasks)
-            for name, order in tasks.assign(self.tasks, found).items():
+            for name, order in assignment.assign(self.tasks, found).items():
                 self.tasks[name].watch.placed(now, self.name, order)
                 self._firsts[name] = order[0] if order else ""
 
     # What is asked of voters.
 
-    def _ask(self, voter: str, ask: words.Ask) -> Deferred[words.Answer]:
+    def _ask(self, voter: str, ask: messages.Ask) -> Deferred[messages.Answer]:
         self.sent += 1
         if voter == self.name and self.voting is not None:
             try:
@@ -163,21 +163,23 @@
                 return fail(fault)
         patience_s = self.parts.terms.term / RENEWALS / UNITS
 
-        def read(body: bytes) -> words.Answer:
-            told = words.unpack(body, words.Answer)
+        def read(body: bytes) -> messages.Answer:
+            told = messages.unpack(body, messages.Answer)
             if told is None:
                 raise Refused("unreadable")
             return told
 
-        return self._fleet.ask(voter, "lease", words.pack(ask), patience_s).addCallback(read)
+        return self._fleet.ask(voter, "lease", messages.pack(ask), patience_s).addCallback(read)
 
-    def _send(self, ask: words.Ask, heard: Callable[[str, words.Answer], None]) -> None:
+    def _send(self, ask: messages.Ask, heard: Callable[[str, messages.Answer], None]) -> None:
         for voter in self.parts.voters.all:
             asked = self._ask(voter, ask)
             asked.addCallback(partial(self._heard, heard, voter))
             asked.addErrback(self._unheard)
 
-    def _heard(self, heard: Callable[[str, words.Answer], None], voter: str, told: words.Answer) -> None:
+    def _heard(
+        self, heard: Callable[[str, messages.Answer], None], voter: str, told: messages.Answer
+    ) -> None:
         self._era = max(self._era, told.era)
         if not self._stopped:
             heard(voter, told)
@@ -188,11 +190,11 @@
         failure.trap(Unknown, Refused, Unanswered)
 
     def _prepare(self, asking: list[Task]) -> None:
-        for first in range(0, len(asking), words.AT_ONCE):
-            some = asking[first : first + words.AT_ONCE]
+        for first in range(0, len(asking), messages.AT_ONCE):
+            some = asking[first : first + messages.AT_ONCE]
             ballots = {task.name: task.claim.ballot for task in some}
 
-            def heard(voter: str, told: words.Answer, ballots: dict[str, Any] = ballots) -> None:
+            def heard(voter: str, told: messages.Answer, ballots: dict[str, Any] = ballots) -> None:
                 now, ready = self.clock(), list[tuple[Task, int]]()
                 terms, voters = self.parts.terms, self.parts.voters
                 for (name, ballot), reply in zip(ballots.items(), told.prepares, strict=False):
@@ -209,17 +211,17 @@
                         task.claim = task.claim.ended(now)
                 self._accept(ready)
 
-            self._send(words.Ask(self.parts.voters.version, list(ballots.items())), heard)
+            self._send(messages.Ask(self.parts.voters.version, list(ballots.items())), heard)
 
     def _accept(self, taking: list[tuple[Task, int]]) -> None:
         """Acceptances, first ones and renewals; with the serial of each."""
-        for first in range(0, len(taking), words.AT_ONCE):
-            part = taking[first : first + words.AT_ONCE]
+        for first in range(0, len(taking), messages.AT_ONCE):
+            part = taking[first : first + messages.AT_ONCE]
             some = [(task, serial, task.claim.grant) for task, serial in part]
             begun, at = self.history.now(), self.clock()
 
             def heard(
-                voter: str, told: words.Answer, some: Any = some, begun: int = begun, at: int = at
+                voter: str, told: messages.Answer, some: Any = some, begun: int = begun, at: int = at
             ) -> None:
                 now = self.clock()
                 for (task, serial, grant), reply in zip(some, told.accepts, strict=False):
@@ -238,7 +240,7 @@
                     task.renewed = at
                     self._told("asked", task, begun, grant.number, "unknown")
             accepts = [(task.name, grant) for task, _, grant in some]
-            self._send(words.Ask(self.parts.voters.version, accepts=accepts), heard)
+            self._send(messages.Ask(self.parts.voters.version, accepts=accepts), heard)
 
     def _took(self, span: int, now: int) -> None:
         """How long voters took: one whose renewals are slow leaves tasks to others."""
@@ -246,7 +248,7 @@
         self._slow = self._slow + 1 if span > term // SLOW else 0
         if self._slow >= SLOWS and now >= self._slow_until:
             log.warning("voters reach us slowly: tasks are left to others", ms=span // MILLISECOND)
-            self._slow, self._slow_until = 0, now + tasks.REST * term
+            self._slow, self._slow_until = 0, now + assignment.REST * term
 
     # What comes of it.
 
@@ -283,14 +285,14 @@
         self._told("release", task, begun, number, "ok")
         freed, first = set[str](), self._firsts.get(task.name, self.name)
 
-        def heard(voter: str, told: words.Answer) -> None:
+        def heard(voter: str, told: messages.Answer) -> None:
             """Whoever has the first claim is told at once, and need not wait for its turn to look."""
             freed.add(voter)
             if first not in ("", self.name) and self.parts.voters.enough(freed):
                 freed.clear()
                 self._fleet.ask(first, "lease-free", task.name.encode(), 1.0).addErrback(self._unheard)
 
-        self._send(words.Ask(self.parts.voters.version, accepts=[(task.name, grant)]), heard)
+        self._send(messages.Ask(self.parts.voters.version, accepts=[(task.name, grant)]), heard)
 
     def behind(self, deed: Deed, number: int) -> None:
         """A receiver has seen a higher number than ours: another acts, and what we hold is worth nothing."""
@@ -333,10 +335,10 @@
     # What others ask.
 
     def _asked(self, body: bytes) -> Deferred[bytes]:
-        ask = words.unpack(body, words.Ask)
+        ask = messages.unpack(body, messages.Ask)
         if ask is None or self.voting is None or self._stopped:
             raise Refused("unreadable" if ask is None else "this manager does not vote")
-        return self.voting.answer(ask).addCallback(words.pack)
+        return self.voting.answer(ask).addCallback(messages.pack)
 
     def _freed(self, body: bytes) -> bytes:
         task = self.tasks.get(body.decode(errors="replace"))
@@ -347,7 +349,7 @@
     def _viewed(self, _: bytes) -> bytes:
         now, voters = self.clock(), self.parts.voters
         rows = [
-            words.Row(
+            messages.Row(
                 task.name,
                 task.claim.holds(now),
                 task.hold.number,
@@ -360,15 +362,15 @@
         ]
         voting = self.voting
         memory, why = (voting.voter.memory.value, voting.why) if voting is not None else ("", "")
-        return words.pack(
-            words.View(
+        return messages.pack(
+            messages.View(
                 self.name,
                 list(voters.now),
                 list(voters.before),
                 voters.version,
                 memory,
                 voting.voter.era if voting is not None else self._era,
-                rows[: words.AT_ONCE],
+                rows[: messages.AT_ONCE],
                 self.sent,
                 why,
             )
--- a/vanerelay/leases/voting.py
+++ b/vanerelay/leases/voter_service.py
@@ -10,10 +10,10 @@
 import structlog
 from twisted.internet.defer import Deferred, DeferredList
 
-from vanerelay.fleet.links import Refused
-from vanerelay.leases import words
-from vanerelay.leases.disk import Disk, Unkept
-from vanerelay.leases.quorum import Kept, Memory, Slot, Terms, Voter, Voters
+from vanerelay.fleet.rpc import Refused
+from vanerelay.leases import messages
+from vanerelay.leases.durable_store import Disk, Unkept
+from vanerelay.leases.voter import Kept, Memory, Slot, Terms, Voter, Voters
 
 SPACE, META = "votes", "meta"
 FOUND = "found"  # a file in the folder, an operator's word: the era in which numbers go on from nothing
@@ -33,7 +33,7 @@
         voters: Voters,
         disk: Disk,
         clock: Callable[[], int],
-        ask: Callable[[str, words.Ask], Deferred[words.Answer]],
+        ask: Callable[[str, messages.Ask], Deferred[messages.Answer]],
     ) -> None:
         """Raises Unkept where the disk can't be read."""
         self._reactor, self._clock, self._ask, self._disk = reactor, clock, ask, disk
@@ -48,36 +48,38 @@
 
     def _kept(self) -> Kept | None:
         told = self._disk.load(SPACE)
-        meta = words.unpack(told.pop(META, b""), tuple[int, int])
+        meta = messages.unpack(told.pop(META, b""), tuple[int, int])
         if meta is None:
             return None
         slots = dict[str, Slot]()
         for task, body in told.items():
-            found = words.unpack(body, words.Told)
+            found = messages.unpack(body, messages.Told)
             if found is None:
                 return None  # what can't be read was promised to somebody all the same
             slots[task] = found.slot()
         return Kept(meta[0], meta[1], slots)
 
-    def answer(self, ask: words.Ask) -> Deferred[words.Answer]:
+    def answer(self, ask: messages.Ask) -> Deferred[messages.Answer]:
         """Fails with Refused where it can't be kept."""
         voter, now = self.voter, self._clock()
-        if len(ask.prepares) + len(ask.accepts) > words.AT_ONCE:
+        if len(ask.prepares) + len(ask.accepts) > messages.AT_ONCE:
             raise Refused("too many tasks at once")
-        slots, more = list[words.Told](), False
+        slots, more = list[messages.Told](), False
         news = ask.memory and voter.memory is Memory.KNOWS and voter.fence(ask.version)
         prepares = [
-            words.replied(voter.prepare(now, ask.version, task, ballot)) for task, ballot in ask.prepares
+            messages.replied(voter.prepare(now, ask.version, task, ballot)) for task, ballot in ask.prepares
+        ]
+        accepts = [
+            messages.replied(voter.accept(now, ask.version, task, grant)) for task, grant in ask.accepts
         ]
-        accepts = [words.replied(voter.accept(now, ask.version, task, grant)) for task, grant in ask.accepts]
         if ask.memory and voter.memory is Memory.KNOWS:
             named = sorted(task for task in voter.slots if task > ask.after)
-            more = len(named) > words.AT_ONCE
+            more = len(named) > messages.AT_ONCE
             slots = [
-                words.Told(task, voter.slots[task].promised, voter.slots[task].grant)
-                for task in named[: words.AT_ONCE]
+                messages.Told(task, voter.slots[task].promised, voter.slots[task].grant)
+                for task in named[: messages.AT_ONCE]
             ]
-        told = words.Answer(voter.memory.value, voter.era, voter.version, prepares, accepts, slots, more)
+        told = messages.Answer(voter.memory.value, voter.era, voter.version, prepares, accepts, slots, more)
         return self._keep(news).addCallback(lambda _: told)
 
     def _keep(self, meta: bool) -> Deferred[Any]:
@@ -87,7 +89,7 @@
         meta = self._meta
         for task in fresh:
             slot = voter.slots[task]
-            records[task] = words.pack(words.Told(task, slot.promised, slot.grant))
+            records[task] = messages.pack(messages.Told(task, slot.promised, slot.grant))
         voter.fresh.clear()
         self._meta = False
         if meta:
@@ -124,10 +126,10 @@
         done: Deferred[tuple[int, Kept | None]] = Deferred()
 
         def page(after: str) -> None:
-            asked = self._ask(name, words.Ask(self.voter.voters.version, memory=True, after=after))
+            asked = self._ask(name, messages.Ask(self.voter.voters.version, memory=True, after=after))
             asked.addCallback(came).addErrback(done.errback)
 
-        def came(told: words.Answer) -> None:
+        def came(told: messages.Answer) -> None:
             slots.update((one.task, one.slot()) for one in told.slots)
             if told.more and told.slots:
                 page(told.slots[-1].task)
--- a/vanerelay/membership/commands.py
+++ b/vanerelay/membership/commands.py
@@ -9,8 +9,8 @@
 
 import click
 
-from vanerelay.membership import desk, records
-from vanerelay.net.feed import Member
+from vanerelay.membership import control_socket, list_codec
+from vanerelay.net.discovery_codec import Member
 
 SOCKET = click.option(
     "--socket",
@@ -30,8 +30,8 @@
 
 def _ask(path: str, **request: Any) -> tuple[dict[str, Any], list[dict[str, Any]]]:
     try:
-        return desk.ask(path, **request)
-    except desk.Unanswered as fault:
+        return control_socket.ask(path, **request)
+    except control_socket.Unanswered as fault:
         _fail(str(fault))
 
 
@@ -72,13 +72,13 @@
 )
 
 
-def _read(path: str, config: str | None) -> records.EngineList | records.Unusable:
+def _read(path: str, config: str | None) -> list_codec.EngineList | list_codec.Unusable:
     locations, kinds = _names(config)
     try:
         with open(path, "rb") as file:
-            return records.read(file.read(), locations, kinds)
+            return list_codec.read(file.read(), locations, kinds)
     except OSError as fault:
-        return records.Unusable(fault.strerror or str(fault))
+        return list_codec.Unusable(fault.strerror or str(fault))
 
 
 @members.command()
@@ -90,7 +90,7 @@
     wrong = []
     for path in files:
         found = _read(path, config)
-        if isinstance(found, records.Unusable):
+        if isinstance(found, list_codec.Unusable):
             wrong.append(f"{path}: {found.why}")
             if as_json:
                 click.echo(json.dumps({"file": path, "ok": False, "why": found.why}))
@@ -116,11 +116,11 @@
     wrong = [
         f"{path}: {one.why}"
         for path, one in zip((before, after), found, strict=True)
-        if isinstance(one, records.Unusable)
+        if isinstance(one, list_codec.Unusable)
     ]
     if wrong:
         _fail(*wrong)
-    old, new = (one.members for one in found if not isinstance(one, records.Unusable))
+    old, new = (one.members for one in found if not isinstance(one, list_codec.Unusable))
     rows = list(_differences(old, new))
     for row in rows:
         click.echo(json.dumps(row) if as_json else f"{row['change']} {row['id']}: {row['what']}")
--- a/vanerelay/membership/parts.py
+++ b/vanerelay/membership/config.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from vanerelay.membership.lists import Checks
-from vanerelay.membership.settle import Stillness
-from vanerelay.membership.view import FEED, FILES, Flapping, Standing
-from vanerelay.options import Block
+from vanerelay.membership.file_stability import Stillness
+from vanerelay.membership.list_acceptance import Checks
+from vanerelay.membership.merged_view import FEED, FILES, Flapping, Standing
+from vanerelay.operator_config import Block
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/membership/desk.py
+++ b/vanerelay/membership/control_socket.py
@@ -20,7 +20,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from vanerelay.membership import console
+from vanerelay.membership import control_protocol
 
 SILENT_S = 10  # a connection on which nothing moves for so long is ended
 MOST = 8  # connections
@@ -36,7 +36,7 @@
         self.told, self.rows = told, rows or iter(())
 
 
-Answers = Callable[[console.Request], Any]  # an Answer, a Wrong, or a Deferred of either
+Answers = Callable[[control_protocol.Request], Any]  # an Answer, a Wrong, or a Deferred of either
 
 
 @implementer(IPullProducer)
@@ -46,15 +46,15 @@
     transport: Any
 
     def __init__(self, factory: DeskFactory) -> None:
-        self._factory, self._lines = factory, console.Lines()
-        self._waiting: list[console.Request | console.Wrong] = []
+        self._factory, self._lines = factory, control_protocol.Lines()
+        self._waiting: list[control_protocol.Request | control_protocol.Wrong] = []
         self._rows: Iterator[dict[str, Any]] | None = None
         self._busy = False
 
     def connectionMade(self) -> None:
         self._factory.open.add(self)
         if len(self._factory.open) > MOST:
-            self.transport.write(console.refusal("too many connections"))
+            self.transport.write(control_protocol.refusal("too many connections"))
             self.transport.loseConnection()
         self.setTimeout(SILENT_S)  # type: ignore[no-untyped-call]
 
@@ -62,36 +62,36 @@
         self.resetTimeout()  # type: ignore[no-untyped-call]
         self._waiting += self._lines.feed(data)
         if len(self._waiting) > MOST:
-            self._waiting = [console.Wrong("too many requests at once", True)]
+            self._waiting = [control_protocol.Wrong("too many requests at once", True)]
         self._next()
 
     def _next(self) -> None:
         if self._busy or not self._waiting:
             return
         self._busy, request = True, self._waiting.pop(0)
-        if isinstance(request, console.Wrong):
+        if isinstance(request, control_protocol.Wrong):
             self._told(request)
             return
         going: Deferred[Any] = maybeDeferred(self._factory.answers, request)
         going.addErrback(self._fault)
         going.addCallback(self._told)
 
-    def _fault(self, fault: Failure) -> console.Wrong:
+    def _fault(self, fault: Failure) -> control_protocol.Wrong:
         log.error("a console request met a fault", fault=fault.getTraceback())
-        return console.Wrong("a fault, see the log")
+        return control_protocol.Wrong("a fault, see the log")
 
-    def _told(self, answer: Answer | console.Wrong) -> None:
+    def _told(self, answer: Answer | control_protocol.Wrong) -> None:
         if not self.connected:
             return
-        if isinstance(answer, console.Wrong):
-            self.transport.write(console.refusal(answer.why))
+        if isinstance(answer, control_protocol.Wrong):
+            self.transport.write(control_protocol.refusal(answer.why))
             self._busy = False
             if answer.last:
                 self.transport.loseConnection()
                 return
             self._next()
             return
-        self.transport.write(console.head(**answer.told))
+        self.transport.write(control_protocol.head(**answer.told))
         self._rows = answer.rows
         self.transport.registerProducer(self, False)
 
@@ -99,11 +99,11 @@
         self.resetTimeout()  # type: ignore[no-untyped-call]
         written = []
         for row in self._rows or ():
-            written.append(console.line(row))
+            written.append(control_protocol.line(row))
             if len(written) >= ROWS:
                 self.transport.write(b"".join(written))
                 return
-        self.transport.write(b"".join(written) + console.END)
+        self.transport.write(b"".join(written) + control_protocol.END)
         self.transport.unregisterProducer()
         self._rows, self._busy = None, False
         self._next()
@@ -163,7 +163,7 @@
         with socket.socket(socket.AF_UNIX) as at:
             at.settimeout(SILENT_S)
             at.connect(path)
-            at.sendall(console.line({"v": console.VERSION, **request}))
+            at.sendall(control_protocol.line({"v": control_protocol.VERSION, **request}))
             with at.makefile("rb") as file:
                 head = json.loads(file.readline() or b"{}")
                 if not head.get("ok"):
--- a/vanerelay/membership/join.py
+++ b/vanerelay/membership/extension.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from vanerelay.membership.joined import Membership
-from vanerelay.membership.parts import Parts
-from vanerelay.seam import Answered, BadStart, Host, Listed, Part
+from vanerelay.extension import Answered, BadStart, Host, Listed, Part
+from vanerelay.membership.config import Parts
+from vanerelay.membership.service import Membership
 
 
 class MembersPart(Part):
--- a/vanerelay/membership/disk.py
+++ b/vanerelay/membership/file_reader.py
@@ -8,7 +8,7 @@
 import stat
 from dataclasses import dataclass
 
-from vanerelay.membership.settle import Mark
+from vanerelay.membership.file_stability import Mark
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/membership/settle.py
+++ b/vanerelay/membership/file_stability.py
@@ -9,7 +9,6 @@
 
 from vanerelay.interface import MILLISECOND, SECOND, Span
 
-
 GATHERED = 20 * MILLISECOND  # events of one write are gathered for so long before the files are looked at
 # a thread that reads gives way to the loop as often: a pass may wait for several turns
 TURNS_S = 0.0005
--- a/vanerelay/membership/files.py
+++ b/vanerelay/membership/files.py
@@ -9,13 +9,13 @@
 from twisted.internet.defer import Deferred, DeferredLock, inlineCallbacks
 from twisted.internet.threads import deferToThread
 
-from vanerelay.membership import disk, records
-from vanerelay.membership.lists import Checks, Delta, Kind, Lists, Verdict
-from vanerelay.membership.records import EngineList, Unusable
-from vanerelay.membership.settle import GATHERED, RENEWED, Mark, Settling, Stillness
-from vanerelay.membership.watch import Watch
+from vanerelay.membership import file_reader, list_codec
+from vanerelay.membership.file_stability import GATHERED, RENEWED, Mark, Settling, Stillness
+from vanerelay.membership.inotify_watch import Watch
+from vanerelay.membership.list_acceptance import Checks, Delta, Kind, Lists, Verdict
+from vanerelay.membership.list_codec import EngineList, Unusable
 from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.sparing import Sparing
+from vanerelay.net.rate_limited_log import Sparing
 
 log = structlog.get_logger()
 
@@ -40,9 +40,9 @@
         self.name, self._paths, self._checks, self._terms = name, paths, checks, stillness
         self._reactor, self._clock, self._locations, self._kinds = reactor, clock, locations, kinds
         self._told, self._alive = told, alive
-        single = len(paths) == 1 and not disk.is_pattern(paths[0])
+        single = len(paths) == 1 and not file_reader.is_pattern(paths[0])
         self.lists, self.lock = Lists(checks, single), DeferredLock()
-        self._settling = {path: Settling(stillness) for path in paths if not disk.is_pattern(path)}
+        self._settling = {path: Settling(stillness) for path in paths if not file_reader.is_pattern(path)}
         # where events tell of a path, against the paths it is listed under
         self._real: dict[str, list[str]] = {}
         self._watch = Watch(reactor, self._hint)
@@ -100,7 +100,9 @@
 
     @inlineCallbacks
     def _round(self) -> Generator[Deferred[Any], Any, None]:
-        looked: disk.Looked = yield deferToThread(disk.look, self._paths, self._checks.most_files)
+        looked: file_reader.Looked = yield deferToThread(
+            file_reader.look, self._paths, self._checks.most_files
+        )
         if self._stopped:
             return
         now = self._clock.now()
@@ -131,7 +133,7 @@
 
     def _read(self, path: str, settling: Settling) -> Generator[Deferred[Any], Any, None]:
         found: tuple[Mark, bytes, Mark | None] | str
-        found = yield deferToThread(disk.read, path, self._checks.most_bytes)
+        found = yield deferToThread(file_reader.read, path, self._checks.most_bytes)
         now = self._clock.now()
         if isinstance(found, str):
             settling.again()
@@ -143,7 +145,7 @@
         self._act(path, (yield deferToThread(self._take, now, path, data)))
 
     def _take(self, now: int, path: str, data: bytes) -> Verdict:
-        return self.lists.offer(now, path, records.read(data, self._locations, self._kinds))
+        return self.lists.offer(now, path, list_codec.read(data, self._locations, self._kinds))
 
     def _act(self, path: str, verdict: Verdict) -> None:
         if verdict.kind is not Kind.UNCHANGED:
--- a/vanerelay/membership/lists.py
+++ b/vanerelay/membership/list_acceptance.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from vanerelay.interface import SECOND, EngineState, Span
-from vanerelay.membership.records import EngineList, Unusable
-from vanerelay.net.feed import Member
+from vanerelay.membership.list_codec import EngineList, Unusable
+from vanerelay.net.discovery_codec import Member
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/membership/records.py
+++ b/vanerelay/membership/list_codec.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from vanerelay.interface import EngineState
-from vanerelay.net.feed import STATES, Member
+from vanerelay.net.discovery_codec import STATES, Member
 
 WHOLE = 100.0  # the weight of an engine that may be filled as a whole
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
--- a/vanerelay/membership/view.py
+++ b/vanerelay/membership/merged_view.py
@@ -22,7 +22,7 @@
 from itertools import chain, islice
 
 from vanerelay.interface import SECOND, EngineState, Span
-from vanerelay.net.feed import Member
+from vanerelay.net.discovery_codec import Member
 
 PORTION = 150  # engines handed on at a time: a few milliseconds of one pass of the loop
 NOTED = 4  # times as many pieces of news noted at a time, which cost less
--- a/vanerelay/membership/joined.py
+++ b/vanerelay/membership/service.py
@@ -14,18 +14,18 @@
 from twisted.internet.threads import deferToThread
 
 from vanerelay.interface import EngineState
-from vanerelay.membership import desk, records
-from vanerelay.membership.console import Request, Wrong
-from vanerelay.membership.desk import Answer
+from vanerelay.membership import control_socket, list_codec
+from vanerelay.membership.config import Parts
+from vanerelay.membership.control_protocol import Request, Wrong
+from vanerelay.membership.control_socket import Answer
+from vanerelay.membership.file_stability import TURNS_S
 from vanerelay.membership.files import WatchedFiles
-from vanerelay.membership.lists import Delta, Kind
-from vanerelay.membership.parts import Parts
-from vanerelay.membership.records import EngineList, Unusable
-from vanerelay.membership.settle import TURNS_S
+from vanerelay.membership.list_acceptance import Delta, Kind
+from vanerelay.membership.list_codec import EngineList, Unusable
+from vanerelay.membership.merged_view import Shown, View
 from vanerelay.membership.store import Loaded, Store, open_store
-from vanerelay.membership.view import Shown, View
 from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.feed import Change, Member
+from vanerelay.net.discovery_codec import Change, Member
 
 log = structlog.get_logger()
 
@@ -109,7 +109,7 @@
         """Begins to watch and to listen; why the console cannot, if so."""
         wrong = None
         if self._parts.console:
-            listening = desk.listen(self._reactor, self._parts.console, self._answers)
+            listening = control_socket.listen(self._reactor, self._parts.console, self._answers)
             if isinstance(listening, str):
                 wrong = listening
             else:
@@ -249,7 +249,7 @@
     def _row(self, shown: Shown) -> dict[str, Any]:
         reason = shown.reason
         return {
-            **records.told(shown.member, *self._names),
+            **list_codec.told(shown.member, *self._names),
             "source": reason.source,
             "revision": reason.revision,
             "why": reason.why,
@@ -259,7 +259,7 @@
     def _show(self, asked: Request) -> Answer:
         if asked.name:
             member, reason, words = self.view.explain(self._clock.now(), asked.name)
-            shown = None if member is None else records.told(member, *self._names)
+            shown = None if member is None else list_codec.told(member, *self._names)
             return Answer(
                 iter(
                     [
@@ -324,7 +324,7 @@
             files = found.files
         members = [member for one in files.values() for member in one.members.values()]
         revision = self.files[name].lists.revision if asked.revision is None else asked.revision
-        return Answer((records.told(member, *self._names) for member in members), revision=revision)
+        return Answer((list_codec.told(member, *self._names) for member in members), revision=revision)
 
     @inlineCallbacks
     def _load(self, name: str, revision: int) -> Generator[Deferred[Any], Any, Loaded | Wrong]:
--- a/vanerelay/membership/store.py
+++ b/vanerelay/membership/store.py
@@ -12,8 +12,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from vanerelay.membership import records
-from vanerelay.membership.records import EngineList, Unusable
+from vanerelay.membership import list_codec
+from vanerelay.membership.list_codec import EngineList, Unusable
 
 FILE = "membership.db"
 APPLICATION, VERSION = 0x7672656C, 1  # "vrel": whose file it is; the form of its tables
@@ -67,7 +67,7 @@
         kinds: list[str],
     ) -> Unusable | None:
         """Keeps a list, whole or not at all, and forgets the oldest past `keep`."""
-        body = records.pack(files, locations, kinds)
+        body = list_codec.pack(files, locations, kinds)
         engines = sum(len(one.members) for one in files.values())
         try:
             with self._connection as at:
@@ -75,7 +75,7 @@
                 at.execute(
                     "INSERT INTO lists (source, revision, at_ms, why, engines, digest, body) "
                     "VALUES (?, ?, ?, ?, ?, ?, ?)",
-                    (source, revision, at_ms, why, engines, records.digest(body), body),
+                    (source, revision, at_ms, why, engines, list_codec.digest(body), body),
                 )
                 at.execute(
                     "DELETE FROM lists WHERE source = ? AND number NOT IN (SELECT number FROM (SELECT "
@@ -104,8 +104,8 @@
             for *told, digest, body in rows:
                 record = Record(*told)
                 files: dict[str, EngineList] | Unusable = Unusable("its checksum is another")
-                if isinstance(body, bytes) and records.digest(body) == digest:
-                    files = records.unpack(body, locations, kinds)
+                if isinstance(body, bytes) and list_codec.digest(body) == digest:
+                    files = list_codec.unpack(body, locations, kinds)
                 if not isinstance(files, Unusable):
                     return Loaded(record, files)
                 wrong = wrong or Unusable(f"{self.path}: {source}, revision {record.revision}: {files.why}")
--- a/vanerelay/net/clients.py
+++ b/vanerelay/net/client_connection.py
@@ -21,7 +21,7 @@
 from vanerelay.net.clock import Clock
 from vanerelay.net.events import EventLog, Kind
 from vanerelay.net.listener import Listener
-from vanerelay.net.sparing import Sparing
+from vanerelay.net.rate_limited_log import Sparing
 
 IDLE_S = 4.0  # clients close connections idle for this long; one that takes nothing for as long is given up
 KEPT_S = 2 * IDLE_S  # who keeps one longer without a request has forgotten it
--- a/vanerelay/net/deadlines.py
+++ b/vanerelay/net/deadlines.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.queries import Request
+from vanerelay.net.held_queries import Request
 
 SPARE = 100  # of queries answered, that are let lie before they are swept out
 
--- a/vanerelay/net/roster.py
+++ b/vanerelay/net/discovery_client.py
@@ -15,7 +15,7 @@
 from twisted.internet.task import deferLater
 from twisted.python.failure import Failure
 
-from vanerelay.net import feed
+from vanerelay.net import discovery_codec
 from vanerelay.net.buffers import Pool
 
 # The page lets a poll wait 5 s, and counts what the feed has to tell as told after 7 s. So long a wait leaves
@@ -39,14 +39,14 @@
     transport: Any
 
     def __init__(self, reactor: Any, pool: Pool) -> None:
-        self._reactor, self._pool, self._reader = reactor, pool, feed.ReplyReader(pool)
-        self._asked: Deferred[feed.Reply | feed.Unreadable] | None = None
+        self._reactor, self._pool, self._reader = reactor, pool, discovery_codec.ReplyReader(pool)
+        self._asked: Deferred[discovery_codec.Reply | discovery_codec.Unreadable] | None = None
         self._silence: Any = None
         self._whole_by: float | None = None
         self.usable = True
 
-    def ask(self, request: bytes) -> Deferred[feed.Reply | feed.Unreadable]:
-        self._reader = feed.ReplyReader(self._pool)
+    def ask(self, request: bytes) -> Deferred[discovery_codec.Reply | discovery_codec.Unreadable]:
+        self._reader = discovery_codec.ReplyReader(self._pool)
         self._asked, self._whole_by = Deferred(), None
         self._wait(WAIT_MS / 1000 + BEGIN_S)
         self.transport.write(request)
@@ -82,7 +82,7 @@
         if self._silence is not None and self._silence.active():
             self._silence.cancel()
 
-    def _tell(self, result: feed.Reply | feed.Unreadable | None) -> None:
+    def _tell(self, result: discovery_codec.Reply | discovery_codec.Unreadable | None) -> None:
         if result is None:
             return
         self._end_wait()
@@ -103,18 +103,18 @@
         kinds: Mapping[str, int],
         connect_s: float,
         chance: random.Random,
-        changed: Callable[[feed.Change], None],
+        changed: Callable[[discovery_codec.Change], None],
         answered: Callable[[], None] | None = None,
     ) -> None:
         """`answered`: called for each answer of the feed that could be used, with news or without. `chance`
         spreads what many processes would ask in the same moment."""
         self._reactor, self._pool, self._changed = reactor, pool, changed
         self._connect_s, self._chance, self._answered = min(connect_s, CONNECT_S), chance, answered
-        self._address = feed.split(address)
+        self._address = discovery_codec.split(address)
         self._former: tuple[str, int] | None = None  # asked in turn, until the address moved to has answered
         self._locations, self._kinds = locations, kinds
         self._going: Deferred[None] | None = None
-        self._numbering, self._stopped = feed.Numbering(), False
+        self._numbering, self._stopped = discovery_codec.Numbering(), False
         self._failures, self._sound = 0, True
         self._connection: FeedProtocol | None = None
         self._current_at = reactor.seconds()  # what the feed had to tell by then was handed on
@@ -125,8 +125,8 @@
 
     def apply(self, data: Any) -> str | None:
         """Hands on what is new in an answer; what is wrong with it, if anything."""
-        changes = feed.parse(data, self._locations, self._kinds)
-        if isinstance(changes, feed.Unreadable):
+        changes = discovery_codec.parse(data, self._locations, self._kinds)
+        if isinstance(changes, discovery_codec.Unreadable):
             return changes.why
         new, gap = self._numbering.fresh(changes)
         within_s = self._reactor.seconds() - self._current_at
@@ -147,7 +147,7 @@
     def move(self, address: str) -> None:
         """Asks there from now on, and at once: the numbers go on, and what the old one had under way comes
         again. Waiting for the poll that is out would take as long as it may hang."""
-        moved_to = feed.split(address)
+        moved_to = discovery_codec.split(address)
         if self._stopped or moved_to == self._address:
             return
         log.info("the feed has moved", feed=address)
@@ -224,8 +224,8 @@
         connection = self._connection
         assert connection is not None
         held, began = self._numbering.held, self._reactor.seconds()
-        reply = yield connection.ask(feed.request(f"{host}:{port}", held, WAIT_MS))
-        if isinstance(reply, feed.Unreadable):
+        reply = yield connection.ask(discovery_codec.request(f"{host}:{port}", held, WAIT_MS))
+        if isinstance(reply, discovery_codec.Unreadable):
             return reply.why
         if not reply.keep:
             connection.give_up()
--- a/vanerelay/net/connections.py
+++ b/vanerelay/net/engine_connection.py
@@ -18,10 +18,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
+from vanerelay.net.attempt_outcome import Cause, End, Stage
 from vanerelay.net.buffers import Pool
-from vanerelay.net.ends import Cause, End, Stage
 from vanerelay.net.events import EventLog, Kind
-from vanerelay.net.resp import Exchange, Note, Query
+from vanerelay.net.resp_codec import Exchange, Note, Query
 
 GONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 NAMED_MOST = 5  # attempts named in one line of the log
--- a/vanerelay/net/engines.py
+++ b/vanerelay/net/engine_pool.py
@@ -9,9 +9,9 @@
 import structlog
 from twisted.internet.defer import Deferred
 
+from vanerelay.net.attempt_outcome import Cause, End, Stage
 from vanerelay.net.buffers import Pool
-from vanerelay.net.connections import Attempt, ConnectionSettings, EngineConnection
-from vanerelay.net.ends import Cause, End, Stage
+from vanerelay.net.engine_connection import Attempt, ConnectionSettings, EngineConnection
 from vanerelay.net.events import EventLog
 
 DROPPED = 2500  # engines let go of in one sweep: a list may lose ten thousand at once
--- a/vanerelay/net/starts.py
+++ b/vanerelay/net/engine_start_times.py
@@ -4,7 +4,6 @@
 
 from vanerelay.net.clock import UNITS, Clock
 
-
 LEARNED_S = 3.0  # from an engine's start until its source knows of it; one second is usual
 
 
--- a/vanerelay/net/extensions.py
+++ b/vanerelay/net/extensions.py
@@ -7,10 +7,10 @@
 
 import structlog
 
-from vanerelay.seam import Guide, Part, Ran, Want, tells
+from vanerelay.extension import Guide, Part, Ran, Want, tells
 
 if TYPE_CHECKING:
-    from vanerelay.net.feed import Change
+    from vanerelay.net.discovery_codec import Change
 
 FAULT = "a subsystem met a fault"  # what a client is told whose query none could lead for that
 Result = TypeVar("Result")
--- a/vanerelay/net/service.py
+++ b/vanerelay/net/gateway_service.py
@@ -9,28 +9,28 @@
 
 import structlog
 
-from vanerelay import terms
-from vanerelay.decide import Gateway
-from vanerelay.holding import Holding, Names
+from vanerelay import settings
+from vanerelay.estimation import scatter
+from vanerelay.extension import Guide, Part, Ran, Want
 from vanerelay.interface import Arrival, AttemptResult, EngineState, Outcome
-from vanerelay.measure import scatter
-from vanerelay.net import ends, feed, frames, reports, requests
-from vanerelay.net.clients import ClientConnection, Taken
+from vanerelay.invariants import Guard, Invariant, StateChange
+from vanerelay.net import attempt_outcome, discovery_codec, frames, load_reports, request_codec
+from vanerelay.net.attempt_outcome import Cause, End, Stage
+from vanerelay.net.client_connection import ClientConnection, Taken
 from vanerelay.net.clock import FRESH, UNITS, Clock
-from vanerelay.net.ends import Cause, End, Stage
-from vanerelay.net.connections import Attempt
 from vanerelay.net.deadlines import Deadlines
-from vanerelay.net.engines import DROPPED, Engines
+from vanerelay.net.engine_connection import Attempt
+from vanerelay.net.engine_pool import DROPPED, Engines
+from vanerelay.net.engine_start_times import EngineStarts
 from vanerelay.net.events import EventLog, Kind
 from vanerelay.net.extensions import Extensions, guarded
-from vanerelay.guard import Guard, Invariant, StateChange
-from vanerelay.net.peers import Peers
-from vanerelay.net.resp import Note, Query
-from vanerelay.net.queries import Inner, Own, References, Request
-from vanerelay.net.requests import QueryRequest
-from vanerelay.net.starts import EngineStarts
+from vanerelay.net.held_queries import Inner, Own, References, Request
+from vanerelay.net.peer_gossip import Peers
+from vanerelay.net.request_codec import QueryRequest
+from vanerelay.net.resp_codec import Note, Query
 from vanerelay.net.statements import table_group, writes
-from vanerelay.seam import Guide, Part, Ran, Want
+from vanerelay.policy.gateway import Gateway
+from vanerelay.query_table import Holding, Names
 
 log = structlog.get_logger()
 
@@ -55,7 +55,7 @@
         self._reactor, self._clock, self._engines, self._peers = reactor, clock, engines, peers
         self._refs = set[str]()  # of the queries open: an engine takes two under one for the same
         self._met = References(clock.now())
-        self.guard = Guard(terms.guard_terms(profile))
+        self.guard = Guard(settings.guard_terms(profile))
         self._read(profile)
         self._starts = EngineStarts(clock)
         self._names, self._gone = Names(), set[int]()  # engines, and those of them that have left the list
@@ -69,7 +69,7 @@
         self.now = clock.now()
 
     def _read(self, profile: dict[str, Any]) -> None:
-        groups, allowed = terms.service_groups(profile), terms.allowances(profile)
+        groups, allowed = settings.service_groups(profile), settings.allowances(profile)
         self._groups = {group.name: row for row, group in enumerate(groups)}
         self._time_limits = [group.time_limit for group in groups]
         self._worth = {
@@ -81,17 +81,17 @@
         self._priorities = allowed.priorities
         self._goals = [group.goal for group in groups]
         self._longest_wait = allowed.longest_retry_time if allowed.retry_times else 0
-        self._reported = terms.report_names(profile)
+        self._reported = settings.report_names(profile)
 
     def open_gateway(self, seed: int, profile: dict[str, Any]) -> None:
         """Under these settings from now on. Queries taken before end under the settings of then."""
         self.now, old = self._clock.now(), self._gateway
-        gateway = terms.open_gateway(self, seed, profile)
+        gateway = settings.open_gateway(self, seed, profile)
         if old is not None:
             gateway.succeed(old)
             self._ending.append(old)
         self._read(profile)
-        self.guard.switch(terms.guard_terms(profile))
+        self.guard.switch(settings.guard_terms(profile))
         self._gateway = gateway
         if self._peers is not None:
             self._peers.heard_from = lambda number, data: self._heard_from(gateway, number, data)
@@ -123,7 +123,7 @@
         open there, and its errors would be held against it.
         """
         self.now = self._clock.now()
-        asked = requests.parse(frame)
+        asked = request_codec.parse(frame)
         group = self._groups.get(asked.service_class) if asked is not None else None
         if asked is None or group is None or not self._usable(asked, group):
             self._count_unheld(frame.fields, frames.ERRORED)
@@ -281,7 +281,7 @@
 
     # What the list brings.
 
-    def listed(self, change: feed.Change) -> None:
+    def listed(self, change: discovery_codec.Change) -> None:
         entries, there = [], set[int]()
         for member in change.members:
             gone = member.state is EngineState.GONE
@@ -319,7 +319,7 @@
     # What engines bring.
 
     def _ended(self, end: End, held: Request, number: int, sent: int, engine: int) -> None:
-        outcome = ends.outcome(end)
+        outcome = attempt_outcome.outcome(end)
         held.out -= 1
         held.attempts[number] = None
         held.outcome = f"{end.cause.value}, {end.stage.value}"
@@ -330,7 +330,7 @@
                 outcome = Outcome.RETURNED if fields is not None else Outcome.SPOILT
             else:
                 guarded(held.guide.missed, engine, outcome)
-        work = round(reports.told(end.told, "elapsed") * 10)
+        work = round(load_reports.told(end.told, "elapsed") * 10)
         if held.record is not None:
             self.guard.attempt_ended(held.record, number, outcome, work)
         if outcome is Outcome.RETURNED and not held.ended:
@@ -338,8 +338,8 @@
                 self._learn(held, engine, end)
             self._answer(held, frames.RETURNED, fields or {}, end.rows)
         if held.batch is not None:
-            memory = reports.told(end.told, "rss")
-            report = terms.load_report(self._reported, reports.loads(end.told.get("l", "")))
+            memory = load_reports.told(end.told, "rss")
+            report = settings.load_report(self._reported, load_reports.loads(end.told.get("l", "")))
             result = AttemptResult(outcome, self._clock.now() - sent, work, memory, report)
             self._call(held, held.batch.ended, number, result, held.ended)
         self._settle(held)
@@ -351,7 +351,7 @@
             tables,
             writes(held.body),
             engine,
-            round(reports.told(end.told, "elapsed") * 10),
+            round(load_reports.told(end.told, "elapsed") * 10),
             isinstance(held.client, Inner),
         )
         self._extensions.ran(ran)
@@ -425,7 +425,7 @@
             Kind.REFUSAL, why, id=held.name, waited_ms=waited, attempts=attempts, last=held.outcome
         )
 
-    def _note_state(self, member: feed.Member, change: StateChange | None) -> None:
+    def _note_state(self, member: discovery_codec.Member, change: StateChange | None) -> None:
         if change is not None:
             why = f"engine {change.before} to {change.after}"
             self.events.note(Kind.STATE, why, change.before != "unknown", engine=member.name)
--- a/vanerelay/net/queries.py
+++ b/vanerelay/net/held_queries.py
@@ -6,18 +6,18 @@
 
 from twisted.internet.defer import Deferred
 
-from vanerelay.holding import Held
+from vanerelay.extension import Guide
 from vanerelay.interface import Arrival
+from vanerelay.invariants import QueryRecord
 from vanerelay.net import frames
-from vanerelay.net.clients import ClientConnection
+from vanerelay.net.client_connection import ClientConnection
 from vanerelay.net.clock import UNITS
-from vanerelay.net.connections import Attempt, EngineConnection
-from vanerelay.guard import QueryRecord
-from vanerelay.net.requests import QueryRequest
-from vanerelay.seam import Guide
+from vanerelay.net.engine_connection import Attempt, EngineConnection
+from vanerelay.net.request_codec import QueryRequest
+from vanerelay.query_table import Held
 
 if TYPE_CHECKING:
-    from vanerelay.net.service import Service
+    from vanerelay.net.gateway_service import Service
 
 
 class Request(Held):
--- a/vanerelay/net/reports.py
+++ b/vanerelay/net/load_reports.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from vanerelay.net import requests
+from vanerelay.net import request_codec
 
 LOADS = ("inflight", "queue", "util", "latency_ms", "qps", "eps")  # the page's words for reported values
 REPORTED = dict(
@@ -14,7 +14,7 @@
 
 def told(fields: Mapping[str, str], name: str) -> float:
     """A figure of an answer; 0 where none is told that can be used."""
-    return requests.figure(fields, name) or 0.0
+    return request_codec.figure(fields, name) or 0.0
 
 
 def loads(text: str) -> dict[str, float]:
--- a/vanerelay/net/resp.py
+++ b/vanerelay/net/resp_codec.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 from vanerelay.interface import NoteKind
+from vanerelay.net.attempt_outcome import Cause, End, Stage
 from vanerelay.net.buffers import Gather, Pool, number
-from vanerelay.net.ends import Cause, End, Stage
 
 RESULT_MOST, PAGE_MOST = 48_000, 6_000  # bytes of a result, and of one page of it
 _LINE_MOST, _PARTS = 32, 4  # no line of a header is longer; every answer has so many parts
--- a/vanerelay/net/program.py
+++ b/vanerelay/net/server.py
@@ -16,23 +16,23 @@
 from twisted.internet.defer import Deferred, DeferredList
 from twisted.internet.error import CannotListenError
 
-from vanerelay import checks, terms
-from vanerelay.decide import Gateway, Health
-from vanerelay.measure import scatter
+from vanerelay import settings, settings_validation
+from vanerelay.estimation import scatter
+from vanerelay.extension import Answered, BadStart, Host, Listed, Part
+from vanerelay.net.attempt_outcome import End
 from vanerelay.net.buffers import Pool
-from vanerelay.net.clients import Clients
+from vanerelay.net.client_connection import Clients
 from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.ends import End
-from vanerelay.net.connections import ConnectionSettings
-from vanerelay.net.engines import Engines
+from vanerelay.net.discovery_client import Roster
+from vanerelay.net.engine_connection import ConnectionSettings
+from vanerelay.net.engine_pool import Engines
 from vanerelay.net.events import EventLog
 from vanerelay.net.extensions import guarded
+from vanerelay.net.gateway_service import Service
+from vanerelay.net.held_queries import Own
 from vanerelay.net.listener import passes
-from vanerelay.net.peers import Peers
-from vanerelay.net.roster import Roster
-from vanerelay.net.queries import Own
-from vanerelay.net.service import Service
-from vanerelay.seam import Answered, BadStart, Host, Listed, Part
+from vanerelay.net.peer_gossip import Peers
+from vanerelay.policy.gateway import Gateway, Health
 
 Join = Callable[[Host], list[Part]]
 
@@ -70,7 +70,7 @@
     if missing:
         raise BadStart(f"configuration {path}: nothing told under {', '.join(missing)}")
     assert isinstance(told, dict)
-    why = checks.wrong(told["settings"])
+    why = settings_validation.wrong(told["settings"])
     if why is not None:
         raise BadStart(f"configuration {path}: {why}")
     return told
@@ -105,9 +105,9 @@
         host, _, port = listen.rpartition(":")
         profile = told["settings"]
         limits = profile.get("limits") or {}
-        allowed = terms.allowances(profile)
-        connect_s = terms.down(limits.get("dialTimeoutUs") or 250_000) / UNITS
-        idle_s = terms.down(limits.get("connIdleUs") or 30_000_000) / UNITS
+        allowed = settings.allowances(profile)
+        connect_s = settings.down(limits.get("dialTimeoutUs") or 250_000) / UNITS
+        idle_s = settings.down(limits.get("connIdleUs") or 30_000_000) / UNITS
         pool = Pool()
         descriptors = int(told["limits"].get("sockets") or 1024)
         clients = max(1, descriptors // CLIENT_SHARE)
@@ -319,7 +319,7 @@
 
     def settle(self, settings: dict[str, Any]) -> str | None:
         try:
-            return checks.wrong(settings) or self._switch(settings)
+            return settings_validation.wrong(settings) or self._switch(settings)
         except (TypeError, ValueError, KeyError, AttributeError) as fault:
             return f"{type(fault).__name__}: {fault}"
 
@@ -331,7 +331,7 @@
         """Goes on under other settings; why it can't."""
         if profile == self.profile:
             return None
-        why = checks.fixed(self.profile, profile)
+        why = settings_validation.fixed(self.profile, profile)
         for part in self._parts:
             why = why or part.refuses(profile)
         if why is not None:
--- a/vanerelay/options.py
+++ b/vanerelay/operator_config.py
@@ -116,13 +116,13 @@
 
 
 SUBSYSTEMS = {
-    "membership": "vanerelay.membership.parts",
-    "xds": "vanerelay.xds.parts",
-    "fleet": "vanerelay.fleet.parts",
-    "rollout": "vanerelay.rollout.parts",
-    "leases": "vanerelay.leases.parts",
-    "freshness": "vanerelay.freshness.parts",
-    "warming": "vanerelay.warming.parts",
+    "membership": "vanerelay.membership.config",
+    "xds": "vanerelay.xds.config",
+    "fleet": "vanerelay.fleet.config",
+    "rollout": "vanerelay.rollout.config",
+    "leases": "vanerelay.leases.config",
+    "freshness": "vanerelay.freshness.config",
+    "warming": "vanerelay.warming.config",
 }
 STANDS_ON = (("rollout", "fleet"), ("leases", "fleet"), ("freshness", "leases"), ("warming", "leases"))
 
--- a/vanerelay/decide.py
+++ b/vanerelay/policy/gateway.py
@@ -10,12 +10,33 @@
 from collections.abc import Callable, Iterator, Sequence
 from functools import cached_property
 
-from vanerelay.interface import MILLISECOND, NEVER_RAN, SECOND, SPOKEN, UNSTOPPED, Arrival, AttemptResult
-from vanerelay.interface import Bounds, ColdStart, Effect, EngineEntry, EngineState, GatewaySettings
-from vanerelay.interface import LoadReport, MachineKind, NoteKind, Outcome, Place, RationTerms, Scope
-from vanerelay.interface import ServiceGroup, Shortage, Transport
-from vanerelay.measure import Estimate, Ring, quantile, rank_among, scatter
-from vanerelay.state import Dispatch, Order
+from vanerelay.estimation import Estimate, Ring, quantile, rank_among, scatter
+from vanerelay.interface import (
+    MILLISECOND,
+    NEVER_RAN,
+    SECOND,
+    SPOKEN,
+    UNSTOPPED,
+    Arrival,
+    AttemptResult,
+    Bounds,
+    ColdStart,
+    Effect,
+    EngineEntry,
+    EngineState,
+    GatewaySettings,
+    LoadReport,
+    MachineKind,
+    NoteKind,
+    Outcome,
+    Place,
+    RationTerms,
+    Scope,
+    ServiceGroup,
+    Shortage,
+    Transport,
+)
+from vanerelay.policy.attempt import Dispatch, Order
 
 ANSWERS, FAITH = 200, 2.0  # answers an estimate learns from; answers' worth of trust in the told figure
 NEVER, FAULTS = -1000 * SECOND, (Outcome.ERRORED, Outcome.PUSHED_BACK, Outcome.RESET)
--- a/vanerelay/holding.py
+++ b/vanerelay/query_table.py
@@ -4,8 +4,8 @@
 
 from typing import Generic, TypeVar
 
-from vanerelay.decide import Batch, Gateway, Health
 from vanerelay.interface import Condition
+from vanerelay.policy.gateway import Batch, Gateway, Health
 
 
 class Held:
--- a/vanerelay/rollout/hand.py
+++ b/vanerelay/rollout/agent.py
@@ -11,15 +11,15 @@
 
 import structlog
 
+from vanerelay.extension import Host
 from vanerelay.fleet import release
-from vanerelay.fleet.links import Refused
+from vanerelay.fleet.rpc import Refused
 from vanerelay.fleet.service import Fleet
-from vanerelay.holding import conditions
-from vanerelay.rollout import words
+from vanerelay.query_table import conditions
+from vanerelay.rollout import messages
+from vanerelay.rollout.agent_store import Store
+from vanerelay.rollout.canary_analysis import BUCKETS, bucket
 from vanerelay.rollout.fence import Fence, Order
-from vanerelay.rollout.store import Store
-from vanerelay.rollout.judge import BUCKETS, bucket
-from vanerelay.seam import Host
 
 log = structlog.get_logger()
 
@@ -52,8 +52,8 @@
         if code == 0:
             one[6][bucket(tenths / 10)] += 1
 
-    def told(self) -> dict[str, words.Group]:
-        return {name: words.Group(*one) for name, one in self.groups.items()}
+    def told(self) -> dict[str, messages.Group]:
+        return {name: messages.Group(*one) for name, one in self.groups.items()}
 
 
 class Hand:
@@ -80,21 +80,21 @@
         self._host.reactor.callLater(HELD_S, self._read_held)
 
     def _state(self, body: bytes) -> bytes:
-        asked = words.unpack(body, words.Asked)
+        asked = messages.unpack(body, messages.Asked)
         own = self._fleet.alive.own
-        figures = words.Figures()
+        figures = messages.Figures()
         if asked is None or asked.figures:
             usage = resource.getrusage(resource.RUSAGE_SELF)
             away = sum(not condition.sound for condition in conditions(self._host.gateway))
-            figures = words.Figures(
+            figures = messages.Figures(
                 self._tally.told(),
                 self._resident() / self._memory,
                 usage.ru_utime + usage.ru_stime,
                 away,
                 self._held,
             )
-        return words.pack(
-            words.State(
+        return messages.pack(
+            messages.State(
                 own.name,
                 own.program,
                 own.settings,
@@ -110,7 +110,7 @@
         )
 
     def _order(self, body: bytes) -> bytes:
-        told = words.unpack(body, words.Order)
+        told = messages.unpack(body, messages.Order)
         if told is None:
             raise Refused("unreadable")
         order, alive = Order(told.fence, told.name, told.number), self._fleet.alive
@@ -123,31 +123,33 @@
                 self._learn(self.fence.after(order))
         if why is not None:
             log.warning("order refused", change=told.name, fence=told.fence, why=why)
-            return words.pack(words.Taken(self.fence.highest, False, why=why))
+            return messages.pack(messages.Taken(self.fence.highest, False, why=why))
         self.fence.heed(order)
         if told.what == "claim":
-            return words.pack(words.Taken(self.fence.highest))
+            return messages.pack(messages.Taken(self.fence.highest))
         if told.what != "settings":
-            return words.pack(words.Taken(self.fence.highest, False, why=f"a manager knows no {told.what}"))
-        return words.pack(self._settings(told))
+            return messages.pack(
+                messages.Taken(self.fence.highest, False, why=f"a manager knows no {told.what}")
+            )
+        return messages.pack(self._settings(told))
 
-    def _settings(self, told: words.Order) -> words.Taken:
+    def _settings(self, told: messages.Order) -> messages.Taken:
         try:
             settings = json.loads(told.body)
         except ValueError as fault:
-            return words.Taken(self.fence.highest, False, True, f"settings: {fault}")
+            return messages.Taken(self.fence.highest, False, True, f"settings: {fault}")
         try:
             profile = release.with_own(settings, self._host.profile)
         except (TypeError, AttributeError) as fault:
-            return words.Taken(self.fence.highest, False, True, f"{type(fault).__name__}: {fault}")
+            return messages.Taken(self.fence.highest, False, True, f"{type(fault).__name__}: {fault}")
         why = self._host.settle(profile)
         if why is not None:
-            return words.Taken(self.fence.highest, False, True, why)
+            return messages.Taken(self.fence.highest, False, True, why)
         why = self._store.ordered(settings)
         if why is not None:
             log.warning("ordered settings hold until a restart only", why=why)
         log.info("settings ordered", change=told.name, fence=told.fence)
-        return words.Taken(self.fence.highest)
+        return messages.Taken(self.fence.highest)
 
     @staticmethod
     def _resident() -> int:
--- a/vanerelay/rollout/judge.py
+++ b/vanerelay/rollout/canary_analysis.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from vanerelay.evidence import Spread, half_width
+from vanerelay.confidence import Spread, half_width
 from vanerelay.interface import SECOND, Span
 
 MEASURES = ("utility", "errored", "pushed back", "late", "slow", "dispatches")
