--- a/vanerelay/rollout/record.py
+++ b/vanerelay/rollout/change_log.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from vanerelay.rollout.stages import Event
+from vanerelay.rollout.stage_machine import Event
 
 SCHEMA = """
 create table if not exists change (id integer primary key, name text, plan text, fence integer, baseline
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -11,9 +11,9 @@
 import click
 
 from vanerelay.interface import SECOND
-from vanerelay.rollout import plan as plans
-from vanerelay.rollout.record import Record, Unkept
-from vanerelay.rollout.stages import Course
+from vanerelay.rollout import plan_reader as plans
+from vanerelay.rollout.change_log import Record, Unkept
+from vanerelay.rollout.stage_machine import Course
 
 DONE, WENT_BACK, UNUSABLE, UNDER_WAY, FENCED = 0, 1, 2, 3, 4  # exit codes
 
@@ -268,11 +268,11 @@
 
     reactor: Any = found_reactor
     from vanerelay.cli import log_to
-    from vanerelay.rollout import keeper
+    from vanerelay.rollout import supervisor
 
     log_to("info")
     try:
-        one = keeper.Keeper(reactor, *keeper.load(path))
+        one = supervisor.Keeper(reactor, *supervisor.load(path))
         reactor.callWhenRunning(one.run)
     except (plans.BadOptions, OSError, CannotListenError) as fault:
         _fail(str(fault))
--- a/vanerelay/rollout/parts.py
+++ b/vanerelay/rollout/config.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from vanerelay.options import Block
+from vanerelay.operator_config import Block
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/rollout/controller.py
+++ b/vanerelay/rollout/controller.py
@@ -10,15 +10,15 @@
 import structlog
 from twisted.internet.defer import Deferred, DeferredList, succeed
 
-from vanerelay.fleet.links import Links
+from vanerelay.fleet.rpc import Links
 from vanerelay.interface import SECOND
 from vanerelay.net.clock import UNITS, Clock
-from vanerelay.rollout import words
-from vanerelay.rollout.judge import Judge, Seen
-from vanerelay.rollout.plan import Loaded, Reached
-from vanerelay.rollout.record import Record, Unkept
-from vanerelay.rollout.sole import Sole
-from vanerelay.rollout.stages import MAJORITY, Course, Do, Event, Heard, Step
+from vanerelay.rollout import messages
+from vanerelay.rollout.canary_analysis import Judge, Seen
+from vanerelay.rollout.change_log import Record, Unkept
+from vanerelay.rollout.controller_lease import Sole
+from vanerelay.rollout.plan_reader import Loaded, Reached
+from vanerelay.rollout.stage_machine import MAJORITY, Course, Do, Event, Heard, Step
 
 ASK_S = 6.0  # an answer may take that long: links may be slow
 ORDER_S = 10.0
@@ -32,9 +32,9 @@
 class Known:
     """What was heard of one manager."""
 
-    state: words.State | None = None
+    state: messages.State | None = None
     at: int = 0
-    before: words.State | None = None  # the reading before, of the same process
+    before: messages.State | None = None  # the reading before, of the same process
     before_at: int = 0
     asking: bool = False
     deaths: int = 0
@@ -76,7 +76,7 @@
         if resumed:
             self.course = Course.replayed(self._loaded.plan, self._record.events())
             self.course.resume(self._clock.now())
-            told = words.unpack(self._record.baseline(), self.judge.told().__class__)
+            told = messages.unpack(self._record.baseline(), self.judge.told().__class__)
             if told is not None:
                 self.judge.restore(told)
             self.judge.began(self._clock.now())
@@ -128,12 +128,12 @@
 
     def _affirm(self, then: Callable[[int], None]) -> None:
         """Asks all whether our fence still counts; `then` gets how many say so."""
-        order = words.pack(words.Order(self._record.fence, self._loaded.plan.name))
+        order = messages.pack(messages.Order(self._record.fence, self._loaded.plan.name))
 
         def asked(results: list[tuple[bool, Any]]) -> None:
             if self._stopped:
                 return
-            answers = [words.unpack(body, words.Taken) for good, body in results if good]
+            answers = [messages.unpack(body, messages.Taken) for good, body in results if good]
             higher = [one for one in answers if one is not None and one.fence > self._record.fence]
             if higher and self._claimed:
                 self._end("fenced", higher[0].why)
@@ -184,7 +184,7 @@
     def _ask(self, name: str, one: Reached) -> None:
         known = self._known[name]
         known.asking = True
-        asked: Deferred[Any] = self._links.ask(one.address, "state", words.pack(words.Asked()), ASK_S)
+        asked: Deferred[Any] = self._links.ask(one.address, "state", messages.pack(messages.Asked()), ASK_S)
         asked.addCallbacks(lambda body: self._told(name, body), lambda _: None)
         if one.keeper and self._loaded.plan.restarts:
             kept: Deferred[Any] = self._links.ask(one.keeper, "state", b"", ASK_S)
@@ -196,7 +196,7 @@
         asked.addBoth(over)
 
     def _told(self, name: str, body: bytes) -> None:
-        state, known, now = words.unpack(body, words.State), self._known[name], self._clock.now()
+        state, known, now = messages.unpack(body, messages.State), self._known[name], self._clock.now()
         if state is None or state.name != name:
             return
         was = known.state
@@ -212,7 +212,7 @@
         known.state, known.at = state, now
 
     def _keeper_told(self, name: str, body: bytes) -> None:
-        state = words.unpack(body, words.State)
+        state = messages.unpack(body, messages.State)
         if state is not None:
             self._known[name].keeper = state.fence, state.heeded
 
@@ -267,7 +267,7 @@
             self._tell(step.why)
         elif step.do is Do.STAGE:
             if course.stage < 0:
-                self._record.keep_baseline(words.pack(self.judge.told()))
+                self._record.keep_baseline(messages.pack(self.judge.told()))
             self._note(Event("stage", now, stage=course.stage + 1))
             self.judge.began(now)
         elif step.do is Do.UNCLEAR:
@@ -315,17 +315,17 @@
         loaded, one = self._loaded, self._loaded.managers[name]
         restarts = loaded.plan.restarts
         what = "restart" if control else "program" if restarts else "settings"
-        order = words.Order(self._record.fence, loaded.plan.name, what, loaded.bodies[to], number)
+        order = messages.Order(self._record.fence, loaded.plan.name, what, loaded.bodies[to], number)
         self._ordering.add(name)
         if restarts:
             self._known[name].restarts = 1
         address = one.keeper if restarts else one.address
         asked: Deferred[Any] = self._links.ask(
-            address, "order", words.pack(order), KEEPER_S if restarts else ORDER_S
+            address, "order", messages.pack(order), KEEPER_S if restarts else ORDER_S
         )
 
         def answered(body: bytes) -> None:
-            taken = words.unpack(body, words.Taken)
+            taken = messages.unpack(body, messages.Taken)
             if taken is None or taken.taken or self._stopped:
                 return
             self._known[name].restarts = 0
@@ -386,11 +386,12 @@
     return words_.get(event.what, event.what) + (f" ({event.why})" if event.why else "")
 
 
-def _seen(now: words.State, was: words.State, seconds: float) -> Seen:
+def _seen(now: messages.State, was: messages.State, seconds: float) -> Seen:
     """What one process did between two readings."""
     old = was.figures.groups
     counts = {
-        name: words.count(group, old.get(name, words.Group())) for name, group in now.figures.groups.items()
+        name: messages.count(group, old.get(name, messages.Group()))
+        for name, group in now.figures.groups.items()
     }
     ended = sum(count.ended for count in counts.values())
     held = (now.figures.held - was.figures.held) / ended if ended else 0.0
@@ -401,6 +402,6 @@
     if one is None:
         return other
     names = one.counts.keys() | other.counts.keys()
-    empty = words.count(words.Group(), words.Group())
+    empty = messages.count(messages.Group(), messages.Group())
     counts = {name: one.counts.get(name, empty) + other.counts.get(name, empty) for name in names}
     return Seen(counts, other.memory, other.away, max(one.held, other.held), one.deaths + other.deaths)
--- a/vanerelay/rollout/sole.py
+++ b/vanerelay/rollout/controller_lease.py
@@ -11,9 +11,9 @@
 
 from twisted.internet.defer import Deferred
 
-from vanerelay.fleet.alive import Member
-from vanerelay.fleet.links import Links, Refused
-from vanerelay.leases.parts import Parts
+from vanerelay.fleet.failure_detector import Member
+from vanerelay.fleet.rpc import Links, Refused
+from vanerelay.leases.config import Parts
 from vanerelay.leases.service import Leases
 
 TASK = "rollout"
--- a/vanerelay/rollout/join.py
+++ b/vanerelay/rollout/extension.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from vanerelay import checks
+from vanerelay import settings_validation
+from vanerelay.extension import Host, Part
 from vanerelay.fleet import release
-from vanerelay.fleet.join import FleetPart
-from vanerelay.rollout.hand import Hand, Tally
-from vanerelay.rollout.parts import Parts
-from vanerelay.rollout.store import Store
-from vanerelay.seam import Host, Part
+from vanerelay.fleet.extension import FleetPart
+from vanerelay.rollout.agent import Hand, Tally
+from vanerelay.rollout.agent_store import Store
+from vanerelay.rollout.config import Parts
 
 
 class OrdersPart(Part):
@@ -20,7 +20,9 @@
     def settings(self, profile: dict[str, Any]) -> dict[str, Any]:
         """Those ordered last, while the configuration is the one that they took the place of."""
         ordered = self.again(profile)
-        good = checks.wrong(ordered) is None and checks.fixed(profile, ordered) is None
+        good = (
+            settings_validation.wrong(ordered) is None and settings_validation.fixed(profile, ordered) is None
+        )
         return ordered if good else profile
 
     def again(self, profile: dict[str, Any]) -> dict[str, Any]:
--- a/vanerelay/rollout/words.py
+++ b/vanerelay/rollout/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from vanerelay.fleet.words import LONGEST, pack, unpack
-from vanerelay.rollout.judge import Count
+from vanerelay.fleet.messages import LONGEST, pack, unpack
+from vanerelay.rollout.canary_analysis import Count
 
 __all__ = ["LONGEST", "Asked", "Figures", "Group", "Order", "State", "Taken", "count", "pack", "unpack"]
 
--- a/vanerelay/rollout/plan.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -7,15 +7,15 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from vanerelay import checks
+from vanerelay import settings_validation
 from vanerelay.fleet import release
 from vanerelay.interface import SECOND, Span
-from vanerelay.leases.parts import Parts as LeaseParts
-from vanerelay.leases.parts import parts as lease_parts
-from vanerelay.options import BadOptions, Block, read
-from vanerelay.rollout import shared
-from vanerelay.rollout.judge import Guard, Terms
-from vanerelay.rollout.stages import NEW, NEW_STRICT, OLD, OLD_STRICT, Away, Plan, Stage, Worse
+from vanerelay.leases.config import Parts as LeaseParts
+from vanerelay.leases.config import parts as lease_parts
+from vanerelay.operator_config import BadOptions, Block, read
+from vanerelay.rollout import settings_diff
+from vanerelay.rollout.canary_analysis import Guard, Terms
+from vanerelay.rollout.stage_machine import NEW, NEW_STRICT, OLD, OLD_STRICT, Away, Plan, Stage, Worse
 
 T = TypeVar("T")
 
@@ -108,7 +108,9 @@
         record=document.take("record", str, str(Path(path).with_suffix(".record"))),
         text=Path(path).read_text(encoding="utf-8"),
         leases=lease_parts(leases) if leases is not None else None,
-        shared=tuple(f"{one.path}: {one.why}" for one in shared.differ(old, new)) if old and new else (),
+        shared=tuple(f"{one.path}: {one.why}" for one in settings_diff.differ(old, new))
+        if old and new
+        else (),
     )
     document.done()
     return loaded
@@ -124,7 +126,7 @@
     if not change.before:
         raise block.wrong("change: no before, expected the file with the settings of now")
     old, new = (_settings(block, folder, name, getattr(change, name)) for name in ("before", "settings"))
-    why = checks.fixed(old, new)
+    why = settings_validation.fixed(old, new)
     if why is not None:
         raise block.wrong(f"settings: {why}", "settings")
     if release.settings(old) == release.settings(new):
@@ -139,7 +141,7 @@
     except (OSError, ValueError) as fault:
         raise block.wrong(f"{path}: {fault}", name) from None
     found = told.get("settings", told) if isinstance(told, dict) else told
-    why = checks.wrong(found) or checks.doubtful(found)
+    why = settings_validation.wrong(found) or settings_validation.doubtful(found)
     if why is not None:
         raise block.wrong(f"{path}: {why}", name)
     return dict(found)
@@ -151,7 +153,12 @@
     if change.program:
         names = {OLD: change.back, OLD_STRICT: change.back, NEW_STRICT: change.program, NEW: change.program}
         return {name: told.encode() for name, told in names.items()}, names
-    four = {OLD: old, OLD_STRICT: shared.stricter(old, new), NEW_STRICT: shared.stricter(new, old), NEW: new}
+    four = {
+        OLD: old,
+        OLD_STRICT: settings_diff.stricter(old, new),
+        NEW_STRICT: settings_diff.stricter(new, old),
+        NEW: new,
+    }
     bodies = {
         name: json.dumps({key: value for key, value in told.items() if key not in release.OWN}).encode()
         for name, told in four.items()
--- a/vanerelay/rollout/stages.py
+++ b/vanerelay/rollout/stage_machine.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from vanerelay.interface import SECOND, Span
-from vanerelay.rollout.judge import Verdict, Word
+from vanerelay.rollout.canary_analysis import Verdict, Word
 
 AGAIN, AGAIN_RESTART = 2 * SECOND, 8 * SECOND  # between orders of the same to one manager
 MAJORITY = 2  # more than one part in so many must be heard, or nothing is moved
--- a/vanerelay/rollout/keeper.py
+++ b/vanerelay/rollout/supervisor.py
@@ -21,14 +21,14 @@
 from twisted.internet.error import ProcessExitedAlready
 from twisted.internet.protocol import ProcessProtocol
 
-from vanerelay.fleet.links import Links, Refused
+from vanerelay.fleet.rpc import Links, Refused
 from vanerelay.net.clock import Clock
-from vanerelay.options import BadOptions, Block, read
-from vanerelay.rollout import words
+from vanerelay.operator_config import BadOptions, Block, read
+from vanerelay.rollout import messages
+from vanerelay.rollout.agent import RELEASE
+from vanerelay.rollout.agent_store import Store
 from vanerelay.rollout.fence import Fence, Order
-from vanerelay.rollout.store import Store
-from vanerelay.rollout.hand import RELEASE
-from vanerelay.rollout.succession import Child, Patience, Succession
+from vanerelay.rollout.supervisor_state import Child, Patience, Succession
 
 LISTEN_FD, READY_FD = 3, 4  # of a child
 LOOK_S = 0.1
@@ -148,7 +148,7 @@
     # Orders.
 
     def _order(self, body: bytes) -> bytes | Deferred[bytes]:
-        told = words.unpack(body, words.Order)
+        told = messages.unpack(body, messages.Order)
         if told is None:
             raise Refused("unreadable")
         order = Order(told.fence, told.name, told.number)
@@ -159,11 +159,11 @@
                 self._fence.learn(self._fence.after(order))
                 self.succession.forgive()
         if why is not None:
-            return words.pack(words.Taken(self._fence.highest, False, why=why))
+            return messages.pack(messages.Taken(self._fence.highest, False, why=why))
         self._fence.heed(order)
         if told.what not in ("program", "restart"):
-            return words.pack(
-                words.Taken(self._fence.highest, told.what == "claim", why=f"no {told.what} here")
+            return messages.pack(
+                messages.Taken(self._fence.highest, told.what == "claim", why=f"no {told.what} here")
             )
         release = told.body.decode(errors="replace") if told.what == "program" else self.succession.current
         result: Deferred[bytes] = Deferred()
@@ -174,7 +174,9 @@
             else:
                 log.warning("order failed", release=release, change=told.name, why=failed)
             result.callback(
-                words.pack(words.Taken(self._fence.highest, failed is None, failed is not None, failed or ""))
+                messages.pack(
+                    messages.Taken(self._fence.highest, failed is None, failed is not None, failed or "")
+                )
             )
 
         running = self.succession.serving
@@ -185,8 +187,8 @@
         return result
 
     def _state(self, body: bytes) -> bytes:
-        return words.pack(
-            words.State(
+        return messages.pack(
+            messages.State(
                 self._kept.name,
                 "",
                 "",
--- a/vanerelay/terms.py
+++ b/vanerelay/settings.py
@@ -5,8 +5,6 @@
 import dataclasses
 from typing import Any
 
-from vanerelay.decide import Gateway
-from vanerelay.guard import GuardTerms
 from vanerelay.interface import (
     Allowances,
     ColdStart,
@@ -21,6 +19,8 @@
     Shortage,
     Transport,
 )
+from vanerelay.invariants import GuardTerms
+from vanerelay.policy.gateway import Gateway
 
 MICROS = 100  # microseconds in one unit of the module's time
 
--- a/vanerelay/checks.py
+++ b/vanerelay/settings_validation.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from typing import Any
 
-from vanerelay import terms
+from vanerelay import settings
 
 Leaf = tuple[str, Callable[[Any], bool]]  # what is expected, and whether a value is that
 
@@ -79,7 +79,7 @@
 
 def _wanted(profile: Any) -> dict[str, Any]:
     text, mark = ("text", lambda v: isinstance(v, str)), ("true or false", lambda v: isinstance(v, bool))
-    figure, times = _figure(), _figure(terms.MICROS)  # shorter ones the module's time cannot tell from 0
+    figure, times = _figure(), _figure(settings.MICROS)  # shorter ones the module's time cannot tell from 0
     return {
         "classes": [
             {
@@ -90,8 +90,8 @@
                 "aimStretch": figure,
                 "importance": figure,
                 "lateWorth": figure,
-                "semantics": _word(terms.EFFECTS),
-                "dedupScope": _word(terms.SCOPES),
+                "semantics": _word(settings.EFFECTS),
+                "dedupScope": _word(settings.SCOPES),
                 "inTurn": mark,
                 "kindsOnly": [_place(profile, "kinds")],
                 "staysIn": [_place(profile, "failureDomains")],
@@ -103,7 +103,7 @@
         "familyInfo": {
             "progressUs": figure,
             "grantCap": figure,
-            "memoryShort": _word(terms.SHORTAGES),
+            "memoryShort": _word(settings.SHORTAGES),
             "takesGrants": mark,
             "lanesCount": mark,
             "bills": mark,
--- a/vanerelay/warming/parts.py
+++ b/vanerelay/warming/config.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from vanerelay.interface import MILLISECOND, SECOND, Span
-from vanerelay.options import Block
+from vanerelay.operator_config import Block
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/warming/hands.py
+++ b/vanerelay/warming/executor.py
@@ -6,14 +6,14 @@
 from collections import deque
 from typing import Any
 
+from vanerelay.extension import Host, Own
 from vanerelay.history import History
-from vanerelay.holding import conditions, waits
 from vanerelay.interface import EngineState
-from vanerelay.leases.hold import Gate
+from vanerelay.leases.fencing import Gate
 from vanerelay.net import frames
-from vanerelay.seam import Host, Own
-from vanerelay.warming.parts import Parts
-from vanerelay.warming.words import Do, Done
+from vanerelay.query_table import conditions, waits
+from vanerelay.warming.config import Parts
+from vanerelay.warming.messages import Do, Done
 
 MOST = 400  # orders that wait
 TOLD = 400  # of what they took, until it is asked for
--- a/vanerelay/warming/join.py
+++ b/vanerelay/warming/extension.py
@@ -5,15 +5,15 @@
 import random
 from collections.abc import Sequence
 
-from vanerelay.fleet.join import FleetPart
-from vanerelay.fleet.links import Refused
-from vanerelay.freshness.join import FreshnessPart
-from vanerelay.holding import conditions
-from vanerelay.leases.join import LeasesPart
-from vanerelay.seam import BadStart, Host, Part, Ran
-from vanerelay.warming import words
-from vanerelay.warming.hands import Hands
-from vanerelay.warming.parts import Parts
+from vanerelay.extension import BadStart, Host, Part, Ran
+from vanerelay.fleet.extension import FleetPart
+from vanerelay.fleet.rpc import Refused
+from vanerelay.freshness.extension import FreshnessPart
+from vanerelay.leases.extension import LeasesPart
+from vanerelay.query_table import conditions
+from vanerelay.warming import messages
+from vanerelay.warming.config import Parts
+from vanerelay.warming.executor import Hands
 from vanerelay.warming.planner import Planner
 from vanerelay.warming.popularity import Tally
 
@@ -59,23 +59,23 @@
             self._tally.read(now, ran.tables, name, ran.work)
 
     def _told(self, body: bytes) -> bytes:
-        ask = words.unpack(body, words.Ask)
+        ask = messages.unpack(body, messages.Ask)
         if ask is None:
             raise Refused("unreadable")
-        found = words.slices(self._tally.since(self._leases.leases.clock(), ask.since))
+        found = messages.slices(self._tally.since(self._leases.leases.clock(), ask.since))
         read = list(self._hands.read)
         self._hands.read.clear()
-        told = words.pack(words.Told(found, self._tally.next, read))
-        while len(told) > words.LONGEST and found:
+        told = messages.pack(messages.Told(found, self._tally.next, read))
+        while len(told) > messages.LONGEST and found:
             found = found[1:]  # the oldest are not told
-            told = words.pack(words.Told(found, self._tally.next, read[:100]))
+            told = messages.pack(messages.Told(found, self._tally.next, read[:100]))
         return told
 
     def _ordered(self, body: bytes) -> bytes:
-        do = words.unpack(body, words.Do)
+        do = messages.unpack(body, messages.Do)
         if do is None or self._hands.stopped:
             raise Refused("unreadable" if do is None else "ending")
-        return words.pack(self._hands.take(do))
+        return messages.pack(self._hands.take(do))
 
     def draining(self) -> None:
         self._hands.stop()
--- a/vanerelay/warming/trust.py
+++ b/vanerelay/warming/gain_experiment.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass, field
 
-from vanerelay.evidence import Spread, half_width
+from vanerelay.confidence import Spread, half_width
 
 FEW = 12  # outcomes of each side before anything is said
 CHANCE = 0.05
--- a/vanerelay/warming/words.py
+++ b/vanerelay/warming/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from vanerelay.fleet.words import LONGEST, pack, unpack
+from vanerelay.fleet.messages import LONGEST, pack, unpack
 from vanerelay.warming.popularity import Slice
 
 __all__ = ["LONGEST", "pack", "unpack"]
--- a/vanerelay/warming/plan.py
+++ b/vanerelay/warming/plan.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from vanerelay.warming.worth import Place, Wish
+from vanerelay.warming.prefetch_value import Place, Wish
 
 FRESH = 1.5  # times the worth of a wish for an engine with nothing warm
 MOST = 200  # orders at once
--- a/vanerelay/warming/planner.py
+++ b/vanerelay/warming/planner.py
@@ -11,22 +11,22 @@
 
 import structlog
 
-from vanerelay.fleet.alive import Standing
+from vanerelay.extension import Host
+from vanerelay.fleet.failure_detector import Standing
 from vanerelay.fleet.service import Fleet
-from vanerelay.holding import conditions, idle
 from vanerelay.interface import EngineState
-from vanerelay.leases.hold import Deed, Hold
+from vanerelay.leases.assignment import Candidate, ranked
+from vanerelay.leases.fencing import Deed, Hold
 from vanerelay.leases.service import Leases
-from vanerelay.leases.tasks import Candidate, ranked
 from vanerelay.net.clock import UNITS
-from vanerelay.seam import Host
-from vanerelay.warming import words
+from vanerelay.query_table import conditions, idle
+from vanerelay.warming import messages
+from vanerelay.warming.config import Parts
 from vanerelay.warming.forecast import Forecasts
-from vanerelay.warming.parts import Parts
+from vanerelay.warming.gain_experiment import Trust
 from vanerelay.warming.plan import Budget, Plan, plan
 from vanerelay.warming.popularity import Key, Seen, Slice, merged
-from vanerelay.warming.trust import Trust
-from vanerelay.warming.worth import Believed, Place, Wish, wishes
+from vanerelay.warming.prefetch_value import Believed, Place, Wish, wishes
 
 PATIENCE_S = 0.5  # for an answer of a manager
 LEARNS = 0.1  # of what an order took, each
@@ -91,7 +91,7 @@
         self._look()
         alive = [one.name for one in self._fleet.alive.members.values() if one.standing is Standing.ALIVE]
         for name in alive:
-            body = words.pack(words.Ask(self._heard.get(name, 0)))
+            body = messages.pack(messages.Ask(self._heard.get(name, 0)))
             asked = self._fleet.ask(name, "warm-told", body, PATIENCE_S)
             asked.addCallback(partial(self._told, name)).addErrback(lambda _: None)
         slices, self._slices = self._slices, []
@@ -127,7 +127,7 @@
         self._believed = {name: one for name, one in self._believed.items() if name in found}
 
     def _told(self, name: str, body: bytes) -> None:
-        told = words.unpack(body, words.Told)
+        told = messages.unpack(body, messages.Told)
         if told is None:
             return
         if told.next < self._heard.get(name, 0):
@@ -135,7 +135,7 @@
         else:
             new = [one for one in told.slices if one.number >= self._heard.get(name, 0)]
             self._heard[name] = told.next
-            self._slices += [words.slice_(one) for one in new]
+            self._slices += [messages.slice_(one) for one in new]
         for group, _, work in told.read:
             cost = work / UNITS
             # One that found it warm says nothing: what it takes is the most that was seen of late.
@@ -207,13 +207,13 @@
         orders = [(wish.group, wish.engine) for wish in some]
         left = max(0, deed.until - self._leases.clock())
         lasts = min(self._parts.lasts, left)
-        do = words.Do(deed.task, deed.number, deed.serial, deed.holder, lasts, orders)
-        asked = self._fleet.ask(name, "warm-do", words.pack(do), PATIENCE_S)
+        do = messages.Do(deed.task, deed.number, deed.serial, deed.holder, lasts, orders)
+        asked = self._fleet.ask(name, "warm-do", messages.pack(do), PATIENCE_S)
         asked.addErrback(lambda _: None).addCallback(self._done, deed)
 
     def _done(self, body: bytes | None, deed: Deed) -> None:
         self._hold.end(deed)
-        told = words.unpack(body, words.Done) if body is not None else None
+        told = messages.unpack(body, messages.Done) if body is not None else None
         if told is not None and told.later:
             self._leases.behind(deed, told.later)
 
--- a/vanerelay/warming/worth.py
+++ b/vanerelay/warming/prefetch_value.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from vanerelay.measure import scatter
+from vanerelay.estimation import scatter
 from vanerelay.warming.forecast import Floats, Forecasts
 
 HOME = 16.0  # the most that the decisions lean to an engine for a table group (`decide.Picker`)
--- a/vanerelay/xds/parts.py
+++ b/vanerelay/xds/config.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from vanerelay.grpc_wire.limits import Limits
-from vanerelay.options import Block
-from vanerelay.xds.assign import Handed
-from vanerelay.xds.census import Expected
+from vanerelay.operator_config import Block
+from vanerelay.xds.assignment import Handed
+from vanerelay.xds.proxy_count import Expected
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/xds/join.py
+++ b/vanerelay/xds/extension.py
@@ -6,12 +6,12 @@
 
 from twisted.internet.error import CannotListenError
 
-from vanerelay import terms
-from vanerelay.membership.join import MembersPart
-from vanerelay.net.feed import Change
-from vanerelay.seam import BadStart, Host, Part
-from vanerelay.xds.assign import Terms
-from vanerelay.xds.parts import Parts
+from vanerelay import settings
+from vanerelay.extension import BadStart, Host, Part
+from vanerelay.membership.extension import MembersPart
+from vanerelay.net.discovery_codec import Change
+from vanerelay.xds.assignment import Terms
+from vanerelay.xds.config import Parts
 from vanerelay.xds.service import ControlService
 
 
@@ -25,10 +25,10 @@
     def open(self) -> None:
         host, profile = self._host, self._host.profile
         told = Terms(
-            tuple(terms.service_groups(profile)),
-            terms.allowances(profile),
-            terms.ration_terms(profile),
-            terms.cold_start(profile).multiple,
+            tuple(settings.service_groups(profile)),
+            settings.allowances(profile),
+            settings.ration_terms(profile),
+            settings.cold_start(profile).multiple,
         )
         self._service = ControlService(host.reactor, host.clock, self._parts, host, told, list(host.places))
         if self._members is not None:
--- a/vanerelay/xds/resources.py
+++ b/vanerelay/xds/resources.py
@@ -21,7 +21,7 @@
 from google.protobuf.message import Message
 
 from vanerelay.grpc_wire.frames import pack
-from vanerelay.xds.assign import EJECTED, Group, Health, Part, Plan, Retry
+from vanerelay.xds.assignment import EJECTED, Group, Health, Part, Plan, Retry
 from vanerelay.xds.streams import Send, Type
 
 COLD = "/cold"
--- a/vanerelay/xds/service.py
+++ b/vanerelay/xds/service.py
@@ -17,22 +17,22 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
+from vanerelay.extension import Host
 from vanerelay.grpc_wire.driver import Server
 from vanerelay.grpc_wire.session import Call, Listener
 from vanerelay.grpc_wire.status import Code, Status
-from vanerelay.holding import conditions
 from vanerelay.interface import MILLISECOND, EngineState
-from vanerelay.membership.console import Request
-from vanerelay.membership.desk import Answer
+from vanerelay.membership.control_protocol import Request
+from vanerelay.membership.control_socket import Answer
 from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.feed import Change
-from vanerelay.net.sparing import Sparing
-from vanerelay.seam import Host
+from vanerelay.net.discovery_codec import Change
+from vanerelay.net.rate_limited_log import Sparing
+from vanerelay.query_table import conditions
 from vanerelay.xds import resources
-from vanerelay.xds.assign import Plan, Steady, Terms, plan
-from vanerelay.xds.census import Census
-from vanerelay.xds.loads import Load, Loads
-from vanerelay.xds.parts import Parts
+from vanerelay.xds.assignment import Plan, Steady, Terms, plan
+from vanerelay.xds.config import Parts
+from vanerelay.xds.load_reports import Load, Loads
+from vanerelay.xds.proxy_count import Census
 from vanerelay.xds.resources import Encoded, Resource
 from vanerelay.xds.streams import Send, Told, Type, order
 
--- a/vanerelay/xds/tls.py
+++ b/vanerelay/xds/tls.py
@@ -12,7 +12,7 @@
     trustRootFromCertificates,
 )
 
-from vanerelay.xds.parts import Tls
+from vanerelay.xds.config import Tls
 
 
 def options(tls: Tls) -> Any:
