--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -15,9 +15,9 @@
 
 from bench import plays
 from tests.histories import deeds, reads
-from vanerelay.extension import Want
+from vanerelay.extension import QueryInfo
 from vanerelay.freshness import dissemination, messages
-from vanerelay.freshness.config import Parts, Watch
+from vanerelay.freshness.config import FreshnessConfig, Watch
 from vanerelay.freshness.read_constraints import Leading
 from vanerelay.freshness.replication_positions import Point, Positions, Told
 from vanerelay.freshness.shard_updates import Shard
@@ -148,8 +148,8 @@
                 watch_at += 500 * MILLISECOND
             whom = dissemination.source(name, order, order[0], 0)
             assert whom is not None
-            body = messages.pack(messages.news(shards[whom].give(at, *shards[name].wants(at))))
-            given = messages.given(messages.unpack(body, messages.News) or messages.News())
+            body = messages.encode(messages.news(shards[whom].give(at, *shards[name].wants(at))))
+            given = messages.given(messages.decode(body, messages.News) or messages.News())
             assert given is not None
             shards[name].hear(at - 10, given, 0.02)
             asked[whom] += 1
@@ -191,7 +191,11 @@
         positions.asked(f"e{engine}", 1000)
     entries = [SimpleNamespace(entry=SimpleNamespace(engine=n, name=f"e{n}"), sound=True) for n in range(8)]
     freshness = SimpleNamespace(
-        parts=Parts(Watch(("@ID@",))), positions=positions, clock=lambda: 1000, whole=True, moved=None
+        parts=FreshnessConfig(Watch(("@ID@",))),
+        positions=positions,
+        clock=lambda: 1000,
+        whole=True,
+        moved=None,
     )
     later = SimpleNamespace(callLater=lambda *_: SimpleNamespace(active=lambda: False))
     leading = Leading(SimpleNamespace(reactor=later), freshness, random.Random(1))  # type: ignore[arg-type]
@@ -203,15 +207,15 @@
         ("a load", "INSERT INTO sales_7.orders SELECT a, b, c FROM staged"),
         ("a read with a hint", f"/*+ vanerelay stale<=5s else=wait */ {plain}"),
     ):
-        want, spans = Want("x", "g", statement, SECOND, SECOND), list[float]()
+        want, spans = QueryInfo("x", "g", statement, SECOND, SECOND), list[float]()
         for _ in range(20):
             began = time.perf_counter()
             for _ in range(2000):
                 guide = leading.guide(want)
                 if guide is not None:
                     assert not isinstance(guide, str)
-                    guide.begin(lead)
-                    guide.over()
+                    guide.start(lead)
+                    guide.finished()
             spans.append((time.perf_counter() - began) / 2000 * 1e6)
         print(f"{what}: {statistics.median(spans):.1f} us")
 
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -16,7 +16,7 @@
 from tests.histories import deeds, register
 from vanerelay.interface import SECOND
 from vanerelay.lab.lease_simulation import Setting, Trouble, World, drawn, play, shortest
-from vanerelay.leases.voter import Terms
+from vanerelay.leases.voter import LeaseTerms
 
 SITE = plays.SCRIPTS / "lease-site.hcl"
 SIDE_BY_SIDE = 3  # plays of twelve processes
@@ -34,7 +34,7 @@
     """Messages a second of the whole fleet, terms of 10 s, by managers and tasks."""
     print("managers  voters  tasks  messages/s  of the most loaded manager")
     for managers, voters, tasks in ((3, 3, 3), (12, 3, 12), (12, 5, 60), (200, 5, 60), (200, 5, 200)):
-        terms = Terms(term=10 * SECOND, longest=10 * SECOND)
+        terms = LeaseTerms(term=10 * SECOND, longest=10 * SECOND)
         world = started(Setting(managers=managers, voters=voters, tasks=tasks, terms=terms))
         world.run([], 40.0)
         before = {name: node.leases.sent for name, node in world.nodes.items()}  # type: ignore[union-attr]
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -31,7 +31,8 @@
 # were.
 CHILD = """
 import json, sys, time
-from vanerelay.net import clock, service
+from vanerelay import clock
+from vanerelay.net import gateway_service as service
 
 def listed(self, change, listed=service.Service.listed):
     began = time.monotonic()
@@ -204,14 +205,14 @@
     from tests.helpers import World, entry
 
     world = World(0, gateways=200)
-    world.gateway.listed([entry(n) for n in range(count)], True)
+    world.gateway.update_engines([entry(n) for n in range(count)], True)
     sums = [0.0, 0.0]
     for turn in range(200):
         began = time.perf_counter()
-        world.gateway.listed([entry(turn, weight=0.5 + turn / 1000)], False)
+        world.gateway.update_engines([entry(turn, weight=0.5 + turn / 1000)], False)
         sums[0] += time.perf_counter() - began
         began = time.perf_counter()
-        world.gateway.listed([entry(count + turn)], False)
+        world.gateway.update_engines([entry(count + turn)], False)
         sums[1] += time.perf_counter() - began
     return sums[0] / 200, sums[1] / 200
 
--- a/bench/plays.py
+++ b/bench/plays.py
@@ -14,7 +14,7 @@
 
 from vanerelay.history import read
 
-SCRIPTS = Path(__file__).parent.parent / "vanerelay" / "lab" / "scripts"
+SCRIPTS = Path(__file__).parent.parent / "vanerelay" / "lab" / "scenarios"
 
 
 @dataclass
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -41,7 +41,7 @@
     answer = Service._answer
     def worse(self, held, code, fields, body):
         bad = held.group == b'order' and random.random() < 0.05
-        answer(self, held, frames.ERRORED if bad else code, fields, b'' if bad else body)
+        answer(self, held, frames.FAILED if bad else code, fields, b'' if bad else body)
     Service._answer = worse""",
     "leaks 4 MB a second": SERVES
     + """    kept = []
@@ -51,7 +51,7 @@
             time.sleep(1)
     threading.Thread(target=leak, daemon=True).start()""",
     "overfills engines": SERVES
-    + """    from vanerelay import decide
+    + """    from vanerelay.policy import gateway as decide
     decide.Ledger.fits = lambda self, grant, threads, part: True
     decide.Peaks.size = lambda self, now, group, tables, told, cap: 6000.0""",
 }
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -21,8 +21,16 @@
 import numpy as np
 
 from vanerelay.interface import SECOND
-from vanerelay.rollout.canary_analysis import BUCKETS, Count, Guard, Judge, Seen, Terms, bucket
-from vanerelay.rollout.stage_machine import Course, Do, Event, Heard, Plan, Stage
+from vanerelay.rollout.canary_analysis import (
+    BUCKETS,
+    AnalysisTerms,
+    CanaryAnalysis,
+    ClassCounts,
+    GatewaySample,
+    Guard,
+    bucket,
+)
+from vanerelay.rollout.stage_machine import Action, Event, Heard, Plan, Stage, StageMachine
 
 MANAGERS, RATE = 12, 25  # batches a second at one manager, in the mean
 GROUPS = {"look": 0.7, "report": 0.1, "load": 0.2}  # parts of what comes
@@ -69,10 +77,10 @@
         burst: float = 1.0,
         common: float = 0.0,  # noqa: B008
         **seen: Any,
-    ) -> dict[str, Seen]:
+    ) -> dict[str, GatewaySample]:
         """`seen`: other figures that the new ones tell."""
         return {
-            name: Seen(
+            name: GatewaySample(
                 {
                     group: self._count(name, part * burst, common, loss if name in new else Loss())
                     for group, part in self._groups.items()
@@ -82,14 +90,14 @@
             for name in self.names
         }
 
-    def _count(self, name: str, part: float, common: float, loss: Loss) -> Count:
+    def _count(self, name: str, part: float, common: float, loss: Loss) -> ClassCounts:
         ended = int(self.chance.poisson(self._share[name] * part))
         late = int(self.chance.binomial(ended, min(1.0, self._own[name] + common + loss.late)))
         errored = int(self.chance.binomial(ended - late, loss.errored))
         lasted = self.chance.exponential(40.0 * loss.slower * (1 + 3 * common), ended)
         places = BUCKET_EDGES[np.clip(lasted.astype(int), 0, len(BUCKET_EDGES) - 1)]
         times = np.bincount(places, minlength=BUCKETS)
-        return Count(ended, ended - late - errored, errored, 0, late, ended, tuple(times.tolist()))
+        return ClassCounts(ended, ended - late - errored, errored, 0, late, ended, tuple(times.tolist()))
 
 
 def weather(seed: int) -> Callable[[int], dict[str, float]]:
@@ -130,8 +138,10 @@
 def in_stages(seed: int, loss: Loss) -> Outcome:
     figures, sky = Figures(seed), weather(seed)
     plan = Plan("p", tuple((name, "") for name in figures.names), STAGES, longest=LONGEST * SECOND)
-    judge = Judge(dict.fromkeys(GROUPS, Guard()), Terms(stages=len(STAGES), settle=2 * SECOND))
-    course, lost = Course(plan), 0.0
+    judge = CanaryAnalysis(
+        dict.fromkeys(GROUPS, Guard()), AnalysisTerms(stages=len(STAGES), settle=2 * SECOND)
+    )
+    course, lost = StageMachine(plan), 0.0
     for second in range(BASELINE):
         judge.before(figures.second(**sky(second)))
     for second in range(BASELINE, 4 * LONGEST):
@@ -154,24 +164,24 @@
     return Outcome(course.ended or "held", second - BASELINE, len(course.ever), lost)
 
 
-def _event(course: Course, judge: Judge, now: int, heard: dict[str, Heard]) -> Event | None:
+def _event(course: StageMachine, judge: CanaryAnalysis, now: int, heard: dict[str, Heard]) -> Event | None:
     step = course.next(now, heard)
-    if step.do is Do.ORDER:
+    if step.do is Action.ORDER:
         return Event("ordered", now, step.manager, to=step.to)
-    if step.do is Do.STAGE:
+    if step.do is Action.STAGE:
         return Event("stage", now, stage=course.stage + 1)
-    if step.do is Do.JUDGE:
+    if step.do is Action.JUDGE:
         return course.judged(now, judge.verdict(now, course.new), step.why)
-    return Event("ended", now, to=step.to) if step.do is Do.ENDED else None
+    return Event("ended", now, to=step.to) if step.do is Action.ENDED else None
 
 
 def fixed_wait(seed: int, loss: Loss) -> Outcome:
     figures, sky, lost = Figures(seed), weather(seed), 0.0
     for place, number in enumerate((2, MANAGERS // 2, MANAGERS)):
-        new, mine, theirs = figures.names[:number], Count(), Count()
+        new, mine, theirs = figures.names[:number], ClassCounts(), ClassCounts()
         for second in range(WAIT):
             for name, one in figures.second(new, loss, **sky(BASELINE + place * WAIT + second)).items():
-                whole = sum(one.counts.values(), Count())
+                whole = sum(one.counts.values(), ClassCounts())
                 mine, theirs = (mine + whole, theirs) if name in new else (mine, theirs + whole)
             lost += (loss.late + loss.errored) * number / MANAGERS
         if theirs.ended and theirs.met / theirs.ended - mine.met / mine.ended > DROP:
--- a/bench/xds.py
+++ b/bench/xds.py
@@ -26,10 +26,10 @@
 
 from bench.membership import resident
 from tests.helpers import ROOT, Feed, Node, free_address, member
+from vanerelay.clock import Clock
 from vanerelay.grpc_wire.driver import Client
 from vanerelay.grpc_wire.limits import Limits
 from vanerelay.grpc_wire.session import Call
-from vanerelay.net.clock import Clock
 from vanerelay.xds.streams import Type
 
 reactor: Any = installed
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,35 +24,35 @@
 from tests.faults import Faults
 from vanerelay.interface import (
     SECOND,
-    Allowances,
-    Arrival,
     AttemptResult,
-    ColdStart,
-    Effect,
+    Capabilities,
+    DeduplicationScope,
     EngineEntry,
     EngineState,
+    FleetPosition,
     GatewaySettings,
+    Idempotency,
     MachineKind,
+    MemoryShortage,
     Outcome,
-    Place,
-    RationTerms,
-    Scope,
-    ServiceGroup,
-    Shortage,
+    QueryArrival,
+    RetryBudgetTerms,
+    ServiceClass,
+    SlowStartTerms,
 )
-from vanerelay.policy.gateway import Batch, Gateway
+from vanerelay.policy.gateway import Gateway, Query
 
 ROOT = Path(__file__).resolve().parent.parent
 
-GROUP = ServiceGroup(
+GROUP = ServiceClass(
     "g",
     SECOND,
     2.0,
     10 * SECOND,
     1.0,
     0.0,
-    Effect.REPEATABLE,
-    Scope.ALL,
+    Idempotency.IDEMPOTENT,
+    DeduplicationScope.ALL,
     5 * SECOND,
     False,
     None,
@@ -61,10 +61,10 @@
     False,
     False,
 )
-ALLOWED = Allowances(
-    3, False, False, False, False, True, SECOND, True, 0.4, False, True, 0, Shortage.WAIT, False, False
+ALLOWED = Capabilities(
+    3, False, False, False, False, True, SECOND, True, 0.4, False, True, 0, MemoryShortage.WAIT, False, False
 )
-COLD = ColdStart(0.3, 10 * SECOND, 3.0, 2 * SECOND)
+COLD = SlowStartTerms(0.3, 10 * SECOND, 3.0, 2 * SECOND)
 
 
 class World:
@@ -74,7 +74,7 @@
         self,
         engines: int = 3,
         gateways: int = 1,
-        ration: RationTerms | None = None,
+        ration: RetryBudgetTerms | None = None,
         pause: int = 0,
         allowed: dict[str, Any] | None = None,
         number: int = 0,
@@ -90,16 +90,16 @@
             GatewaySettings(
                 [self.group, other],
                 [MachineKind(16, 32000.0)] * 2,
-                Place(number, gateways, 0),
+                FleetPosition(number, gateways, 0),
                 allowances,
                 COLD,
-                ration or RationTerms(0, 0, 0.0),
+                ration or RetryBudgetTerms(0, 0, 0.0),
                 pause,
                 50,
             ),
         )
         self.entries = [entry(i) for i in range(engines)]
-        self.gateway.listed(self.entries, True)
+        self.gateway.update_engines(self.entries, True)
 
     def take(
         self,
@@ -109,16 +109,16 @@
         group: int = 0,
         key: int | None = None,
         tables: int = 0,
-    ) -> Batch:
+    ) -> Query:
         self.made += 1
-        return self.gateway.take(
-            Arrival(self.made, group, 0, key, self.now + limit, cost, memory, tables, False)
+        return self.gateway.submit(
+            QueryArrival(self.made, group, 0, key, self.now + limit, cost, memory, tables, False)
         )
 
-    def end(self, batch: Batch, outcome: Outcome, memory: float = 400.0, lasted: int = 1500) -> None:
+    def end(self, batch: Query, outcome: Outcome, memory: float = 400.0, lasted: int = 1500) -> None:
         number = max(i for i, send in enumerate(batch.sends) if send.out)
-        returned = outcome is Outcome.RETURNED
-        batch.ended(number, AttemptResult(outcome, lasted, 1000 if returned else 0, memory), returned)
+        returned = outcome is Outcome.COMPLETED
+        batch.attempt_ended(number, AttemptResult(outcome, lasted, 1000 if returned else 0, memory), returned)
 
     def run(self, span: int) -> None:
         until = self.now + span
--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -11,7 +11,7 @@
 from vanerelay.fleet import messages as fleet
 from vanerelay.freshness import messages as freshness
 from vanerelay.leases import messages as leases
-from vanerelay.leases.voter import Ballot, Grant, Said
+from vanerelay.leases.voter import Ballot, Grant, VoterAnswer
 from vanerelay.membership import control_protocol
 from vanerelay.rollout import messages as rollout
 from vanerelay.rollout.canary_analysis import Baseline
@@ -39,14 +39,17 @@
         "fleet.view": fleet.View("m1", "prod", [MEMBER, FEW], True, 8, 9),
         "leases.ask": leases.Ask(2, [("tidy", BALLOT)], [("tidy", GRANT)], True, "tidy"),
         "leases.ask.least": leases.Ask(),
-        **{f"leases.replied.{at}": leases.Replied(said, GRANT, 700, BALLOT) for at, said in enumerate(Said)},
+        **{
+            f"leases.replied.{at}": leases.Replied(said, GRANT, 700, BALLOT)
+            for at, said in enumerate(VoterAnswer)
+        },
         "leases.told": leases.Told("tidy", BALLOT, GRANT),
         "leases.answer": leases.Answer(
             "silent",
             3,
             2,
-            [leases.Replied(Said(list(Said)[0]), GRANT, 1, BALLOT)],
-            [leases.Replied(Said(list(Said)[2]), Grant(), 0, Ballot())],
+            [leases.Replied(VoterAnswer(list(VoterAnswer)[0]), GRANT, 1, BALLOT)],
+            [leases.Replied(VoterAnswer(list(VoterAnswer)[2]), Grant(), 0, Ballot())],
             [leases.Told("tidy", BALLOT, GRANT)],
             True,
         ),
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from vanerelay.interface import Arrival, EngineEntry, EngineState, Outcome
+from vanerelay.interface import EngineEntry, EngineState, Outcome, QueryArrival
 
 SECOND = 10_000
-NEVER_RAN = {Outcome.PUSHED_BACK, Outcome.NO_CONNECTION, Outcome.NOT_SENT}
-MAY_RUN_ON = {Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED, Outcome.SPOILT}
+NEVER_RAN = {Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT}
+MAY_RUN_ON = {Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED, Outcome.MALFORMED}
 
 
 @dataclass
@@ -36,7 +36,7 @@
 class Query:
     """One query, as the judge saw it."""
 
-    arrival: Arrival
+    arrival: QueryArrival
     group: dict[str, Any]
     taken: int
     handle: Any = None
@@ -63,17 +63,17 @@
 
     # What a test tells of the world.
 
-    def took(self, arrival: Arrival) -> Query:
-        group = self.settings["classes"][arrival.group]
+    def took(self, arrival: QueryArrival) -> Query:
+        group = self.settings["classes"][arrival.service_class]
         query = self.queries[arrival.index] = Query(arrival, group, self.now)
         return query
 
     def ends(self, query: Query, number: int, outcome: Outcome) -> None:
         query.sent[number].ended = outcome
-        key = query.arrival.key
+        key = query.arrival.order_key
         if outcome in MAY_RUN_ON and query.group.get("inTurn") and key is not None:
             self._rests[key] = self.now + (self.safety.get("orderPauseUs") or 0) // 100
-        if outcome is Outcome.RETURNED:
+        if outcome is Outcome.COMPLETED:
             self._final(query, "returned")
 
     def advance(self, span: int) -> None:
@@ -86,16 +86,16 @@
 
     # The Transport.
 
-    def dispatch(self, batch: int, engine: int, time_out: int) -> None:
+    def send_attempt(self, batch: int, engine: int, time_out: int) -> None:
         query, entry = self.queries[batch], self.engines[engine]
         assert query.over is None, "rule 1: an attempt of a query that is over"
-        assert time_out > 0 and self.now + time_out <= query.arrival.time_limit + 60 * 10
+        assert time_out > 0 and self.now + time_out <= query.arrival.deadline + 60 * 10
         self._effects(query, entry)
         assert entry.state is EngineState.UP, "rule 3: an engine that drains or is gone"
         self._order(query)
         locations, kinds = query.group.get("staysIn"), query.group.get("kindsOnly")
-        assert locations is None or entry.location in locations, "rule 6: location"
-        assert kinds is None or entry.kind in kinds, "rule 6: kind"
+        assert locations is None or entry.zone in locations, "rule 6: location"
+        assert kinds is None or entry.machine_kind in kinds, "rule 6: kind"
         assert len(query.sent) < int(self.limits.get("maxAttempts") or 1), "more attempts than allowed"
         number = len(query.sent)
         query.sent.append(Sent(entry, self.now, time_out))
@@ -103,7 +103,7 @@
         if len(query.sent) > 1:
             self._ration()
 
-    def push_back(self, batch: int, retry_after: int) -> None:
+    def reject(self, batch: int, retry_after: int) -> None:
         query = self.queries[batch]
         semantics = query.group["semantics"]
         harmless = semantics == "pure" or not any(one.may_have_run for one in query.sent)
@@ -112,10 +112,10 @@
         assert retry_after <= (self.limits.get("maxRetryAfterUs") or 0) // 100
         self._final(query, "rejected")
 
-    def error(self, batch: int) -> None:
+    def fail(self, batch: int) -> None:
         self._final(self.queries[batch], "failed")
 
-    def cancel(self, batch: int, dispatch: int) -> None:
+    def cancel_attempt(self, batch: int, dispatch: int) -> None:
         assert self.limits.get("cancel"), "a cancel that is not allowed"
         self.queries[batch].sent[dispatch].cancelled = True
 
@@ -123,16 +123,16 @@
         self._made += 1
         heapq.heappush(self._timers, (self.now + max(1, delay), self._made, callback))
 
-    def grant(self, batch: int, memory: float, priority: int) -> None:
+    def grant_memory(self, batch: int, memory: float, priority: int) -> None:
         assert memory >= 0 and priority in (1, 2)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peers(self, peer: int | None, data: bytes) -> None:
         assert self.limits.get("peers") and len(data) <= 256
 
-    def probe(self, engine: int) -> None:
+    def probe_engine(self, engine: int) -> None:
         assert self.limits.get("probes")
 
-    def subscribe(self) -> None:
+    def subscribe_to_engine_list(self) -> None:
         pass
 
     def log(self, text: str) -> None:
@@ -142,7 +142,7 @@
 
     def _final(self, query: Query, word: str) -> None:
         assert query.over is None, "rule 1: a second final answer"
-        assert self.now <= query.arrival.time_limit, "rule 1: a final answer after the time limit"
+        assert self.now <= query.arrival.deadline, "rule 1: a final answer after the time limit"
         query.over = word
 
     def _effects(self, query: Query, entry: EngineEntry) -> None:
@@ -154,17 +154,17 @@
         window = (query.group.get("windowUs") or 0) // 100
         assert self.now - ran[0].at < window, "rule 2: a repeat after its window"
         scope, first = query.group.get("dedupScope") or "all", ran[0].engine
-        assert scope != "zone" or entry.location == first.location, "rule 2: another location"
+        assert scope != "zone" or entry.zone == first.zone, "rule 2: another location"
         assert scope != "cell" or entry.cell == first.cell, "rule 2: another cell"
 
     def _order(self, query: Query) -> None:
-        key = query.arrival.key
+        key = query.arrival.order_key
         if not query.group.get("inTurn") or key is None:
             return
         earlier = [
             other
             for other in self.queries.values()
-            if other.arrival.key == key
+            if other.arrival.order_key == key
             and other.group.get("inTurn")
             and other.arrival.index < query.arrival.index
         ]
--- a/tests/store_samples.py
+++ b/tests/store_samples.py
@@ -17,12 +17,12 @@
 from tests import message_samples
 from vanerelay.fleet import messages as fleet_words
 from vanerelay.leases import messages as lease_words
-from vanerelay.leases.durable_store import Disk
+from vanerelay.leases.durable_store import DurableStore
 from vanerelay.leases.voter_service import META, SPACE
 from vanerelay.membership import list_codec
 from vanerelay.membership.store import open_store
-from vanerelay.rollout.agent_store import Store
-from vanerelay.rollout.change_log import Record
+from vanerelay.rollout.agent_store import AgentStore
+from vanerelay.rollout.change_log import ChangeLog
 
 LIST = {
     "revision": 7,
@@ -65,9 +65,9 @@
 def write_promises(folder: Path) -> None:
     """What a voter keeps: its meta record and one task."""
     reactor = DirectReactor()
-    disk = Disk(reactor, str(folder))
+    disk = DurableStore(reactor, str(folder))
     told = lease_words.Told("tidy", message_samples.BALLOT, message_samples.GRANT)
-    disk.put(SPACE, {META: msgspec.msgpack.encode((3, 2)), "tidy": fleet_words.pack(told)})
+    disk.put(SPACE, {META: msgspec.msgpack.encode((3, 2)), "tidy": fleet_words.encode(told)})
     reactor.wait()
     disk.close()
 
@@ -81,7 +81,7 @@
 
 
 def write_record(folder: Path) -> None:
-    record = Record(str(folder / "change.record"))
+    record = ChangeLog(str(folder / "change.record"))
     record.begin("change", PLAN, 3)
     record.claim(4)
     record.keep_baseline(BASELINE)
@@ -92,7 +92,7 @@
 
 
 def write_orders(folder: Path) -> None:
-    store = Store(str(folder))
+    store = AgentStore(str(folder))
     store.at_start("0123456789ab")
     store.keep("7/change")
     store.ordered(SETTINGS)
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -8,7 +8,7 @@
 from rules import SECOND, Judge
 
 from vanerelay import settings, settings_validation
-from vanerelay.interface import Arrival, AttemptResult, EngineEntry, EngineState, LoadReport, Outcome
+from vanerelay.interface import AttemptResult, EngineEntry, EngineState, LoadReport, Outcome, QueryArrival
 
 SPANS_US = [100, 1_000, 50_000, 250_000, 1_000_000, 3_000_000, 20_000_000, 10_000_000_000]
 
@@ -104,32 +104,32 @@
             self.judge.engines[number] = entry
             entries.append(entry)
         for gateway in self.gateways:
-            gateway.listed(entries, whole)
+            gateway.update_engines(entries, whole)
 
     def take(self) -> None:
         self._taken += 1
         row = self.chance.randrange(len(self.settings["classes"]))
         limit = min(self.settings["classes"][row]["deadlineUs"] // 100, 60 * SECOND)
-        arrival = Arrival(
+        arrival = QueryArrival(
             index=self._taken,
-            group=row,
-            customer=0,
-            key=self.chance.choice([None, 1, 2]),
-            time_limit=self.judge.now + limit,
-            cost=self.chance.choice([0, 10, 10_000]),
-            memory=self.chance.choice([0.0, 10.0, 5e4]),
-            tables=self.chance.choice([0, 5]),
+            service_class=row,
+            tenant=0,
+            order_key=self.chance.choice([None, 1, 2]),
+            deadline=self.judge.now + limit,
+            estimated_cost=self.chance.choice([0, 10, 10_000]),
+            estimated_memory=self.chance.choice([0.0, 10.0, 5e4]),
+            table_group=self.chance.choice([0, 5]),
             is_retry=False,
         )
         query = self.judge.took(arrival)
-        query.handle = self.gateway.take(arrival)
+        query.handle = self.gateway.submit(arrival)
 
     def end(self, query, number: int, outcome: Outcome) -> None:
         self.judge.ends(query, number, outcome)
         report = self.chance.choice([None, LoadReport(cores_busy=0.5)])
         work = self.chance.choice([0, 1, 10_000])
         result = AttemptResult(outcome, self.judge.now - query.sent[number].at, work, 50.0, report)
-        query.handle.ended(number, result, query.over is not None)
+        query.handle.attempt_ended(number, result, query.over is not None)
 
     def time_out(self, query, number: int) -> None:
         if query.sent[number].ended is None:
@@ -148,7 +148,7 @@
 
     def switch(self) -> None:
         old, self.gateway = self.gateway, settings.open_gateway(self.judge, 7, self.settings)
-        self.gateway.succeed(old)
+        self.gateway.take_over(old)
         self.gateways.append(self.gateway)
 
 
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -6,28 +6,28 @@
 
 from tests.helpers import World
 from vanerelay import settings
-from vanerelay.interface import SECOND, AttemptResult, LoadReport, NoteKind, Outcome
+from vanerelay.interface import SECOND, AttemptResult, LoadReport, Outcome, ProgressKind
 from vanerelay.policy.gateway import BEAT, Health
 
-ASKS = {"probes": True, "asks": True}
-NOTES = {"notes_every": SECOND // 2}
+ASKS = {"may_probe": True, "polls_load": True}
+NOTES = {"progress_interval": SECOND // 2}
 
 
-@pytest.mark.parametrize(("allowed", "probes"), [(ASKS, [0, 1, 2, 0]), ({"probes": True}, []), ({}, [])])
+@pytest.mark.parametrize(("allowed", "probes"), [(ASKS, [0, 1, 2, 0]), ({"may_probe": True}, []), ({}, [])])
 def test_each_batch_has_the_engine_asked_that_was_longest_not(allowed, probes):
     world = World(engines=3, allowed=allowed)
-    first = [place[2].entry.engine for place in world.gateway.order.all]
+    first = [place[2].entry.index for place in world.gateway.order.all]
     for _ in range(4):
         world.take(memory=10.0)
         world.run(10)
-        for (engine,) in world.did("probe")[-1:]:
-            world.gateway.reported(engine, Outcome.RETURNED, LoadReport(cores_busy=0.1))
-    assert [engine for (engine,) in world.did("probe")] == [first[row] for row in probes]
+        for (engine,) in world.did("probe_engine")[-1:]:
+            world.gateway.probe_completed(engine, Outcome.COMPLETED, LoadReport(cores_busy=0.1))
+    assert [engine for (engine,) in world.did("probe_engine")] == [first[row] for row in probes]
 
 
 @pytest.mark.parametrize(
     ("busy", "outcome", "sent"),
-    [(0.0, Outcome.RETURNED, 3), (1.0, Outcome.RETURNED, 2), (None, Outcome.TIMED_OUT, 2)],
+    [(0.0, Outcome.COMPLETED, 3), (1.0, Outcome.COMPLETED, 2), (None, Outcome.TIMED_OUT, 2)],
 )
 def test_what_a_probe_tells_is_lent_past_the_part_of_one_of_many(busy, outcome, sent):
     world = World(engines=2, gateways=40, allowed=ASKS, threads=1)
@@ -36,58 +36,62 @@
         world.run(BEAT)
     world.gateway._offered._totals[0] = 0.0
     third = world.take(memory=10.0)
-    before = len(world.did("dispatch"))
+    before = len(world.did("send_attempt"))
     assert not third.sends or before == 3
     for _ in range(8):  # the report is trusted by half, and the usual learned from the reports
         for engine in (0, 1):
-            world.gateway.reported(
+            world.gateway.probe_completed(
                 engine, outcome, None if busy is None else LoadReport(cores_busy=busy, memory_granted=busy)
             )
-    assert len(world.did("dispatch")) == max(before, sent)
+    assert len(world.did("send_attempt")) == max(before, sent)
 
 
 @pytest.mark.parametrize(
     ("cancel", "others_full", "called_off"), [(True, False, True), (True, True, False), (False, False, False)]
 )
 def test_what_waits_for_memory_goes_where_an_engine_is_not_known_full(cancel, others_full, called_off):
-    world = World(engines=2, allowed={"cancel": cancel, **NOTES})
+    world = World(engines=2, allowed={"may_cancel": cancel, **NOTES})
     batch = world.take(memory=10.0)
     send = batch.sends[0]
     for engine in world.gateway._engines.values():
         if others_full and engine is not send.engine:
             engine.full = world.now
-    batch.noted(0, NoteKind.WAITING, 1.0)
-    assert bool(world.did("cancel")) is called_off
+    batch.attempt_progressed(0, ProgressKind.WAITING, 1.0)
+    assert bool(world.did("cancel_attempt")) is called_off
     assert send.engine.others(world.now, 0.2) == 1.0
 
 
 @pytest.mark.parametrize(
-    ("kind", "value", "called_off"), [(NoteKind.WAITING, 2.0, False), (NoteKind.PROGRESS, 0.1, True)]
+    ("kind", "value", "called_off"), [(ProgressKind.WAITING, 2.0, False), (ProgressKind.PROGRESS, 0.1, True)]
 )
 def test_a_dispatch_that_waits_owes_no_notes(kind, value, called_off):
-    world = World(engines=1, allowed={"cancel": True, **NOTES})
+    world = World(engines=1, allowed={"may_cancel": True, **NOTES})
     world.gateway.notes = True
     batch = world.take(memory=10.0)
-    batch.noted(0, kind, value)
+    batch.attempt_progressed(0, kind, value)
     world.run(3 * SECOND // 2)
-    assert bool(world.did("cancel")) is called_off
+    assert bool(world.did("cancel_attempt")) is called_off
 
 
 def test_a_lost_answer_holds_nothing_and_many_leave_time_for_another_dispatch():
-    world = World(engines=1, allowed=NOTES, late_utility=0.5, goal=2 * SECOND, goal_stretch=0.0)
+    world = World(
+        engines=1, allowed=NOTES, late_value=0.5, latency_objective=2 * SECOND, objective_stretch=0.0
+    )
     for cost in [500, 4000] * 20:
-        world.take(cost=0, memory=10.0).ended(0, AttemptResult(Outcome.RETURNED, cost, cost, 10.0), True)
+        world.take(cost=0, memory=10.0).attempt_ended(
+            0, AttemptResult(Outcome.COMPLETED, cost, cost, 10.0), True
+        )
     lost = [world.take(cost=0, memory=10.0) for _ in range(20)]
-    assert world.did("dispatch")[-1][2] > 5 * SECOND  # nothing was lost so far: until the limit
+    assert world.did("send_attempt")[-1][2] > 5 * SECOND  # nothing was lost so far: until the limit
     ledger, held = world.gateway._engines[0].ledger, world.gateway.pool.running
     for batch in lost:
-        batch.noted(0, NoteKind.PROGRESS, 0.1)
+        batch.attempt_progressed(0, ProgressKind.PROGRESS, 0.1)
     world.run(SECOND // 2 + Health.QUIET + 3 * BEAT)
     assert held == 20 and (ledger.running, ledger.granted, world.gateway.pool.running) == (0, 0.0, 0)
     world.end(lost[0], Outcome.TIMED_OUT, lasted=2 * SECOND)
-    assert ledger.running == len([1 for send in lost[0].sends if send.out]) and not world.did("error")
+    assert ledger.running == len([1 for send in lost[0].sends if send.out]) and not world.did("fail")
     world.take(cost=0, memory=10.0)
-    assert world.did("dispatch")[-1][2] < 2 * SECOND
+    assert world.did("send_attempt")[-1][2] < 2 * SECOND
 
 
 @pytest.mark.parametrize(
@@ -95,25 +99,25 @@
     [([SECOND // 2] * 3, []), ([SECOND, SECOND, 6 * SECOND, SECOND], [2]), ([SECOND] * 5, [3, 4])],
 )
 def test_of_batches_of_one_key_the_longest_goes_where_not_all_end_in_time(costs, given_up):
-    world = World(in_order=True, goal=5 * SECOND, goal_stretch=0.0, time_limit=30 * SECOND)
+    world = World(ordered=True, latency_objective=5 * SECOND, objective_stretch=0.0, deadline=30 * SECOND)
     batches = [world.take(cost=cost, memory=10.0, key=7, limit=30 * SECOND) for cost in costs]
     assert [row for row, batch in enumerate(batches) if batch.over] == given_up
-    assert len(world.did("push_back")) == len(given_up) and len(world.did("dispatch")) == 1
+    assert len(world.did("reject")) == len(given_up) and len(world.did("send_attempt")) == 1
     ended = 0
     while waiting := [batch for batch in batches if batch.out()]:
-        world.end(waiting[0], Outcome.RETURNED)
+        world.end(waiting[0], Outcome.COMPLETED)
         ended += 1
     assert ended == len(costs) - len(given_up)
 
 
 @pytest.mark.parametrize(("costs", "early"), [([1000] * 60, True), ([100, 100, 20000] * 20, False)])
 def test_a_time_out_before_the_limit_waits_for_what_the_spread_of_costs_asks(costs, early):
-    world = World(engines=1, goal=2 * SECOND, goal_stretch=0.0)
+    world = World(engines=1, latency_objective=2 * SECOND, objective_stretch=0.0)
     for cost in costs:
         batch = world.take(cost=0, memory=10.0)
-        batch.ended(0, AttemptResult(Outcome.RETURNED, cost, cost, 10.0), True)
+        batch.attempt_ended(0, AttemptResult(Outcome.COMPLETED, cost, cost, 10.0), True)
     world.take(cost=0, memory=10.0)
-    assert (world.did("dispatch")[-1][2] < 2 * SECOND) is early
+    assert (world.did("send_attempt")[-1][2] < 2 * SECOND) is early
 
 
 @pytest.mark.parametrize(("gateways", "looks"), [(3, 40), (80, 40), (81, 20), (162, 10), (300, 10)])
@@ -123,7 +127,7 @@
     monkeypatch.setattr(world.gateway, "_look_over", lambda *told: (seen.append(told), whole(*told)))
     batch = world.take(limit=SECOND)
     world.run(SECOND)
-    assert batch.over and len(world.did("push_back")) == 1
+    assert batch.over and len(world.did("reject")) == 1
     world.run(SECOND)
     assert len(seen) == looks
 
@@ -145,4 +149,4 @@
             "familyInfo": {"reportX0": "share of memory granted"},
         }
     )
-    assert allowed.asks is asks
+    assert allowed.polls_load is asks
--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -16,6 +16,7 @@
 
 from tests import message_samples
 from tests.helpers import ROOT
+from vanerelay.clock import Clock
 from vanerelay.fleet import config as fleet_parts
 from vanerelay.fleet import rpc
 from vanerelay.fleet.service import Fleet
@@ -23,10 +24,9 @@
 from vanerelay.freshness.service import Freshness
 from vanerelay.leases import config as lease_parts
 from vanerelay.leases.service import Leases
-from vanerelay.leases.voter import Terms, Voters
-from vanerelay.net.clock import Clock
-from vanerelay.rollout.agent import Hand, Tally
-from vanerelay.rollout.agent_store import Store
+from vanerelay.leases.voter import LeaseTerms, Voters
+from vanerelay.rollout.agent import ClassTotals, RolloutAgent
+from vanerelay.rollout.agent_store import AgentStore
 from vanerelay.warming import extension as warming_join
 
 GOLDEN = json.loads((ROOT / "tests/data/messages.json").read_text())
@@ -57,23 +57,23 @@
 
 
 def link_to(handlers: dict[str, Any]) -> tuple[Any, StringTransport]:
-    everyone = rpc.Links(FakeReactor())
+    everyone = rpc.RpcNode(FakeReactor())
     everyone.handlers |= handlers
-    link, transport = rpc.Link(everyone), StringTransport()
+    link, transport = rpc.RpcConnection(everyone), StringTransport()
     link.makeConnection(transport)
     return link, transport
 
 
 def test_a_question_has_the_command_and_arguments_of_earlier_releases():
     link, transport = link_to({})
-    link.callRemote(rpc.Say, kind="ping", body=b"\x01\x02").addErrback(lambda _: None)
+    link.callRemote(rpc.Call, kind="ping", body=b"\x01\x02").addErrback(lambda _: None)
     assert transport.value().hex() == GOLDEN["amp"]["question"]
 
 
 @pytest.mark.parametrize("name", ["answer", "unknown", "refused"])
 def test_an_answer_has_the_keys_and_error_codes_of_earlier_releases(name):
     def refuse(body: bytes) -> bytes:
-        raise rpc.Refused("no")
+        raise rpc.RequestRefusedError("no")
 
     link, transport = link_to({"ping": lambda body: body[::-1], "order": refuse})
     link.dataReceived(bytes.fromhex(GOLDEN["amp"][f"{name}.asked"]))
@@ -81,12 +81,12 @@
 
 
 def fleet() -> Fleet:
-    parts = fleet_parts.Parts("127.0.0.1:7946")
+    parts = fleet_parts.FleetConfig("127.0.0.1:7946")
     return Fleet(FakeReactor(), Clock(), parts, "m1", "program", "settings", 1)
 
 
 def leases_of(fleet: Fleet) -> Leases:
-    parts = lease_parts.Parts(Voters(1, ("m1", "m2", "m3"), ()), terms=Terms())
+    parts = lease_parts.LeasesConfig(Voters(1, ("m1", "m2", "m3"), ()), terms=LeaseTerms())
     return Leases(FakeReactor(), fleet, parts, MagicMock(), 1, None)
 
 
@@ -105,7 +105,7 @@
     watch = freshness_parts.Watch(("copies", "@ID@"))
     leases = leases_of(one)
     before = set(one.links.handlers)
-    Freshness(FakeReactor(), one, leases, freshness_parts.Parts(watch))
+    Freshness(FakeReactor(), one, leases, freshness_parts.FreshnessConfig(watch))
     return set(one.links.handlers) - before
 
 
@@ -114,16 +114,16 @@
     host.limits = {}
     host.gateway.pool.used.return_value = 0.0
     before = set(one.links.handlers)
-    Hand(host, one, Tally(), Store(""))
+    RolloutAgent(host, one, ClassTotals(), AgentStore(""))
     return set(one.links.handlers) - before
 
 
 def warming_kinds() -> set[str]:
     host, joined = MagicMock(), MagicMock()
     joined.fleet.links.handlers = handlers = {}
-    host.profile, host.places = {"classes": [{"name": "warm"}]}, {}
-    parts = warming_join.Parts("warm", "SELECT @GROUP@")
-    warming_join.WarmingPart(host, parts, joined, MagicMock(), None).open()
+    host.settings, host.zones = {"classes": [{"name": "warm"}]}, {}
+    parts = warming_join.WarmingConfig("warm", "SELECT @GROUP@")
+    warming_join.WarmingExtension(host, parts, joined, MagicMock(), None).open()
     return set(handlers)
 
 
@@ -142,7 +142,7 @@
 
 
 def test_each_figure_of_a_service_class_has_its_place_in_the_array():
-    tally = Tally()
+    tally = ClassTotals()
     for code, value, answered_after in ((0, 1.0, 20), (0, 0.5, 90), (1, 0.25, 5), (2, 0.0, 5), (2, 0.0, 5)):
         tally.answered("look", value, code, answered_after, 3)
     assert packed(tally.told()) == GOLDEN["tally"]
--- a/tests/test_compatibility_stores.py
+++ b/tests/test_compatibility_stores.py
@@ -14,15 +14,15 @@
 
 from tests import message_samples, store_samples
 from tests.helpers import ROOT
+from vanerelay.clock import Clock
 from vanerelay.fleet import config as fleet_parts
 from vanerelay.fleet.service import Fleet
-from vanerelay.leases.durable_store import Disk
-from vanerelay.leases.voter import Slot, Terms, Voters
-from vanerelay.leases.voter_service import Voting
+from vanerelay.leases.durable_store import DurableStore
+from vanerelay.leases.voter import LeaseTerms, VoterRecord, Voters
+from vanerelay.leases.voter_service import VoterService
 from vanerelay.membership.store import Loaded, open_store
-from vanerelay.net.clock import Clock
-from vanerelay.rollout.agent_store import Store
-from vanerelay.rollout.change_log import Record
+from vanerelay.rollout.agent_store import AgentStore
+from vanerelay.rollout.change_log import ChangeLog
 from vanerelay.rollout.fence import Fence
 from vanerelay.rollout.supervisor import CURRENT
 
@@ -55,11 +55,11 @@
 
 
 def test_a_voter_remembers_what_an_earlier_release_promised(old):
-    disk = Disk(store_samples.DirectReactor(), str(old))
+    disk = DurableStore(store_samples.DirectReactor(), str(old))
     voters = Voters(2, ("m1", "m2", "m3"), ())
-    voting = Voting(FakeReactor(), "m1", Terms(), voters, disk, lambda: 0, lambda *_: None)
+    voting = VoterService(FakeReactor(), "m1", LeaseTerms(), voters, disk, lambda: 0, lambda *_: None)
     assert (voting.voter.era, voting.voter.version) == (3, 2)
-    slot = Slot(message_samples.BALLOT, message_samples.GRANT, 30000)
+    slot = VoterRecord(message_samples.BALLOT, message_samples.GRANT, 30000)
     assert voting.voter.slots == {"tidy": slot}
     voting.stop()
 
@@ -78,13 +78,13 @@
         2.5,
         0.5,
     ]
-    assert [second.name, second.started, second.weight] == ["e2", 0, 1.0]
+    assert [second.name, second.started_at, second.weight] == ["e2", 0, 1.0]
     assert [row.why for row in store.history(5)] == ["accepted"]
     store.close()
 
 
 def test_a_controller_goes_on_from_the_record_of_an_earlier_release(old):
-    record = Record(str(old / "change.record"), False)
+    record = ChangeLog(str(old / "change.record"), False)
     assert (record.change, record.name, record.fence) == (1, "change", 4)
     assert record.plan() == store_samples.PLAN and record.baseline() == store_samples.BASELINE
     assert record.events() == store_samples.EVENTS
@@ -93,7 +93,7 @@
 
 
 def test_a_gateway_heeds_the_fence_and_the_settings_that_an_earlier_release_kept(old):
-    store = Store(str(old))
+    store = AgentStore(str(old))
     fence = Fence(store.fence())
     assert fence.highest == 7 and fence.told == "7/change"
     assert store.at_start("0123456789ab") == store_samples.SETTINGS
@@ -105,7 +105,7 @@
 
 
 def test_an_incarnation_goes_past_that_of_an_earlier_release(old):
-    parts = fleet_parts.Parts("127.0.0.1:7946", folder=str(old))
+    parts = fleet_parts.FleetConfig("127.0.0.1:7946", folder=str(old))
     before = int((STORES / "incarnation").read_text())
     fleet = Fleet(FakeReactor(), Clock(), parts, "m1", "program", "settings", 1)
     assert fleet.alive.own.incarnation == before + 1
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -8,23 +8,22 @@
 import pytest
 from helpers import COLD, World, entry
 
-from vanerelay.estimation import Ring
+from vanerelay.estimation import SlidingSums
 from vanerelay.interface import (
     SECOND,
     AttemptResult,
-    Bounds,
-    ColdStart,
-    Effect,
+    DeduplicationScope,
     EngineState,
+    FleetPosition,
+    Idempotency,
     LoadReport,
-    NoteKind,
     Outcome,
-    Place,
-    RationTerms,
-    Scope,
+    PlacementConstraints,
+    ProgressKind,
+    RetryBudgetTerms,
+    SlowStartTerms,
 )
 from vanerelay.policy.gateway import Door, Ledger, Peaks, Ramp, Ration
-from vanerelay.query_table import conditions
 
 O = Outcome  # noqa: E741
 BUSY = 13_000.0  # over a slice of a third, so that one fills an engine
@@ -35,7 +34,7 @@
     [(100, 0, 0, 1, 1), (100, 0, 79, 1, 1), (100, 0, 100, 1, 0), (100, 0, 95, 1, 0), (100, 0, 110, 0, 0)],
 )
 def test_ring_never_forgets_early_nor_counts_late(span, at, now, whole, short):
-    ring = Ring(span, 1)
+    ring = SlidingSums(span, 1)
     ring.add(at, 1)
     assert (ring.total(now, 0), ring.total(now, 0, short=True)) == (whole, short)
 
@@ -95,7 +94,7 @@
     [(0, 0, True), (0, 2, False), (10, 3, True), (10, 4, False), (100, 21, True), (100, 22, False)],
 )
 def test_ration_at_its_boundary(taken, spent, allowed):
-    ration = Ration(RationTerms(10 * SECOND, 2, 0.2))
+    ration = Ration(RetryBudgetTerms(10 * SECOND, 2, 0.2))
     for _ in range(taken):
         ration.ring.add(SECOND, 1, 0)
     for _ in range(spent):
@@ -110,9 +109,9 @@
     [(0, 1, 0.3), (5, 1, 0.65), (10, 1, 1.0), (0, 3, 0.3), (0, 50, 0.3), (5, 200, 0.65), (0, 200, 0.3)],
 )
 def test_cold_budget_holds_for_all_gateways_and_lets_batches_through(age, gateways, share):
-    cold, work, sent, used = ColdStart(0.3, 10 * SECOND, 3.0, 2 * SECOND), 5000, 0, 0
+    cold, work, sent, used = SlowStartTerms(0.3, 10 * SECOND, 3.0, 2 * SECOND), 5000, 0, 0
     for number in range(gateways):
-        ramp = Ramp(cold, "e7", 16, Place(number, gateways, 0), 2 * SECOND, 0)
+        ramp = Ramp(cold, "e7", 16, FleetPosition(number, gateways, 0), 2 * SECOND, 0)
         ramp.began = 100 * SECOND
         now = 100 * SECOND + age * SECOND
         assert ramp.share(now) == pytest.approx(share)
@@ -135,7 +134,7 @@
     def world(number, now):
         one = World(engines=0, gateways=30, number=number)
         one.now = one.gateway._born = now
-        one.gateway.listed([entry(0, started=began)], True)
+        one.gateway.update_engines([entry(0, started_at=began)], True)
         return one
 
     worlds = [world(number, began) for number in range(30)]
@@ -147,14 +146,14 @@
             for batch in [one.take(cost=cost, memory=1.0) for _ in range(12)]:
                 if batch.sends:
                     sent.append(now)
-                    batch.ended(0, AttemptResult(Outcome.RETURNED, cost, cost, 1.0), True)
+                    batch.attempt_ended(0, AttemptResult(Outcome.COMPLETED, cost, cost, 1.0), True)
                 else:
-                    batch.left()
+                    batch.client_left()
     for end in range(began, began + 4 * SECOND, step):
-        age = max(0, end - COLD.window - began) / COLD.warm_after
-        capacity = 16 * (COLD.share + (1 - COLD.share) * age)
-        allowed = COLD.multiple * capacity * COLD.window / cost
-        window = sum(end - COLD.window < when <= end for when in sent)
+        age = max(0, end - COLD.overload_window - began) / COLD.ramp_duration
+        capacity = 16 * (COLD.initial_share + (1 - COLD.initial_share) * age)
+        allowed = COLD.overload_multiple * capacity * COLD.overload_window / cost
+        window = sum(end - COLD.overload_window < when <= end for when in sent)
         assert window <= allowed + 2 * allowed**0.5 + 2
     assert len(sent) > 100
 
@@ -192,15 +191,15 @@
 def test_the_slice_of_a_gateway_that_is_away_is_shared_by_the_rest(gateways, peers, heard, span, parts):
     """Seen on sockets: a tenth pushed back while one restarted, with a third of each engine left to nobody.
     One never heard counts as there: messages may be lost, and it starts when it starts."""
-    world = World(gateways=gateways, allowed={"peers": peers})
+    world = World(gateways=gateways, allowed={"may_gossip": peers})
     for number in heard:
-        world.gateway.heard_from(number, b"\0\0\0\1")
+        world.gateway.receive_from_peer(number, b"\0\0\0\1")
     for _ in range(span // 50):
         world.run(500)
     assert world.gateway.slice == pytest.approx(1 / parts)
-    assert (len(world.did("tell")) >= span // 250) == (peers and 1 < gateways < 9)
+    assert (len(world.did("send_to_peers")) >= span // 250) == (peers and 1 < gateways < 9)
     for number in heard:
-        world.gateway.heard_from(number, b"\0\0\0\1")
+        world.gateway.receive_from_peer(number, b"\0\0\0\1")
     world.run(3000)
     assert world.gateway.slice == pytest.approx(1 / gateways)
 
@@ -209,12 +208,12 @@
 def test_slices_go_by_what_comes_to_each_gateway(theirs, part):
     """Seen on sockets: a fifth pushed back at the gateway with half of the traffic, beside two with room."""
     world = World(gateways=3)
-    world.gateway.allowed = dataclasses.replace(world.gateway.allowed, peers=True)
+    world.gateway.allowed = dataclasses.replace(world.gateway.allowed, may_gossip=True)
     for _ in range(100):
         world.run(SECOND // 10)
-        world.take().left()
+        world.take().client_left()
         for number, need in ((1, theirs), (2, 50)):
-            world.gateway.heard_from(number, need.to_bytes(4, "big"))
+            world.gateway.receive_from_peer(number, need.to_bytes(4, "big"))
     assert world.gateway.slice == pytest.approx(part, abs=0.03)
 
 
@@ -228,9 +227,9 @@
         world.take(memory=9000.0)
     for world.gateway.pool.running in (0, 20):  # as many as run: 30% of all traffic was kept to eight of 32
         most = min(engines, max(kept, world.gateway.pool.running))
-        assert len(list(world.gateway._kept(Bounds(None, None, None)))) == most
+        assert len(list(world.gateway._kept(PlacementConstraints(None, None, None)))) == most
     most = max(1.0, 1.25 * engines * 32000 / gateways / 9000) if engines else 0
-    assert len(world.did("dispatch")) <= most + 2 and len(world.did("dispatch")) >= min(sent, 1)
+    assert len(world.did("send_attempt")) <= most + 2 and len(world.did("send_attempt")) >= min(sent, 1)
 
 
 @pytest.mark.parametrize(("gateways", "engines"), [(50, 12), (200, 40), (200, 33), (160, 25)])
@@ -238,9 +237,9 @@
     keepers, moved = [0] * engines, 0
     for number in range(0, gateways):
         world = World(engines=engines, gateways=gateways, number=number)
-        before = {e.entry.engine for e in world.gateway._kept(Bounds(None, None, None))}
-        world.gateway.listed([dataclasses.replace(world.entries[0], state=EngineState.GONE)], False)
-        after = {e.entry.engine for e in world.gateway._kept(Bounds(None, None, None))}
+        before = {e.entry.index for e in world.gateway._kept(PlacementConstraints(None, None, None))}
+        world.gateway.update_engines([dataclasses.replace(world.entries[0], state=EngineState.GONE)], False)
+        after = {e.entry.index for e in world.gateway._kept(PlacementConstraints(None, None, None))}
         moved += len(after - before)
         for engine in before:
             keepers[engine] += 1
@@ -259,9 +258,9 @@
         for _ in range(200):
             world.run(500)
             batch = world.take()
-            if batch.sends and batch.sends[0].out and batch.sends[0].engine.entry.engine == 1:
-                world.end(batch, O.RETURNED)
-        tried = sum(d[1] == 0 for d in world.did("dispatch"))
+            if batch.sends and batch.sends[0].out and batch.sends[0].engine.entry.index == 1:
+                world.end(batch, O.COMPLETED)
+        tried = sum(d[1] == 0 for d in world.did("send_attempt"))
         trials += tried / 10 * gateways / min(gateways, 8)
     assert trials <= most
 
@@ -290,14 +289,14 @@
 
 
 def test_loads_and_what_waits_for_them_lean_apart():
-    world = World(engines=4, waits_for_loads=True)
-    world.gateway._groups[1] = dataclasses.replace(world.gateway._groups[1], is_load=True)
+    world = World(engines=4, waits_for_data_loads=True)
+    world.gateway._groups[1] = dataclasses.replace(world.gateway._groups[1], is_data_load=True)
     sides = [{0: set(), 1: set()} for _ in range(2)]
     for count in range(60):
         group = count % 2
         batch = world.take(memory=50.0, group=group, tables=count % 4 // 2)
-        sides[group][count % 4 // 2].add(batch.sends[0].engine.entry.engine)
-        world.end(batch, O.RETURNED)
+        sides[group][count % 4 // 2].add(batch.sends[0].engine.entry.index)
+        world.end(batch, O.COMPLETED)
     assert all(len(sides[0][t] & sides[1][t]) <= 1 for t in (0, 1))
     assert not any(engine.health.paced for engine in world.gateway._engines.values())  # they may stand still
 
@@ -306,42 +305,42 @@
     world = World(engines=1, gateways=3)
     first = world.take(memory=9000.0)
     held = [world.take(memory=m) for m in (9000.0, 3000.0, 9000.0)]
-    assert len(world.did("dispatch")) == 1 and all(not b.sends for b in held)
-    world.end(first, O.RETURNED, memory=0.0)
-    assert [d[0] for d in world.did("dispatch")] == [1, 2]
-    world.end(held[0], O.RETURNED, memory=0.0)
-    assert [d[0] for d in world.did("dispatch")][:3] == [1, 2, 3]
+    assert len(world.did("send_attempt")) == 1 and all(not b.sends for b in held)
+    world.end(first, O.COMPLETED, memory=0.0)
+    assert [d[0] for d in world.did("send_attempt")] == [1, 2]
+    world.end(held[0], O.COMPLETED, memory=0.0)
+    assert [d[0] for d in world.did("send_attempt")][:3] == [1, 2, 3]
 
 
 def test_past_its_bound_the_head_goes_with_a_cut_grant():
-    world = World(engines=1, gateways=3, goal=9 * SECOND, time_limit=40 * SECOND)
+    world = World(engines=1, gateways=3, latency_objective=9 * SECOND, deadline=40 * SECOND)
     world.take(cost=20_000, memory=5000.0, limit=40 * SECOND)
     world.take(cost=20_000, memory=5000.0, limit=40 * SECOND)
     world.run(SECOND)
-    assert len(world.did("dispatch")) == 1
+    assert len(world.did("send_attempt")) == 1
     world.run(2 * SECOND)
-    assert len(world.did("dispatch")) == 2
-    assert world.did("grant")[1][1] < world.did("grant")[0][1]
+    assert len(world.did("send_attempt")) == 2
+    assert world.did("grant_memory")[1][1] < world.did("grant_memory")[0][1]
 
 
 @pytest.mark.parametrize(
     ("effect", "scope", "outcome", "again", "answer"),
     [
-        (Effect.REPEATABLE, Scope.ALL, O.ERRORED, True, "push_back"),
-        (Effect.REPEATABLE, Scope.ALL, O.TIMED_OUT, True, "push_back"),
-        (Effect.ONCE_ONLY, Scope.ALL, O.PUSHED_BACK, True, "push_back"),
-        (Effect.ONCE_ONLY, Scope.ALL, O.NO_CONNECTION, True, "push_back"),
-        (Effect.ONCE_ONLY, Scope.ALL, O.ERRORED, False, "error"),
-        (Effect.ONCE_ONLY, Scope.ALL, O.TIMED_OUT, False, "error"),
-        (Effect.ONCE_ONLY, Scope.ALL, O.RESET, False, "error"),
-        (Effect.ONCE_ONLY, Scope.ALL, O.CANCELLED, False, "error"),
-        (Effect.REFERENCED, Scope.ALL, O.RESET, True, "push_back"),
-        (Effect.REFERENCED, Scope.LOCATION, O.RESET, True, "error"),
-        (Effect.REFERENCED, Scope.CELL, O.ERRORED, True, "error"),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, O.FAILED, True, "reject"),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, O.TIMED_OUT, True, "reject"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.REJECTED, True, "reject"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.NO_CONNECTION, True, "reject"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.FAILED, False, "fail"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.TIMED_OUT, False, "fail"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.RESET, False, "fail"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.CANCELLED, False, "fail"),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ALL, O.RESET, True, "reject"),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, O.RESET, True, "fail"),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.CELL, O.FAILED, True, "fail"),
     ],
 )
 def test_no_effect_twice(effect, scope, outcome, again, answer):
-    world = World(effect=effect, scope=scope)
+    world = World(idempotency=effect, deduplication_scope=scope)
     batch = world.take()
     world.end(batch, outcome)
     assert (len(batch.sends) == 2) is again
@@ -350,58 +349,68 @@
             world.end(batch, outcome)
         world.run(SECOND)
     world.run(12 * SECOND)
-    assert len(world.did("push_back") + world.did("error")) == 1
+    assert len(world.did("reject") + world.did("fail")) == 1
     assert len(world.did(answer)) == 1
 
 
-@pytest.mark.parametrize(("scope", "field"), [(Scope.LOCATION, "location"), (Scope.CELL, "cell")])
+@pytest.mark.parametrize(
+    ("scope", "field"), [(DeduplicationScope.ZONE, "zone"), (DeduplicationScope.CELL, "cell")]
+)
 def test_a_referenced_batch_stays_in_its_scope_and_window(scope, field):
-    world = World(engines=0, effect=Effect.REFERENCED, scope=scope, window=2 * SECOND, late_utility=0.5)
-    world.gateway.listed([entry(0, **{field: 1}), entry(1, **{field: 2}), entry(2, **{field: 1})], True)
+    world = World(
+        engines=0,
+        idempotency=Idempotency.DEDUPLICATED,
+        deduplication_scope=scope,
+        deduplication_window=2 * SECOND,
+        late_value=0.5,
+    )
+    world.gateway.update_engines(
+        [entry(0, **{field: 1}), entry(1, **{field: 2}), entry(2, **{field: 1})], True
+    )
     batch = world.take()
     home = getattr(batch.sends[0].engine.entry, field)
-    world.end(batch, O.ERRORED)
+    world.end(batch, O.FAILED)
     assert all(getattr(send.engine.entry, field) == home for send in batch.sends)
     late = world.take()
     world.run(2 * SECOND)
-    world.end(late, O.ERRORED, lasted=2 * SECOND)
-    assert len(late.sends) == 1 and (late.arrival.index,) in world.did("error")
+    world.end(late, O.FAILED, lasted=2 * SECOND)
+    assert len(late.sends) == 1 and (late.arrival.index,) in world.did("fail")
 
 
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE, None])
 def test_nothing_new_to_a_draining_or_gone_engine(state):
     world = World(engines=2)
     if state is None:
-        world.gateway.listed([world.entries[1]], True)
+        world.gateway.update_engines([world.entries[1]], True)
     else:
-        world.gateway.listed([dataclasses.replace(world.entries[0], state=state)], False)
+        world.gateway.update_engines([dataclasses.replace(world.entries[0], state=state)], False)
     for _ in range(20):
         world.take()
-    assert {d[1] for d in world.did("dispatch")} == {1}
+    assert {d[1] for d in world.did("send_attempt")} == {1}
 
 
-@pytest.mark.parametrize("bound", [{"locations": (1,)}, {"kinds": (1,)}])
+@pytest.mark.parametrize("bound", [{"zones": (1,)}, {"machine_kinds": (1,)}])
 def test_placement_is_kept_when_the_allowed_engines_are_gone(bound):
     world = World(engines=2, **bound)
-    world.gateway.listed([entry(2, location=1, kind=1)], False)
+    world.gateway.update_engines([entry(2, zone=1, machine_kind=1)], False)
     batch = world.take()
-    assert world.did("dispatch")[-1][1] == 2
-    world.end(batch, O.ERRORED)
-    world.gateway.listed([entry(2, location=1, kind=1, state=EngineState.GONE)], False)
+    assert world.did("send_attempt")[-1][1] == 2
+    world.end(batch, O.FAILED)
+    world.gateway.update_engines([entry(2, zone=1, machine_kind=1, state=EngineState.GONE)], False)
     world.take()
     world.run(12 * SECOND)
-    assert {d[1] for d in world.did("dispatch")} == {2}
-    assert len(world.did("push_back")) >= 1
+    assert {d[1] for d in world.did("send_attempt")} == {2}
+    assert len(world.did("reject")) >= 1
 
 
 def test_order_of_a_key_and_its_rest():
-    world = World(in_order=True, pause=SECOND, late_utility=0.9)
+    world = World(ordered=True, pause=SECOND, late_value=0.9)
     batches = [world.take(key=5) for _ in range(3)]
     other = world.take(key=6)
     assert [len(b.sends) for b in (*batches, other)] == [1, 0, 0, 1]
-    world.end(batches[0], O.RETURNED)
+    world.end(batches[0], O.COMPLETED)
     assert [len(b.sends) for b in batches] == [1, 1, 0]
-    batches[1].left()
+    batches[1].client_left()
     assert not batches[2].sends  # a dispatch without an outcome is still out
     world.end(batches[1], O.RESET)
     world.run(SECOND - 100)
@@ -411,11 +420,11 @@
 
 
 @pytest.mark.parametrize("engines", [0, 1, 3])
-@pytest.mark.parametrize("effect", list(Effect))
+@pytest.mark.parametrize("effect", list(Idempotency))
 def test_one_final_answer_before_the_limit(engines, effect):
-    world = World(engines=engines, effect=effect)
+    world = World(engines=engines, idempotency=effect)
     batches = [world.take(memory=BUSY, limit=limit) for limit in (1, 100, 5000, 20_000, 100_000) * 5]
-    ends = {batch.arrival.index: batch.arrival.time_limit for batch in batches}
+    ends = {batch.arrival.index: batch.arrival.deadline for batch in batches}
     answered: dict[int, int] = {}
     start = world.now
     while world.now < start + 120_000:
@@ -425,31 +434,31 @@
                 assert world.now <= ends[batch.arrival.index] or not send.out
                 if send.out and any(
                     d[0] == batch.arrival.index and send.sent + d[2] <= world.now
-                    for d in world.did("dispatch")
+                    for d in world.did("send_attempt")
                 ):
-                    batch.ended(number, AttemptResult(O.TIMED_OUT, 1), False)
-        for name in ("push_back", "error"):
+                    batch.attempt_ended(number, AttemptResult(O.TIMED_OUT, 1), False)
+        for name in ("reject", "fail"):
             for call in world.did(name):
                 answered.setdefault(call[0], world.now)
     assert all(answered[i] <= ends[i] or ends[i] - start < 200 for i in ends)
-    assert len(world.did("push_back") + world.did("error")) == len(batches)
+    assert len(world.did("reject") + world.did("fail")) == len(batches)
 
 
 def test_a_silent_engine_is_left_alone_then_tried():
     world = World(engines=2)
-    stuck = [b for b in (world.take() for _ in range(40)) if b.sends[0].engine.entry.engine == 0]
+    stuck = [b for b in (world.take() for _ in range(40)) if b.sends[0].engine.entry.index == 0]
     for batch in list(stuck):
         assert batch.sends[0].out
     for _ in range(100):
         world.run(200)
         for batch in [world.take(), world.take()]:
-            if batch.sends and batch.sends[0].engine.entry.engine == 1:
-                world.end(batch, O.RETURNED)
-    late = [d for d in world.did("dispatch")[-60:] if d[1] == 0]
+            if batch.sends and batch.sends[0].engine.entry.index == 1:
+                world.end(batch, O.COMPLETED)
+    late = [d for d in world.did("send_attempt")[-60:] if d[1] == 0]
     assert len(late) <= 3
 
 
-@pytest.mark.parametrize(("sick", "outcome"), [(0, O.ERRORED), (1, O.ERRORED), (0, O.RESET)])
+@pytest.mark.parametrize(("sick", "outcome"), [(0, O.FAILED), (1, O.FAILED), (0, O.RESET)])
 def test_what_fails_at_all_engines_alike_is_not_laid_to_them(sick, outcome):
     """Seen on sockets: batches of bad clients fail wherever they go, and the part of every engine that was
     used shrank with its health. One that fails more than the others is found all the same."""
@@ -457,9 +466,9 @@
     for count in range(400):
         world.run(200)
         batch = world.take()
-        engine = batch.sends[0].engine.entry.engine
+        engine = batch.sends[0].engine.entry.index
         bad = count % 3 == 0 or engine < sick
-        batch.ended(0, AttemptResult(outcome if bad else O.RETURNED, 100), True)
+        batch.attempt_ended(0, AttemptResult(outcome if bad else O.COMPLETED, 100), True)
     levels = [engine.health.level for _, engine in sorted(world.gateway._engines.items())]
     assert min(levels[sick:]) > 0.5 and max(levels[:sick], default=0.0) < 0.3
 
@@ -470,41 +479,41 @@
     batch = world.take()
     for number in range(2, 40):
         there = [entry(number), entry(number - 1, state=EngineState.GONE)]
-        world.gateway.listed(there, number % 2 == 0)
+        world.gateway.update_engines(there, number % 2 == 0)
         world.run(100)
-    kept = {39, batch.sends[0].engine.entry.engine}
+    kept = {39, batch.sends[0].engine.entry.index}
     assert set(world.gateway._engines) - {0, 1} == {39} and kept <= set(world.gateway._engines)
-    world.end(batch, O.RETURNED)
-    world.gateway.listed([entry(40)], True)
+    world.end(batch, O.COMPLETED)
+    world.gateway.update_engines([entry(40)], True)
     assert set(world.gateway._engines) == {40} and set(world.gateway._looked_after) <= {40}
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_what_a_client_has_withdrawn_is_called_off(may_cancel):
     """Withdrawn by the hundred, they ran on at their engines and took the room of others."""
-    world = World(allowed={"cancel": may_cancel})
+    world = World(allowed={"may_cancel": may_cancel})
     batch = world.take()
-    batch.left()
-    assert world.did("cancel") == ([(1, 0)] if may_cancel else [])
+    batch.client_left()
+    assert world.did("cancel_attempt") == ([(1, 0)] if may_cancel else [])
     world.end(batch, O.CANCELLED)
-    assert world.gateway.pool.running == 0 and len(world.did("dispatch")) == 1
+    assert world.gateway.pool.running == 0 and len(world.did("send_attempt")) == 1
 
 
 def test_a_dead_engine_is_tried_and_comes_back_as_a_cold_one():
-    world = World(engines=1, goal=5 * SECOND)
+    world = World(engines=1, latency_objective=5 * SECOND)
     batch, other = world.take(), world.take()
     world.end(other, O.RESET)
     world.run(200)
     assert world.gateway._engines[0].health.level > 0.1  # one broken connection is no dead process
     world.end(batch, O.NO_CONNECTION)
     world.end(other, O.NO_CONNECTION)
-    other.left()
+    other.client_left()
     assert world.gateway._engines[0].health.level == 0.0
     world.run(600)
     assert len(batch.sends) == 1  # not before a while has passed
     world.run(SECOND)
     assert len(batch.sends) == 2
-    world.gateway.listed([entry(0, started=world.now - 50)], False)
+    world.gateway.update_engines([entry(0, started_at=world.now - 50)], False)
     world.run(SECOND)
     assert world.gateway._engines[0].health.level > 0.4  # a new process owes nothing for the old one
     assert world.gateway._engines[0].ramp.share(world.now) < 0.5
@@ -516,44 +525,44 @@
     for count in range(600):
         world.run(2000)
         batch = world.take(limit=10 * SECOND)
-        bad = batch.sends[0].engine.entry.engine == 0
+        bad = batch.sends[0].engine.entry.index == 0
         sent += 1 if bad else 0
         report = LoadReport(running=0.0 if bad else 20.0)
-        outcome = O.ERRORED if bad and count % 10 < share * 10 else O.RETURNED
-        batch.ended(0, AttemptResult(outcome, 50 if bad else 1500, report=report), True)
+        outcome = O.FAILED if bad and count % 10 < share * 10 else O.COMPLETED
+        batch.attempt_ended(0, AttemptResult(outcome, 50 if bad else 1500, load_report=report), True)
     assert sent <= most * 600
 
 
 def test_a_spill_note_lifts_the_next_grant():
     world = World(engines=1)
     batch = world.take(memory=1000.0)
-    batch.noted(0, NoteKind.SPILL, 3000.0)
-    world.end(batch, O.RETURNED, memory=0.0)
+    batch.attempt_progressed(0, ProgressKind.SPILL, 3000.0)
+    world.end(batch, O.COMPLETED, memory=0.0)
     world.take(memory=1000.0)
-    first, second = (call[1] for call in world.did("grant"))
+    first, second = (call[1] for call in world.did("grant_memory"))
     assert second > first
 
 
 @pytest.mark.parametrize(("heeded", "cost", "priority"), [(True, 1000, 2), (True, 9000, 1), (False, 1000, 1)])
 def test_light_batches_go_first_where_priorities_are_heeded(heeded, cost, priority):
-    world = World(allowed={"priorities": heeded})
+    world = World(allowed={"sends_priorities": heeded})
     world.take(cost=cost)
-    assert world.did("grant")[0][2] == priority
+    assert world.did("grant_memory")[0][2] == priority
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.5, 1.0, 4.0])
 def test_weights_in_the_draw_and_in_what_is_filled(weight):
     world = World(2)
-    world.gateway.listed([entry(0, weight=weight), entry(1)], True)
+    world.gateway.update_engines([entry(0, weight=weight), entry(1)], True)
     for _ in range(400):
-        world.end(world.take(), Outcome.RETURNED)
+        world.end(world.take(), Outcome.COMPLETED)
         world.now += 100
-    to = [engine for _, engine, _ in world.did("dispatch")]
+    to = [engine for _, engine, _ in world.did("send_attempt")]
     low, high = {0.0: (0, 0), 0.5: (90, 180), 1.0: (150, 250), 4.0: (280, 360)}[weight]
     assert low <= to.count(0) <= high and len(to) == 400
     # Full of batches that stay, no more of it is taken than the part that is ours.
     full = World(2)
-    full.gateway.listed([entry(0, weight=weight), entry(1, weight=0.0)], True)
+    full.gateway.update_engines([entry(0, weight=weight), entry(1, weight=0.0)], True)
     for _ in range(60):
         full.take(memory=2000.0)
     held = full.gateway._engines[0].ledger.granted
@@ -564,21 +573,21 @@
 def test_a_weight_of_0_is_no_drain_and_its_end_sends_no_burst_to_a_cold_engine():
     world = World(1)
     batch = world.take()
-    world.gateway.listed([entry(0, weight=0.0)], False)
+    world.gateway.update_engines([entry(0, weight=0.0)], False)
     waiting = [world.take() for _ in range(5)]
-    assert [b.held for b in waiting] == [True] * 5 and not world.did("push_back") and not world.did("error")
-    world.end(batch, Outcome.RETURNED)  # what it runs goes on to its end
+    assert [b.held for b in waiting] == [True] * 5 and not world.did("reject") and not world.did("fail")
+    world.end(batch, Outcome.COMPLETED)  # what it runs goes on to its end
     assert not any(b.sends for b in waiting)
-    world.gateway.listed([entry(0, weight=10.0, started=world.now)], False)
+    world.gateway.update_engines([entry(0, weight=10.0, started_at=world.now)], False)
     for _ in range(400):
         world.take(cost=20_000)
     ramp, now = world.gateway._engines[0].ramp, world.now
     spent = ramp.sent.total(now, 0)
-    assert 0.0 < spent <= COLD.multiple * 16 * COLD.window * COLD.share
+    assert 0.0 < spent <= COLD.overload_multiple * 16 * COLD.overload_window * COLD.initial_share
 
 
 def test_the_index_by_bounds_follows_the_list():
-    world = World(0, locations=(1,))
+    world = World(0, zones=(1,))
     other = random.Random(3)
     there = {}
     for step in range(300):
@@ -587,14 +596,18 @@
         there[name] = entry(
             name,
             state=state,
-            location=other.randrange(3),
+            zone=other.randrange(3),
             cell=other.randrange(2),
             weight=other.choice([0.0, 0.5, 1.0, 2.0]),
         )
-        world.gateway.listed([there[name]], False)
-        for bounds in (Bounds(None, None, None), Bounds((1,), None, None), Bounds((0, 2), None, 1)):
-            kept = {e.entry.engine for e in world.gateway._kept(bounds)}
-            up = {n for n, e in there.items() if e.state is EngineState.UP and e.weight and bounds.admits(e)}
+        world.gateway.update_engines([there[name]], False)
+        for bounds in (
+            PlacementConstraints(None, None, None),
+            PlacementConstraints((1,), None, None),
+            PlacementConstraints((0, 2), None, 1),
+        ):
+            kept = {e.entry.index for e in world.gateway._kept(bounds)}
+            up = {n for n, e in there.items() if e.state is EngineState.UP and e.weight and bounds.allow(e)}
             assert kept <= up and (len(kept) == len(up) or len(kept) >= 8), step
         memory = sum(32000.0 * min(1.0, e.weight) for e in there.values() if e.state is EngineState.UP)
         assert abs(world.gateway.pool.memory - 1.0 - memory) < 1e-3
@@ -602,30 +615,30 @@
 
 def test_what_is_handed_to_proxies_is_not_filled_twice():
     world = World(2)
-    whole = [c.part for c in conditions(world.gateway)]
-    assert whole == [1.0, 1.0] and all(c.warm and c.sound for c in conditions(world.gateway))
+    whole = [c.capacity_share for c in world.gateway.engine_statuses()]
+    assert whole == [1.0, 1.0] and all(c.warmed_up and c.usable for c in world.gateway.engine_statuses())
     for part, most in ((0.0, 12), (0.5, 6), (0.9, 2)):
         world = World(2)
-        world.gateway.hand(part)
+        world.gateway.set_proxy_share(part)
         for _ in range(40):
             world.take(memory=BUSY / 2)
         held = sum(e.ledger.granted for e in world.gateway._engines.values())
         assert held <= 64000.0 * (1.0 - part) + 2 * BUSY and (part or held > 40000.0)
-        assert len(world.did("dispatch")) <= most
-        assert [c.part for c in conditions(world.gateway)] == whole  # for both together
+        assert len(world.did("send_attempt")) <= most
+        assert [c.capacity_share for c in world.gateway.engine_statuses()] == whole  # for both together
 
 
 def test_a_cold_engine_s_budget_is_shared_with_proxies():
     sent = []
     for part in (0.0, 0.5):
         world = World(0)
-        world.gateway.hand(part)
-        world.gateway.listed([entry(0, started=world.now)], True)
+        world.gateway.set_proxy_share(part)
+        world.gateway.update_engines([entry(0, started_at=world.now)], True)
         for _ in range(400):
             world.take(cost=20_000)
         sent.append(world.gateway._engines[0].ramp.sent.total(world.now, 0))
-        (cold,) = conditions(world.gateway)
-        assert not cold.warm and cold.share == pytest.approx(0.3)
+        (cold,) = world.gateway.engine_statuses()
+        assert not cold.warmed_up and cold.ramp_share == pytest.approx(0.3)
     assert 0.0 < sent[1] <= sent[0] / 2 + 20_000
 
 
@@ -635,30 +648,30 @@
     def go(count):
         for _ in range(count):
             batch = world.take()
-            result = AttemptResult(Outcome.RETURNED, 1500, 1000, 400.0, LoadReport(cores_busy=0.05))
-            batch.ended(0, result, True)
+            result = AttemptResult(Outcome.COMPLETED, 1500, 1000, 400.0, LoadReport(cores_busy=0.05))
+            batch.attempt_ended(0, result, True)
             world.now += 10
-        return [engine for _, engine, _ in world.did("dispatch")[-count:]]
+        return [engine for _, engine, _ in world.did("send_attempt")[-count:]]
 
     go(200)
-    world.gateway.proxied(0, 40.0, 0.0, 0.0)
+    world.gateway.update_proxy_load(0, 40.0, 0.0, 0.0)
     to = go(200)
     assert to.count(0) < 20 and to.count(1) > 180  # taken by proxies, as they told
     world.now += 20 * SECOND  # a word that old says nothing
     assert go(200).count(0) > 60
     sick = World(4)
     for _ in range(5):
-        sick.gateway.proxied(2, 0.0, 40.0, 40.0)  # all that they send there fails
+        sick.gateway.update_proxy_load(2, 0.0, 40.0, 40.0)  # all that they send there fails
         sick.run(SECOND)
-    assert [c.entry.engine for c in conditions(sick.gateway) if not c.sound] == [2]
-    sick.gateway.proxied(99, 1.0, 1.0, 1.0)  # not listed: nothing
-    assert sick.gateway.shed(0) == 0.0 and sick.gateway.usual_grant(0) >= 0.0
+    assert [c.entry.index for c in sick.gateway.engine_statuses() if not c.usable] == [2]
+    sick.gateway.update_proxy_load(99, 1.0, 1.0, 1.0)  # not listed: nothing
+    assert sick.gateway.shed_share(0) == 0.0 and sick.gateway.typical_grant(0) >= 0.0
 
 
-@pytest.mark.parametrize(("outcome", "again"), [(O.PUSHED_BACK, 1), (O.NOT_SENT, 2)])
+@pytest.mark.parametrize(("outcome", "again"), [(O.REJECTED, 1), (O.NOT_SENT, 2)])
 def test_an_engine_that_refuses_gets_no_rounded_slice_for_a_while(outcome, again):
     """Seen with 32 gateways under settings of our own: full engines were asked again at once by every one."""
-    world = World(engines=1, gateways=200, goal=8 * SECOND)
+    world = World(engines=1, gateways=200, latency_objective=8 * SECOND)
     batch = world.take(memory=10.0)
     world.end(batch, outcome)
     world.run(SECOND)
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -13,23 +13,25 @@
 from twisted.python.failure import Failure
 
 from tests.helpers import SERVICES
+from vanerelay import attempt_outcome
+from vanerelay.attempt_outcome import AttemptStage, EndCause
 from vanerelay.cli import main
-from vanerelay.extension import Guide, Part
+from vanerelay.clock import Clock
+from vanerelay.engine_list import EngineListChange, ListedEngine
+from vanerelay.extension import Extension, QueryConstraint
 from vanerelay.interface import NEVER_RAN
-from vanerelay.net import attempt_outcome, discovery_codec, frames
-from vanerelay.net.attempt_outcome import Cause, Stage
+from vanerelay.net import discovery_codec, frames
 from vanerelay.net.buffers import Pool
-from vanerelay.net.client_connection import Clients
-from vanerelay.net.clock import Clock
-from vanerelay.net.discovery_client import Roster
+from vanerelay.net.client_connection import ClientListener
+from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.engine_connection import Attempt, ConnectionSettings
-from vanerelay.net.engine_pool import Engines
-from vanerelay.net.gateway_service import Service
-from vanerelay.net.held_queries import Request
-from vanerelay.net.peer_gossip import Peers
-from vanerelay.net.rate_limited_log import Sparing
-from vanerelay.net.resp_codec import Query, command
-from vanerelay.net.server import Program
+from vanerelay.net.engine_pool import EnginePool
+from vanerelay.net.gateway_service import GatewayService
+from vanerelay.net.held_queries import ClientQuery
+from vanerelay.net.peer_gossip import PeerGossip
+from vanerelay.net.rate_limited_log import RateLimitedLog
+from vanerelay.net.resp_codec import QueryCommand, command
+from vanerelay.net.server import Server
 
 
 class Wire(StringTransport):
@@ -71,12 +73,12 @@
     def __init__(self, most=32, may_cancel=True, may_copy=True, connections=3, others=2):
         self.reactor, self.ends, self.used = MemoryReactorClock(), [], []
         settings = ConnectionSettings(most, may_cancel, may_copy, 0.25, 30.0, 0.6)
-        self.engines = Engines(self.reactor, Pool(), settings, connections, lambda call: call())
+        self.engines = EnginePool(self.reactor, Pool(), settings, connections, lambda call: call())
         for number in range(1 + others):  # so many have a part in the connections
             self.engines.listed(number, f"127.0.0.1:{9 + number}", 0, False)
 
     def send(self, name, time_out=5.0, used=None):
-        attempt = Attempt(name.encode(), Query(b"look", 5000, b"S"), [] if used is None else used)
+        attempt = Attempt(name.encode(), QueryCommand(b"look", 5000, b"S"), [] if used is None else used)
         attempt.done.addCallback(lambda end: self.ends.append((name, end.cause, end.stage)))
         self.engines.send(0, attempt, time_out)
         return attempt
@@ -96,9 +98,9 @@
 @pytest.mark.parametrize(
     ("why", "cause"),
     [
-        (ConnectionRefusedError, Cause.REFUSED),
-        (TimeoutError, Cause.CONNECT_TIME_OUT),
-        (OSError, Cause.REFUSED),
+        (ConnectionRefusedError, EndCause.CONNECTION_REFUSED),
+        (TimeoutError, EndCause.CONNECT_TIMEOUT),
+        (OSError, EndCause.CONNECTION_REFUSED),
     ],
 )
 def test_no_connection_proves_that_nothing_ran(why, cause):
@@ -107,16 +109,16 @@
     fleet.send("b")
     assert len(fleet.reactor.tcpClients) == 1  # both wait for one
     fleet.fail(why)
-    assert fleet.ends == [("a", cause, Stage.NOT_CONNECTED), ("b", cause, Stage.NOT_CONNECTED)]
+    assert fleet.ends == [("a", cause, AttemptStage.NOT_CONNECTED), ("b", cause, AttemptStage.NOT_CONNECTED)]
     assert fleet.engines.connections() == 0
 
 
 @pytest.mark.parametrize(
     ("left", "why", "stages"),
     [
-        (True, ConnectionLost, [Stage.WRITTEN, Stage.WRITTEN]),
-        (True, ConnectionDone, [Stage.WRITTEN, Stage.WRITTEN]),
-        (False, ConnectionLost, [Stage.WRITTEN, Stage.PARTLY_WRITTEN]),
+        (True, ConnectionLost, [AttemptStage.WRITTEN, AttemptStage.WRITTEN]),
+        (True, ConnectionDone, [AttemptStage.WRITTEN, AttemptStage.WRITTEN]),
+        (False, ConnectionLost, [AttemptStage.WRITTEN, AttemptStage.PARTLY_WRITTEN]),
     ],
 )
 def test_a_lost_connection_tells_what_had_left_whole(left, why, stages):
@@ -128,7 +130,7 @@
     if left:
         wire.leave()
     fleet.lose(why)
-    assert fleet.ends == [(n, Cause.LOST, s) for n, s in zip("ab", stages, strict=True)]
+    assert fleet.ends == [(n, EndCause.CONNECTION_LOST, s) for n, s in zip("ab", stages, strict=True)]
 
 
 def test_an_attempt_leaves_at_once_and_not_at_the_end_of_a_long_pass():
@@ -151,16 +153,19 @@
     fleet.connect()
     fleet.reactor.advance(1.0)
     fleet.lose()
-    assert sorted(fleet.ends) == [("a", Cause.TIME_OUT, Stage.WRITTEN), ("b", Cause.LOST, Stage.WRITTEN)]
+    assert sorted(fleet.ends) == [
+        ("a", EndCause.TIMEOUT, AttemptStage.WRITTEN),
+        ("b", EndCause.CONNECTION_LOST, AttemptStage.WRITTEN),
+    ]
 
 
-@pytest.mark.parametrize(("time_out", "cause"), [(0.1, Cause.OVER), (0.2, Cause.TIME_OUT)])
+@pytest.mark.parametrize(("time_out", "cause"), [(0.1, EndCause.NOT_SENT), (0.2, EndCause.TIMEOUT)])
 def test_a_time_out_before_the_connection_is_up_sends_nothing(time_out, cause):
     """One with little time left says nothing of the engine: seen as sound engines held for lost."""
     fleet = Fleet()
     fleet.send("a", time_out)
     fleet.reactor.advance(time_out)
-    assert fleet.ends == [("a", cause, Stage.NOT_CONNECTED)]
+    assert fleet.ends == [("a", cause, AttemptStage.NOT_CONNECTED)]
     assert fleet.connect().value() == b""
 
 
@@ -173,7 +178,7 @@
     fleet.reactor.advance(1.0)
     assert fleet.ends == [] and wire.value() == command(b"cancel", b"a")
     wire.leave()
-    assert fleet.ends == [("a", Cause.TIME_OUT, Stage.WRITTEN)]
+    assert fleet.ends == [("a", EndCause.TIMEOUT, AttemptStage.WRITTEN)]
 
 
 @pytest.mark.parametrize(("may_cancel", "may_copy"), [(True, False), (False, False), (False, True)])
@@ -185,7 +190,7 @@
     fleet.say(command(b"a", b"WHAT", b"-", b""))
     assert fleet.ends == [] and wire.aborted
     fleet.lose()
-    assert fleet.ends == [("a", Cause.UNREADABLE, Stage.WRITTEN)]
+    assert fleet.ends == [("a", EndCause.MALFORMED, AttemptStage.WRITTEN)]
 
 
 def test_a_cancel_that_cannot_leave_ends_its_connection():
@@ -197,7 +202,7 @@
     fleet.reactor.advance(0.3)
     assert wire.aborted and fleet.ends == []
     fleet.lose()
-    assert fleet.ends == [("a", Cause.TIME_OUT, Stage.WRITTEN)]
+    assert fleet.ends == [("a", EndCause.TIMEOUT, AttemptStage.WRITTEN)]
 
 
 def test_without_cancels_and_copies_a_dispatch_has_a_connection_alone_and_its_end_abandons_it():
@@ -211,7 +216,7 @@
     fleet.reactor.advance(1.0)
     assert wire.aborted and fleet.ends == []
     fleet.lose()
-    assert fleet.ends == [("a", Cause.TIME_OUT, Stage.WRITTEN)]
+    assert fleet.ends == [("a", EndCause.TIMEOUT, AttemptStage.WRITTEN)]
     fleet.connect(1)
     fleet.say(command(b"b", b"OK", b"total=1", b"a\tb\tc\n"))
     fleet.send("c")
@@ -248,8 +253,8 @@
 @pytest.mark.parametrize(
     ("came", "stage"),
     [
-        (b"*4\r\n$1\r\na", Stage.WRITTEN),
-        (command(b"a", b"OK", b"total=2", b"a\tb\tc\n"), Stage.PAGES_MISSING),
+        (b"*4\r\n$1\r\na", AttemptStage.WRITTEN),
+        (command(b"a", b"OK", b"total=2", b"a\tb\tc\n"), AttemptStage.PARTIAL_ANSWER),
     ],
 )
 def test_an_answer_that_stops_short_ends_its_connection_soon(came, stage):
@@ -265,7 +270,7 @@
     fleet.reactor.advance(0.2)
     assert wire.aborted and fleet.ends == []
     fleet.lose()
-    assert fleet.ends == [("a", Cause.UNREADABLE, stage), ("b", Cause.UNREADABLE, Stage.WRITTEN)]
+    assert fleet.ends == [("a", EndCause.MALFORMED, stage), ("b", EndCause.MALFORMED, AttemptStage.WRITTEN)]
     fleet.send("c")
     assert len(fleet.reactor.tcpClients) == 2
 
@@ -295,7 +300,7 @@
     fleet.send("a")
     fleet.send("b")
     fleet.reactor.advance(0)
-    assert fleet.ends == [("b", Cause.OVER, Stage.NOT_CONNECTED)]
+    assert fleet.ends == [("b", EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED)]
 
 
 @pytest.mark.parametrize(("idle", "calls"), [(29.0, 1), (29.8, 2)])
@@ -329,7 +334,7 @@
     wire = fleet.connect()
     wire.leave()
     fleet.engines.listed(0, address, started, False)
-    assert wire.aborted and fleet.ends == [("a", Cause.LOST, Stage.WRITTEN)]
+    assert wire.aborted and fleet.ends == [("a", EndCause.CONNECTION_LOST, AttemptStage.WRITTEN)]
     fleet.send("b")
     host, port = fleet.reactor.tcpClients[1][:2]
     assert f"{host}:{port}" == address
@@ -342,11 +347,11 @@
     fleet.engines.only(set())
     fleet.engines.sweep()
     fleet.say(command(b"a", b"OK", b"total=1", b"a\tb\tc\n"))
-    assert fleet.ends == [("a", Cause.OK, Stage.WHOLE)]
+    assert fleet.ends == [("a", EndCause.OK, AttemptStage.COMPLETE_ANSWER)]
     fleet.engines.sweep()
     fleet.send("b")
     fleet.reactor.advance(0)
-    assert fleet.ends[1:] == [("b", Cause.REFUSED, Stage.NOT_CONNECTED)]
+    assert fleet.ends[1:] == [("b", EndCause.CONNECTION_REFUSED, AttemptStage.NOT_CONNECTED)]
 
 
 # Clients and the service.
@@ -362,11 +367,11 @@
         cancel = bool(profile["limits"]["cancel"])
         connect_s = profile["limits"]["dialTimeoutUs"] / 1e6
         settings = ConnectionSettings(32, cancel, True, connect_s, 30.0, 0.6)
-        self.engines = Engines(self.reactor, Pool(), settings, 100, self.clock.when_fresh)
-        self.service = Service(self.reactor, self.clock, profile, self.engines, None, room)
+        self.engines = EnginePool(self.reactor, Pool(), settings, 100, self.clock.when_fresh)
+        self.service = GatewayService(self.reactor, self.clock, profile, self.engines, None, room)
         self.service.open_gateway(7, profile)
         self.spare = False
-        self.clients = Clients(self.reactor, self.clock, self.service, Pool(), 3, lambda: self.spare)
+        self.clients = ClientListener(self.reactor, self.clock, self.service, Pool(), 3, lambda: self.spare)
         self.client, self.wire = self.join()
         self.look()
 
@@ -406,7 +411,7 @@
     served = Served()
     served.ask(1)
     served.advance(4.99)
-    assert served.answers() == [(1, frames.PUSHED_BACK)] and served.service.open == 0
+    assert served.answers() == [(1, frames.REJECTED)] and served.service.open == 0
 
 
 def test_the_time_limit_counts_from_the_last_look_at_the_sockets():
@@ -414,7 +419,7 @@
     served = Served()
     served.time += 6.0
     served.ask(1)
-    assert served.answers() == [(1, frames.PUSHED_BACK)]
+    assert served.answers() == [(1, frames.REJECTED)]
 
 
 def test_what_a_full_read_left_behind_had_come_as_early():
@@ -425,7 +430,7 @@
     served.look()  # the next pass of the loop; the rest was there all the while
     served.client.dataReceived(head[65536:])
     served.ask(2)
-    assert served.answers()[0] == (1, frames.ERRORED)
+    assert served.answers()[0] == (1, frames.FAILED)
     served.advance(0.1)
     assert served.service.open == 1  # the second came after that look
 
@@ -438,7 +443,7 @@
     served.time += 6.0
     served.clock.looked, served.clock.passes = served.clock.now(), served.clock.passes + 1
     served.ask(1)  # read in the pass after that: it may have been there since before it was accepted
-    assert served.answers() == [(1, frames.PUSHED_BACK)]
+    assert served.answers() == [(1, frames.REJECTED)]
     served.look()
     served.ask(2)
     assert served.service.open == 1
@@ -452,14 +457,14 @@
     served.time += 0.4  # the pass lasts: no timer runs
     assert served.answers() == []
     served.ask(3)
-    assert served.answers() == [(1, frames.ERRORED)]
+    assert served.answers() == [(1, frames.FAILED)]
 
 
 def test_answers_are_sent_at_once(monkeypatch):
     served, sent = Served(), []
     monkeypatch.setattr(served.wire, "doWrite", lambda: sent.append(len(served.wire.value())), raising=False)
     served.ask(1, service="none")
-    assert sent == [len(served.wire.value())] and served.answers() == [(1, frames.ERRORED)]
+    assert sent == [len(served.wire.value())] and served.answers() == [(1, frames.FAILED)]
 
 
 def test_guards_of_answered_batches_do_not_pile_up():
@@ -473,8 +478,8 @@
 def test_batches_leave_no_cycles_to_collect():
     """The program runs without automatic collections: what a batch leaves must go by itself."""
     served = Served()
-    member = discovery_codec.Member("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-    served.service.listed(discovery_codec.Change(1, True, [member]))
+    member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
+    served.service.listed(EngineListChange(1, True, [member]))
     served.ask(1)
     protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
     protocol.makeConnection(wire)
@@ -496,7 +501,7 @@
         raise RuntimeError("a fault")
 
     if broken == "take":
-        monkeypatch.setattr(gateway, "take", fault)
+        monkeypatch.setattr(gateway, "submit", fault)
         served.ask(1)
     elif broken == "beat":
         monkeypatch.setattr(gateway, "_look_over", fault)
@@ -506,14 +511,14 @@
         monkeypatch.undo()
         served.advance(0.2)
     else:
-        member = discovery_codec.Member("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-        served.service.listed(discovery_codec.Change(1, True, [member]))
+        member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
+        served.service.listed(EngineListChange(1, True, [member]))
         served.ask(1, service="load")
         monkeypatch.setattr(gateway, "heard", fault)
         protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
         protocol.makeConnection(wire)
         protocol.dataReceived(command(b"%016x" % 1, b"ERR", b"-", b""))
-    assert served.answers() in ([(1, frames.ERRORED)], [(1, frames.PUSHED_BACK)])
+    assert served.answers() in ([(1, frames.FAILED)], [(1, frames.REJECTED)])
     assert served.service.open == 0 and len(served.service._holding) == 0
     monkeypatch.undo()
     served.ask(2)
@@ -525,10 +530,10 @@
     served = Served(room=1000)
     served.ask(1, b"x" * 600)
     served.ask(2, b"x" * 600)
-    assert served.answers() == [(2, frames.PUSHED_BACK)]
+    assert served.answers() == [(2, frames.REJECTED)]
     served.client.dataReceived(frames.frame(frames.LEAVE, 1))
     served.ask(3, b"x" * 600)
-    assert served.answers() == [(2, frames.PUSHED_BACK)] and served.service.open == 1
+    assert served.answers() == [(2, frames.REJECTED)] and served.service.open == 1
 
 
 def test_a_dispatch_past_the_most_allowed_or_of_a_batch_that_is_over_is_not_sent():
@@ -536,14 +541,14 @@
     served.ask(1)
     request = served.client.open[1]
     outcomes = []
-    request.batch.ended = lambda number, result, over: outcomes.append((number, result.outcome))
+    request.batch.attempt_ended = lambda number, result, over: outcomes.append((number, result.outcome))
     request.attempts = [None] * 3
-    served.service.dispatch(request.index, 0, 100)
+    served.service.send_attempt(request.index, 0, 100)
     served.reactor.advance(0)
     assert outcomes == [(3, attempt_outcome.Outcome.NOT_SENT)] and outcomes[0][1] in NEVER_RAN
     request.attempts.clear()
     served.client.dataReceived(frames.frame(frames.LEAVE, 1))
-    assert isinstance(request, Request) and served.answers() == []
+    assert isinstance(request, ClientQuery) and served.answers() == []
 
 
 @pytest.mark.parametrize(("silent_for", "given_up"), [(3.9, False), (4.1, True)])
@@ -555,9 +560,9 @@
     served.client.dataReceived(frames.frame(frames.LEAVE, 1))
     assert served.service.open == 0 and served.answers() == []
     for _ in range(6):
-        served.client.answer(0, frames.RETURNED, {}, b"x" * 48_000)
+        served.client.answer(0, frames.COMPLETED, {}, b"x" * 48_000)
     served.ask(2)
-    assert served.answers()[-1] == (2, frames.PUSHED_BACK) and served.service.open == 0
+    assert served.answers()[-1] == (2, frames.REJECTED) and served.service.open == 0
     served.reactor.advance(silent_for)
     assert served.wire.aborted == given_up
     served.client.resumeProducing()
@@ -673,11 +678,11 @@
 
     def change(number, whole=False, **states):
         served.service.listed(
-            discovery_codec.Change(
+            EngineListChange(
                 number,
                 whole,
                 [
-                    discovery_codec.Member(name, f"127.0.0.1:{9 + int(name[1:]) % 3}", state, 0, 0, 0, 1.0, 0)
+                    ListedEngine(name, f"127.0.0.1:{9 + int(name[1:]) % 3}", state, 0, 0, 0, 1.0, 0)
                     for name, state in states.items()
                 ],
             )
@@ -695,7 +700,7 @@
 
 def test_a_warning_that_anybody_can_cause_is_sparing(capsys):
     reactor = MemoryReactorClock()
-    warning = Sparing(reactor, "too often")
+    warning = RateLimitedLog(reactor, "too often")
     for _ in range(100):
         warning.warn(why="x")
         reactor.advance(0.15)
@@ -707,7 +712,7 @@
     ("peer", "size", "sent"), [(1, 256, ("127.0.0.3", 7)), (None, 10, ("127.0.0.9", 7)), (1, 257, None)]
 )
 def test_datagrams_go_to_one_peer_or_all_and_none_is_too_long(peer, size, sent):
-    peers, out = Peers("127.0.0.1:7", ["127.0.0.2:7", "127.0.0.3:7"], "127.0.0.9:7"), []
+    peers, out = PeerGossip("127.0.0.1:7", ["127.0.0.2:7", "127.0.0.3:7"], "127.0.0.9:7"), []
     peers.tell(peer, b"before it is open")
     peers.transport = type("Datagrams", (), {"write": staticmethod(lambda data, to: out.append((data, to)))})
     peers.tell(peer, b"x" * size)
@@ -737,7 +742,7 @@
     served.client.end_when_answered()
     assert served.service.open == 2 and not served.wire.disconnecting
     served.ask(3)
-    assert served.answers()[1:] == [(3, frames.PUSHED_BACK)] and served.service.open == 2
+    assert served.answers()[1:] == [(3, frames.REJECTED)] and served.service.open == 2
     served.advance(5.1)
     assert served.wire.disconnecting and served.service.open == 0
     assert [stream for stream, _ in served.answers() if stream] == [3, 1, 2]
@@ -751,47 +756,47 @@
     assert served.service.open == 1 and not served.wire.disconnecting
 
 
-class Faulty(Part):
+class Faulty(Extension):
     """A subsystem that fails whatever it is told."""
 
     def draining(self):
         raise RuntimeError("no drain")
 
-    stop = again = draining
+    stop = reloaded_settings = draining
 
 
-class Failing(Part):
+class Failing(Extension):
     """A subsystem that fails at all that happens to queries and to the list."""
 
-    def listed(self, change):
+    def engines_changed(self, change):
         raise RuntimeError("no list")
 
-    answered = ran = listed
+    query_answered = engine_ran = engines_changed
 
-    def guide(self, want):
-        return FailingGuide() if want.group == "load" else self.listed(want)
+    def constrain(self, want):
+        return FailingGuide() if want.service_class == "load" else self.engines_changed(want)
 
 
-class FailingGuide(Guide):
-    def sent(self, engine):
+class FailingGuide(QueryConstraint):
+    def attempt_sent(self, engine):
         raise RuntimeError("no lead")
 
-    def over(self):
+    def finished(self):
         raise RuntimeError("no end")
 
 
 def test_a_subsystem_that_fails_at_queries_costs_no_query_that_it_does_not_lead():
     served = Served()
     served.service.join([Failing()])
-    member = discovery_codec.Member("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-    served.service.listed(discovery_codec.Change(1, True, [member]))
+    member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
+    served.service.listed(EngineListChange(1, True, [member]))
     served.ask(1)
-    assert served.answers() == [(1, frames.ERRORED)]  # whether it may be served, nobody could say
+    assert served.answers() == [(1, frames.FAILED)]  # whether it may be served, nobody could say
     served.ask(2, service="load")
     protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
     protocol.makeConnection(wire)
     protocol.dataReceived(command(b"%016x" % 2, b"OK", b"total=1", b"a\tb\tc\n"))
-    assert served.answers()[1:] == [(2, frames.RETURNED)] and served.service.open == 0
+    assert served.answers()[1:] == [(2, frames.COMPLETED)] and served.service.open == 0
     assert not served.service.gateway.out
 
 
@@ -805,7 +810,7 @@
             raise KeyError("e")
 
     reactor = MemoryReactorClock()
-    roster = Roster(reactor, Pool(), "127.0.0.1:1", {}, {}, 0.25, random.Random(1), changed)
+    roster = DiscoveryClient(reactor, Pool(), "127.0.0.1:1", {}, {}, 0.25, random.Random(1), changed)
     row = {"id": "e", "host_port": "127.0.0.1:9", "phase": "SERVING"}
     events = [{"n": n, "members": {"complete": n == 1, "members": [row]}} for n in (1, 2, 3)]
     with pytest.raises(KeyError):
@@ -825,7 +830,7 @@
     events = [{"n": 1, "members": {"revision": 1, "complete": True, "members": [row]}}]
     told = {"limits": {}, "feed": "127.0.0.1:1", "settings": SERVICES, "known": {"n": 1, "events": events}}
     reactor = Loop()
-    made = Program(reactor, Clock(reactor.seconds), told, "127.0.0.1:0", join=lambda host: [Faulty()])
+    made = Server(reactor, Clock(reactor.seconds), told, "127.0.0.1:0", join=lambda host: [Faulty()])
     yield made, told
     gc.enable()
     gc.unfreeze()
@@ -846,7 +851,7 @@
     made, told = program
     (tmp_path / "config.json").write_text(json.dumps({**told, "settings": {**SERVICES, "tickUs": 7000}}))
     made.reload(str(tmp_path / "config.json"))
-    assert made.profile == SERVICES
+    assert made.settings == SERVICES
 
 
 def test_a_sweep_that_fails_is_not_the_last(program, monkeypatch):
@@ -901,4 +906,4 @@
     from vanerelay.net import load_reports
 
     report = settings.load_report(served.service._reported, load_reports.loads(told))
-    assert (report.waiting, report.memory_granted, report.running, report.disks_busy) == (3.0, 0.4, 7.0, None)
+    assert (report.queued, report.memory_granted, report.running, report.disks_busy) == (3.0, 0.4, 7.0, None)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,10 +14,17 @@
 
 from tests.helpers import ROOT, SERVICES, Engine, Feed, Node, free_address, member, until
 from vanerelay.fleet import messages, release
-from vanerelay.fleet.failure_detector import Alive, Member, Pace, Standing, incarnation, splits
+from vanerelay.fleet.failure_detector import (
+    FailureDetector,
+    FailureDetectorConfig,
+    Member,
+    MemberState,
+    incarnation,
+    splits,
+)
 from vanerelay.interface import SECOND
 
-PACE = Pace()
+PACE = FailureDetectorConfig()
 
 
 class Fleet:
@@ -31,7 +38,7 @@
             self.start(f"m{number}", 1000 + number, [f"m{n}" for n in range(count)])
 
     def start(self, name, number, known):
-        node = Alive(Member(name, number, address=name), PACE, random.Random(f"{name}{number}"))
+        node = FailureDetector(Member(name, number, address=name), PACE, random.Random(f"{name}{number}"))
         for other in known:
             node.introduce(other, other)
         self.nodes[name] = node
@@ -66,9 +73,9 @@
             if name in self.down or node.replaced:
                 continue
             target = node.next(self.now)
-            if target is None or self.ping(name, target.name, target.standing is Standing.GONE):
+            if target is None or self.ping(name, target.name, target.standing is MemberState.GONE):
                 continue
-            if target.standing is not Standing.GONE and not any(
+            if target.standing is not MemberState.GONE and not any(
                 self.ping(name, one.name) and self.ping(one.name, target.name)
                 for one in node.helpers(target.name)
             ):
@@ -94,7 +101,7 @@
     seen = []
     for _ in range(60):
         fleet.run(SECOND)
-        seen.append(sum(fleet.sees(Standing.GONE).values()))
+        seen.append(sum(fleet.sees(MemberState.GONE).values()))
     assert max(seen) == 0
 
 
@@ -104,10 +111,10 @@
     fleet.run(20 * SECOND)
     fleet.down.add("m1")
     fleet.run(int(20 * SECOND))
-    assert fleet.sees(Standing.GONE, ["m1"]) == {"m1": count - 1}
+    assert fleet.sees(MemberState.GONE, ["m1"]) == {"m1": count - 1}
     fleet.down.clear()
     fleet.run(20 * SECOND)
-    assert fleet.sees(Standing.ALIVE, ["m1"]) == {"m1": count - 1}
+    assert fleet.sees(MemberState.ALIVE, ["m1"]) == {"m1": count - 1}
 
 
 def test_messages_for_each_manager_do_not_grow_with_the_fleet():
@@ -127,7 +134,7 @@
     fleet.run(10 * SECOND)
     fleet.cut = lambda one, other: {one, other} == {"m1", "m2"}
     fleet.run(60 * SECOND)
-    assert sum(fleet.sees(Standing.GONE).values()) == 0
+    assert sum(fleet.sees(MemberState.GONE).values()) == 0
 
 
 def test_two_halves_see_each_other_gone_and_find_each_other_again():
@@ -139,7 +146,7 @@
     assert {split.name for split in splits(views)} == set(fleet.nodes)
     fleet.cut = lambda one, other: False
     fleet.run(30 * SECOND)
-    assert sum(fleet.sees(Standing.GONE).values()) == 0
+    assert sum(fleet.sees(MemberState.GONE).values()) == 0
     assert splits({name: node.whole() for name, node in fleet.nodes.items()}) == []
 
 
@@ -149,7 +156,7 @@
     fleet.start("m1", 5, [f"m{n}" for n in range(4)])  # it was 1001 before
     fleet.run(10 * SECOND)
     assert fleet.nodes["m1"].own.incarnation == 1002 and not fleet.nodes["m1"].replaced
-    assert fleet.sees(Standing.ALIVE, ["m1"]) == {"m1": 3}
+    assert fleet.sees(MemberState.ALIVE, ["m1"]) == {"m1": 3}
 
 
 def test_one_that_slept_while_its_successor_started_is_silent():
@@ -171,7 +178,7 @@
 
 
 def test_bounds_hold_whatever_is_told():
-    node = Alive(Member("m0", 1), Pace(most=10), random.Random(1))
+    node = FailureDetector(Member("m0", 1), FailureDetectorConfig(most=10), random.Random(1))
     node.heard([Member(f"x{n}", 1) for n in range(100)], 0)
     assert len(node.members) == 10 and len(node.news()) <= PACE.told + 1
 
@@ -183,9 +190,9 @@
 
 def test_words_of_other_releases_are_passed_over():
     later = b"\x83\xa5fleet\xa1f\xa3own\x83\xa4name\xa2m1\xabincarnation\x07\xa6future\x01\xa6unseen\xc0"
-    ping = messages.unpack(later, messages.Ping)
+    ping = messages.decode(later, messages.Ping)
     assert ping is not None and ping.own.name == "m1" and ping.news == []
-    assert messages.unpack(b"\xc1nonsense", messages.Ping) is None
+    assert messages.decode(b"\xc1nonsense", messages.Ping) is None
     assert messages.member(messages.Row("m1", 1, standing=9)) is None
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -11,7 +11,7 @@
 
 from tests.helpers import Engine, Feed, Node, free_address, member, until
 from tests.helpers import World as Module
-from vanerelay.extension import Want
+from vanerelay.extension import QueryInfo
 from vanerelay.freshness import config as fresh_parts
 from vanerelay.freshness import dissemination, eligibility, messages, session_affinity, shard_updates
 from vanerelay.freshness import replication_positions as positions_
@@ -21,7 +21,7 @@
 from vanerelay.freshness.replication_positions import MARKS, Point, Positions, Told
 from vanerelay.freshness.session_affinity import Keeper, Known, Pin
 from vanerelay.freshness.shard_updates import Shard
-from vanerelay.interface import SECOND, Arrival, EngineState, Outcome
+from vanerelay.interface import SECOND, EngineState, Outcome, QueryArrival
 from vanerelay.lab import staleness_simulation
 from vanerelay.operator_config import BadOptions
 from vanerelay.operator_config import read as read_options
@@ -224,7 +224,7 @@
     while True:
         given = watcher.give(6000, *other.wants(90_000))
         other.hear(
-            90_000, messages.given(messages.unpack(messages.pack(messages.news(given)), messages.News)), 0.0
+            90_000, messages.given(messages.decode(messages.encode(messages.news(given)), messages.News)), 0.0
         )
         asked += 1
         if not given.more:
@@ -341,24 +341,24 @@
 
 def test_a_batch_goes_only_among_the_engines_it_may_and_holds_nobody_else_up():
     world = Module(engines=4)
-    bound = Arrival(90, 0, 0, None, world.now + 10 * SECOND, 1000, 500.0, 0, False, frozenset({2}))
+    bound = QueryArrival(90, 0, 0, None, world.now + 10 * SECOND, 1000, 500.0, 0, False, frozenset({2}))
     for _ in range(5):
-        batch = world.gateway.take(bound)
-        assert world.did("dispatch")[-1][1] == 2
-        world.end(batch, Outcome.RETURNED)
-    nobody = Arrival(91, 0, 0, None, world.now + 10 * SECOND, 1000, 500.0, 0, False, frozenset({9}))
-    waiting = world.gateway.take(nobody)
+        batch = world.gateway.submit(bound)
+        assert world.did("send_attempt")[-1][1] == 2
+        world.end(batch, Outcome.COMPLETED)
+    nobody = QueryArrival(91, 0, 0, None, world.now + 10 * SECOND, 1000, 500.0, 0, False, frozenset({9}))
+    waiting = world.gateway.submit(nobody)
     assert waiting.held and not waiting.sends
     assert world.take().sends, "others go by"
-    nobody.among = frozenset({1})  # news have come
+    nobody.eligible_engines = frozenset({1})  # news have come
     world.run(SECOND // 2)
-    assert waiting.sends and world.did("dispatch")[-1][:2] == (91, 1)
+    assert waiting.sends and world.did("send_attempt")[-1][:2] == (91, 1)
 
 
 def test_placement_comes_before_a_hint():
-    world = Module(engines=2, locations=(1,))
-    arrival = Arrival(90, 0, 0, None, world.now + SECOND, 1000, 500.0, 0, False, frozenset({0, 1}))
-    assert not world.gateway.take(arrival).sends
+    world = Module(engines=2, zones=(1,))
+    arrival = QueryArrival(90, 0, 0, None, world.now + SECOND, 1000, 500.0, 0, False, frozenset({0, 1}))
+    assert not world.gateway.submit(arrival).sends
 
 
 # What operators write, what engines say.
@@ -382,7 +382,7 @@
 
 def filled(tmp_path, text):
     (tmp_path / "options.hcl").write_text(text)
-    return fresh_parts.parts(read_options(str(tmp_path / "options.hcl")).only("freshness"))
+    return fresh_parts.read_config(read_options(str(tmp_path / "options.hcl")).only("freshness"))
 
 
 def test_the_block_is_read(tmp_path):
@@ -424,22 +424,20 @@
     def __init__(self):
         self.told = []
 
-    def among(self, engines):
+    def restrict_to(self, engines):
         self.told.append(engines)
 
-    def refuse(self, wait):
+    def reject(self, wait):
         self.told.append("refused")
 
 
 def guided(hint, positions, session=None):
     """A guide of one read, and all that stands behind it; `session`: what its keepers answer, later."""
     clock = Clock()
-    rows = [
-        SimpleNamespace(engine=n, name=name, state=EngineState.UP) for n, name in enumerate([S, "a", "b"])
-    ]
+    rows = [SimpleNamespace(index=n, name=name, state=EngineState.UP) for n, name in enumerate([S, "a", "b"])]
     known = Deferred() if session is None else succeed(session)
     freshness = SimpleNamespace(
-        parts=fresh_parts.Parts(fresh_parts.Watch(("@ID@",))),
+        parts=fresh_parts.FreshnessConfig(fresh_parts.Watch(("@ID@",))),
         positions=positions,
         clock=lambda: 120,
         whole=True,
@@ -449,19 +447,20 @@
     )
     leading = Leading(SimpleNamespace(reactor=clock), freshness, random.Random(1))
     leading.there = lambda: {
-        one.name: SimpleNamespace(entry=one, sound=True, level=1.0, share=1.0, cores=4.0) for one in rows
+        one.name: SimpleNamespace(entry=one, usable=True, health=1.0, ramp_share=1.0, cores=4.0)
+        for one in rows
     }
-    leading._names = {one.engine: one.name for one in rows}
+    leading._names = {one.index: one.name for one in rows}
     statement = f"/*+ vanerelay {hint} */ SELECT a FROM sales_{ONE}.t"
-    guide, lead = leading.guide(Want("x", "look", statement, SECOND, 2 * SECOND)), Led()
-    guide.begin(lead)
+    guide, lead = leading.guide(QueryInfo("x", "look", statement, SECOND, 2 * SECOND)), Led()
+    guide.start(lead)
     return leading, guide, lead, known, clock
 
 
 @pytest.mark.parametrize("hint, answer", [("pin=s", Known(None, False)), ("after=x", (ONE, Point(1, 4)))])
 def test_a_read_whose_client_left_before_its_keepers_answered_leaves_nothing(hint, answer):
     leading, guide, lead, known, clock = guided(f"{hint} stale<=50ms", heard(*FRESH))
-    guide.over()
+    guide.finished()
     known.callback(answer)
     assert lead.told == [] and not leading.waiting and not leading.led and not clock.getDelayedCalls()
 
@@ -469,26 +468,26 @@
 def test_a_copy_that_went_back_is_left_and_its_answer_not_handed_on():
     leading, guide, lead, _, _ = guided("stale<=5ms", heard(*FRESH))
     assert lead.told == [frozenset({0, 1})]
-    guide.sent(1)
-    assert not guide.accepts(1, {"at": "1:3"}) and lead.told[-1] == frozenset({0})
-    guide.sent(0)
-    assert guide.accepts(0, {"at": "1:5"}) and guide.fields() == {"at": "1:5"}
+    guide.attempt_sent(1)
+    assert not guide.accepts_answer(1, {"at": "1:3"}) and lead.told[-1] == frozenset({0})
+    guide.attempt_sent(0)
+    assert guide.accepts_answer(0, {"at": "1:5"}) and guide.answer_fields() == {"at": "1:5"}
 
 
 def test_a_session_moves_where_its_copy_does_not_answer():
     kept = Known(Pin("a", 3, Point(1, 5)), False)
     leading, guide, lead, _, _ = guided("pin=s stale<=5ms", heard(*FRESH), kept)
     assert lead.told == [frozenset({1})]
-    guide.sent(1)
-    guide.missed(1, Outcome.PUSHED_BACK)
+    guide.attempt_sent(1)
+    guide.attempt_failed(1, Outcome.REJECTED)
     assert lead.told[-1] == frozenset({1}), "it is only full"
-    guide.missed(1, Outcome.RESET)
+    guide.attempt_failed(1, Outcome.RESET)
     assert lead.told[-1] == frozenset(), "nobody is known to hold all there was when it came"
     leading.freshness.positions.asked(S, 121)
     guide.look()
     assert lead.told[-1] == frozenset({0})
-    guide.sent(0)
-    assert guide.accepts(0, {"at": "1:5"}) and guide.fields()["pin"] == "moved"
+    guide.attempt_sent(0)
+    assert guide.accepts_answer(0, {"at": "1:5"}) and guide.answer_fields()["pin"] == "moved"
 
 
 def test_a_copy_that_went_back_serves_no_further_dispatch_while_its_session_moves():
@@ -497,13 +496,13 @@
     leading, guide, lead, _, _ = guided("pin=s stale<=5ms else=source", heard(*FRESH), kept)
     settled = Deferred()
     leading.freshness.put_session = lambda name, lasts, pin: settled
-    guide.sent(1)
-    assert not guide.accepts(1, {"at": "1:1"}) and lead.told[-1] == frozenset({0})
-    assert not guide.accepts(1, {"at": "1:1"}), "an answer of a dispatch that was out already"
-    guide.sent(0)
-    assert not guide.accepts(0, {"at": "1:5"}), "keepers do not know yet that it has moved"
+    guide.attempt_sent(1)
+    assert not guide.accepts_answer(1, {"at": "1:1"}) and lead.told[-1] == frozenset({0})
+    assert not guide.accepts_answer(1, {"at": "1:1"}), "an answer of a dispatch that was out already"
+    guide.attempt_sent(0)
+    assert not guide.accepts_answer(0, {"at": "1:5"}), "keepers do not know yet that it has moved"
     settled.callback((True, None))
-    assert guide.accepts(0, {"at": "1:5"}) and guide.fields()["pin"] == "lost"
+    assert guide.accepts_answer(0, {"at": "1:5"}) and guide.answer_fields()["pin"] == "lost"
 
 
 def test_a_further_dispatch_goes_by_what_copies_hold_then():
@@ -511,13 +510,13 @@
     back since the read came."""
     positions = heard(*FRESH)
     leading, guide, lead, _, _ = guided("stale<=25ms", positions)
-    guide.sent(0)
+    guide.attempt_sent(0)
     positions.change("a", ONE, Told(Point(1, 3), False))
     positions.asked("a", 130)
-    guide.missed(0, Outcome.TIMED_OUT)
+    guide.attempt_failed(0, Outcome.TIMED_OUT)
     assert lead.told[-1] == frozenset({0})
-    guide.sent(1)  # as it may have been chosen a moment before
-    assert not guide.accepts(1, {"at": "1:3"}) and guide.accepts(0, {"at": "1:5"})
+    guide.attempt_sent(1)  # as it may have been chosen a moment before
+    assert not guide.accepts_answer(1, {"at": "1:3"}) and guide.accepts_answer(0, {"at": "1:5"})
 
 
 def test_what_waits_in_vain_is_refused_at_its_goal_and_at_once_where_it_says_so():
--- a/tests/test_grpc_wire.py
+++ b/tests/test_grpc_wire.py
@@ -296,8 +296,13 @@
         (b"\2\0\0\0\0", "packed"),
         (b"\0\0\0\1\1", "257 bytes"),
         (b"\1\0\0\0\3abc", "cannot be unpacked"),
-        (b"\1" + len(gzip.compress(b"x" * 9999)).to_bytes(4, "big") + gzip.compress(b"x" * 9999), "over 256"),
-        (b"\1\0\0\0\x0c" + gzip.compress(b"abc")[:12], "in part"),
+        (
+            b"\1"
+            + len(gzip.compress(b"x" * 9999, mtime=0)).to_bytes(4, "big")
+            + gzip.compress(b"x" * 9999, mtime=0),
+            "over 256",
+        ),
+        (b"\1\0\0\0\x0c" + gzip.compress(b"abc", mtime=0)[:12], "in part"),
     ],
 )
 def test_messages_that_cannot_be_read(data, says):
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -9,7 +9,15 @@
 
 from tests.helpers import COLD, GROUP, ROOT, SERVICES, entry, member, until
 from tests.test_crossings import joined, returns
-from vanerelay.interface import SECOND, Effect, EngineState, MachineKind, Outcome, RationTerms, Scope
+from vanerelay.interface import (
+    SECOND,
+    DeduplicationScope,
+    EngineState,
+    Idempotency,
+    MachineKind,
+    Outcome,
+    RetryBudgetTerms,
+)
 from vanerelay.invariants import BUCKET, ENOUGH_ANSWERS, Guard, GuardTerms, Invariant
 from vanerelay.net.events import BURST, REASONS_MOST, EventLog, Kind
 
@@ -17,13 +25,13 @@
 LIMIT = NOW + 20 * SECOND
 
 
-def guard(budget=RationTerms(0, 0, 0.0), copies=False, most=3, **group):  # noqa: B008
+def guard(budget=RetryBudgetTerms(0, 0, 0.0), copies=False, most=3, **group):  # noqa: B008
     terms = GuardTerms(
         [dataclasses.replace(GROUP, **group)], [MachineKind(16, 32000.0)] * 2, budget, COLD, most, copies
     )
     made = Guard(terms)
     for number in range(4):
-        made.listed(entry(number, location=number % 2, cell=number))
+        made.listed(entry(number, zone=number % 2, cell=number))
     return made
 
 
@@ -36,7 +44,7 @@
 def test_attempts_within_the_rules_break_nothing():
     made = guard()
     record = made.taken(NOW, 0, LIMIT, True)
-    for number, outcome in enumerate([Outcome.ERRORED, Outcome.RESET, Outcome.RETURNED]):
+    for number, outcome in enumerate([Outcome.FAILED, Outcome.RESET, Outcome.COMPLETED]):
         attempt(made, record, number, outcome, engine=number)
     assert made.answered(record) and made.closing(0) and made.told() == {}
 
@@ -54,12 +62,12 @@
 
 
 def test_further_attempts_stay_within_the_budget_of_real_time():
-    made = guard(RationTerms(10 * SECOND, 1, 0.1), most=99)
+    made = guard(RetryBudgetTerms(10 * SECOND, 1, 0.1), most=99)
     records = [made.taken(NOW, 0, LIMIT, True) for _ in range(20)]
     spare = made.taken(NOW, 0, LIMIT, False)
     found = []
     for record in [*records, spare]:
-        attempt(made, record, 0, Outcome.ERRORED)
+        attempt(made, record, 0, Outcome.FAILED)
         found.append(made.begin(NOW + 1, record, 1, 1))
     assert found.count(None) == 3 and set(found[3:]) == {Invariant.BUDGET}
     later = NOW + 10 * SECOND + SECOND // 10
@@ -70,24 +78,24 @@
 @pytest.mark.parametrize(
     ("effect", "scope", "outcome", "at", "engine", "broken"),
     [
-        (Effect.REPEATABLE, Scope.ALL, Outcome.RESET, 9 * SECOND, 1, None),
-        (Effect.ONCE_ONLY, Scope.ALL, Outcome.RESET, 1, 1, Invariant.EFFECT),
-        (Effect.ONCE_ONLY, Scope.ALL, Outcome.TIMED_OUT, 1, 1, Invariant.EFFECT),
-        (Effect.ONCE_ONLY, Scope.ALL, Outcome.NO_CONNECTION, 1, 1, None),
-        (Effect.ONCE_ONLY, Scope.ALL, Outcome.PUSHED_BACK, 1, 1, None),
-        (Effect.REFERENCED, Scope.ALL, Outcome.RESET, 5 * SECOND - 1, 1, None),
-        (Effect.REFERENCED, Scope.ALL, Outcome.RESET, 5 * SECOND, 1, Invariant.EFFECT),
-        (Effect.REFERENCED, Scope.ALL, Outcome.NOT_SENT, 5 * SECOND, 1, None),
-        (Effect.REFERENCED, Scope.LOCATION, Outcome.RESET, 1, 1, Invariant.EFFECT),
-        (Effect.REFERENCED, Scope.LOCATION, Outcome.RESET, 1, 2, None),
-        (Effect.REFERENCED, Scope.CELL, Outcome.RESET, 1, 2, Invariant.EFFECT),
-        (Effect.REFERENCED, Scope.CELL, Outcome.RESET, 1, 0, None),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, Outcome.RESET, 9 * SECOND, 1, None),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.RESET, 1, 1, Invariant.EFFECT),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.TIMED_OUT, 1, 1, Invariant.EFFECT),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.NO_CONNECTION, 1, 1, None),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.REJECTED, 1, 1, None),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ALL, Outcome.RESET, 5 * SECOND - 1, 1, None),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ALL, Outcome.RESET, 5 * SECOND, 1, Invariant.EFFECT),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ALL, Outcome.NOT_SENT, 5 * SECOND, 1, None),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, Outcome.RESET, 1, 1, Invariant.EFFECT),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, Outcome.RESET, 1, 2, None),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.CELL, Outcome.RESET, 1, 2, Invariant.EFFECT),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.CELL, Outcome.RESET, 1, 0, None),
     ],
 )
 def test_what_may_have_run_is_repeated_only_where_that_does_no_harm(
     effect, scope, outcome, at, engine, broken
 ):
-    made = guard(effect=effect, scope=scope, window=5 * SECOND)
+    made = guard(idempotency=effect, deduplication_scope=scope, deduplication_window=5 * SECOND)
     record = made.taken(NOW, 0, LIMIT, True)
     attempt(made, record, 0, outcome)
     assert made.begin(NOW + at, record, 1, engine) is broken
@@ -111,22 +119,22 @@
 
 def test_a_cold_engine_gets_no_more_than_all_together_may_send():
     made = guard(most=99)
-    made.listed(entry(1, started=NOW - 1))
+    made.listed(entry(1, started_at=NOW - 1))
     warm = made.taken(NOW, 0, LIMIT, True)
     for _ in range(ENOUGH_ANSWERS):
-        made.attempt_ended(warm, 0, Outcome.RETURNED, SECOND)
-    allowed = COLD.multiple * COLD.share * 16 * COLD.window / SECOND
+        made.attempt_ended(warm, 0, Outcome.COMPLETED, SECOND)
+    allowed = COLD.overload_multiple * COLD.initial_share * 16 * COLD.overload_window / SECOND
     found = [made.begin(NOW, made.taken(NOW, 0, LIMIT, True), 0, 1) for _ in range(60)]
     assert allowed < found.count(None) <= allowed + 3 * allowed**0.5 + 3 and found[-1] is Invariant.COLD
     assert made.begin(NOW, warm, 0, 0) is None  # one that is warm takes what comes
-    after = NOW + COLD.warm_after + COLD.window
+    after = NOW + COLD.ramp_duration + COLD.overload_window
     assert made.begin(after, made.taken(after, 0, 2 * after, True), 0, 1) is None
 
 
 @pytest.mark.parametrize("span", [0, 10 * SECOND])
 def test_what_the_guard_remembers_is_bounded(span):
     """Also where nothing is ever repeated, and where no budget is stated."""
-    made = guard(RationTerms(span, 1, 0.1))
+    made = guard(RetryBudgetTerms(span, 1, 0.1))
     for number in range(5_000):
         made.taken(NOW + number * BUCKET, 0, LIMIT, True)
     assert made.remembered() <= 10 * SECOND // BUCKET + 2
@@ -141,10 +149,10 @@
 
 
 ERRING = {
-    "drain": "decide.Batch.may_begin = lambda self, attempt: True\n"
+    "drain": "decide.Query.may_begin = lambda self, attempt: True\n"
     "decide.Gateway._list = lambda self, engine, listed, real=decide.Gateway._list: real(self, engine, True)",
     "budget": "decide.Ration.allows = lambda self, now, little=False: True",
-    "effect": "decide.Batch.allowed_until = lambda self, before=None: float('inf')\n"
+    "effect": "decide.Query.allowed_until = lambda self, before=None: float('inf')\n"
     "decide.Gateway.worth_more = lambda self, batch: True",
 }
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from vanerelay.interface import SECOND, Effect
+from vanerelay.interface import SECOND, Idempotency
 from vanerelay.lab import fault_network, rule_checker, scenario, schedule
 from vanerelay.lab.link_faults import Parties, Passage, Way, datagram
 from vanerelay.lab.model import Cold, Engine, Job, Machine, Put, Word
@@ -140,8 +140,8 @@
 
 
 ONCE, TWICE = (
-    scenario.Group("order", SECOND, 2 * SECOND, 1.0, 100, effect=Effect.ONCE_ONLY),
-    scenario.Group("copy", SECOND, 2 * SECOND, 1.0, 100, effect=Effect.REFERENCED, window=SECOND),
+    scenario.Group("order", SECOND, 2 * SECOND, 1.0, 100, effect=Idempotency.NON_IDEMPOTENT),
+    scenario.Group("copy", SECOND, 2 * SECOND, 1.0, 100, effect=Idempotency.DEDUPLICATED, window=SECOND),
 )
 HERE = scenario.Group("here", SECOND, 2 * SECOND, 1.0, 100, locations=("east",))
 SITE = rule_checker.Site(
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -13,35 +13,35 @@
 from twisted.internet.task import Clock
 
 from tests.histories import deeds, register
-from vanerelay.fleet.failure_detector import Member, Standing
-from vanerelay.fleet.rpc import Refused
+from vanerelay.fleet.failure_detector import Member, MemberState
+from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.interface import SECOND
 from vanerelay.lab.lease_simulation import Setting, Trouble, World, drawn, play, shortest
 from vanerelay.leases import assignment, messages
 from vanerelay.leases import config as lease_parts
-from vanerelay.leases.durable_store import Disk, Unkept
-from vanerelay.leases.fencing import Gate, Hold
-from vanerelay.leases.maintenance_schedule import Rounds, shard
+from vanerelay.leases.durable_store import DurableStore, StoreError
+from vanerelay.leases.fencing import FencingGate, LeaseHolder
+from vanerelay.leases.maintenance_schedule import MaintenanceSchedule, shard
 from vanerelay.leases.voter import (
     ERA,
     Ballot,
     Claim,
     Grant,
     Kept,
-    Memory,
+    LeaseTerms,
     Reply,
-    Said,
-    Slot,
     Stage,
-    Terms,
     Voter,
+    VoterAnswer,
+    VoterMemory,
+    VoterRecord,
     Voters,
 )
-from vanerelay.leases.voter_service import Voting
+from vanerelay.leases.voter_service import VoterService
 from vanerelay.operator_config import BadOptions, read
 
 SEEDS, EACH = 12, 8
-TERMS = Terms(term=SECOND, longest=2 * SECOND, drift=0.02, linger=SECOND // 10)
+TERMS = LeaseTerms(term=SECOND, longest=2 * SECOND, drift=0.02, linger=SECOND // 10)
 THREE = Voters(1, ("a", "b", "c"))
 
 
@@ -71,8 +71,8 @@
 
 def test_what_is_broken_on_purpose_is_found_in_a_schedule_and_made_short(monkeypatch):
     """Holders that count too long a term, and receivers that take what comes."""
-    monkeypatch.setattr("vanerelay.leases.voter.Terms.held", lambda self, term: 2 * term)
-    monkeypatch.setattr(Gate, "refuses", lambda self, *told: None)
+    monkeypatch.setattr("vanerelay.leases.voter.LeaseTerms.held", lambda self, term: 2 * term)
+    monkeypatch.setattr(FencingGate, "refuses", lambda self, *told: None)
     extra = [*(Trouble("cut", f"m{n}", 3.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5))]
     found = [seed for seed in range(2) if wrong(play(seed, extra))]
     assert found
@@ -165,7 +165,7 @@
     for name in ("m1", "m2", "m3", "m4", "m5"):
         restart(name, joint)
     assert {n: world.nodes[n].leases.voting.voter.memory for n in ("m4", "m5")} == dict.fromkeys(
-        ("m4", "m5"), Memory.KNOWS
+        ("m4", "m5"), VoterMemory.KNOWS
     )
     for name in ("m3", "m4", "m5", "m1", "m2"):
         restart(name, Voters(3, ("m3", "m4", "m5")))
@@ -194,21 +194,21 @@
 
 def test_a_voter_without_memory_is_silent_then_learns_from_a_majority_of_the_others():
     voter = Voter("a", TERMS, THREE, None, 0)
-    assert voter.prepare(1, 1, "t", Ballot(1, "x", 1)).said is Said.REFUSED
+    assert voter.prepare(1, 1, "t", Ballot(1, "x", 1)).said is VoterAnswer.REFUSED
     assert not voter.wakes(TERMS.longest - 1) and voter.wakes(TERMS.longest)
     grant = Grant(7, "m", 1, SECOND, Ballot(4, "m", 1))
-    told = {"b": Kept(3, 1, {"t": Slot(Ballot(5, "n", 1), Grant())})}
+    told = {"b": Kept(3, 1, {"t": VoterRecord(Ballot(5, "n", 1), Grant())})}
     assert not voter.learns(30000, told)  # one of three: it may be the one that did not hear
     assert not voter.learns(30000, {**told, "a": Kept(9, 1)})  # itself counts for nothing
-    assert voter.learns(30000, {**told, "c": Kept(2, 1, {"t": Slot(Ballot(4, "m", 1), grant)})})
-    assert voter.era == 3 and voter.slots["t"] == Slot(Ballot(5, "n", 1), grant, 30000 + SECOND)
+    assert voter.learns(30000, {**told, "c": Kept(2, 1, {"t": VoterRecord(Ballot(4, "m", 1), grant)})})
+    assert voter.era == 3 and voter.slots["t"] == VoterRecord(Ballot(5, "n", 1), grant, 30000 + SECOND)
 
 
 def test_a_voter_with_its_memory_counts_terms_anew():
     grant = Grant(7, "m", 1, SECOND, Ballot(4, "m", 1))
-    voter = Voter("a", TERMS, THREE, Kept(1, 1, {"t": Slot(grant.ballot, grant)}), 50)
-    assert voter.prepare(60, 1, "t", Ballot(9, "x", 1)).said is Said.HELD
-    assert voter.prepare(50 + SECOND, 1, "t", Ballot(9, "x", 1)).said is Said.YES
+    voter = Voter("a", TERMS, THREE, Kept(1, 1, {"t": VoterRecord(grant.ballot, grant)}), 50)
+    assert voter.prepare(60, 1, "t", Ballot(9, "x", 1)).said is VoterAnswer.HELD
+    assert voter.prepare(50 + SECOND, 1, "t", Ballot(9, "x", 1)).said is VoterAnswer.YES
 
 
 @pytest.mark.parametrize("word, heard, good", [(1, 0, True), (4, 3, True), (3, 3, False), (1, 2, False)])
@@ -217,7 +217,7 @@
     assert voter.found(word, heard) == "it is silent yet"
     voter.wakes(TERMS.longest)
     assert (voter.found(word, heard) is None) == good
-    assert (voter.memory is Memory.KNOWS) == good
+    assert (voter.memory is VoterMemory.KNOWS) == good
 
 
 def test_a_joint_step_needs_both_majorities_and_fences_the_step_before():
@@ -226,8 +226,8 @@
     assert joint.remembers({"a", "b"}) and not joint.remembers({"d", "e"})
     old = Voter("a", TERMS, THREE, Kept(1, 1), 0)
     assert old.fence(2) and not old.fence(2)  # a new voter has asked for its memory
-    assert old.prepare(0, 1, "t", Ballot(1, "x", 1)).said is Said.REFUSED
-    assert old.prepare(0, 2, "t", Ballot(1, "x", 1)).said is Said.YES
+    assert old.prepare(0, 1, "t", Ballot(1, "x", 1)).said is VoterAnswer.REFUSED
+    assert old.prepare(0, 2, "t", Ballot(1, "x", 1)).said is VoterAnswer.YES
 
 
 def test_a_promise_is_refused_while_another_holds_but_not_to_the_holder():
@@ -235,10 +235,10 @@
     first = Ballot(1, "x", 1)
     voter.prepare(0, 1, "t", first)
     voter.accept(0, 1, "t", Grant(1, "x", 1, SECOND, first))
-    assert voter.prepare(5, 1, "t", Ballot(9, "y", 2)).said is Said.HELD
-    assert voter.prepare(5, 1, "t", Ballot(2, "x", 1)).said is Said.YES
-    assert voter.accept(6, 1, "t", Grant(1, "x", 1, SECOND, first)).said is Said.LATER
-    assert voter.accept(6, 1, "u", Grant(1, "x", 1, 9 * SECOND, first)).said is Said.REFUSED
+    assert voter.prepare(5, 1, "t", Ballot(9, "y", 2)).said is VoterAnswer.HELD
+    assert voter.prepare(5, 1, "t", Ballot(2, "x", 1)).said is VoterAnswer.YES
+    assert voter.accept(6, 1, "t", Grant(1, "x", 1, SECOND, first)).said is VoterAnswer.LATER
+    assert voter.accept(6, 1, "u", Grant(1, "x", 1, 9 * SECOND, first)).said is VoterAnswer.REFUSED
 
 
 def test_a_holder_goes_past_a_later_ballot_without_a_new_number():
@@ -247,14 +247,14 @@
     )
     claim = replace(claim, rounds=())
     claim = claim.taken(
-        "a", Ballot(1, "x", 1), 1, Reply(Said.LATER, promised=Ballot(6, "y", 2)), THREE, TERMS
+        "a", Ballot(1, "x", 1), 1, Reply(VoterAnswer.LATER, promised=Ballot(6, "y", 2)), THREE, TERMS
     )
     assert claim.over and claim.holds(10)
     claim = claim.ask(10, "x", 1)
     assert claim.ballot.round == 7 and claim.holds(10)
     for voter in "ab":
         grant = Grant(5, "x", 1, SECOND, Ballot(1, "x", 1))
-        claim = claim.promised(20, voter, claim.ballot, Reply(Said.YES, grant), THREE, TERMS, 0)
+        claim = claim.promised(20, voter, claim.ballot, Reply(VoterAnswer.YES, grant), THREE, TERMS, 0)
     assert claim.stage is Stage.TAKING and claim.grant.number == 5 and claim.holds(20)
 
 
@@ -262,7 +262,7 @@
 
 
 def test_a_hold_begins_nothing_that_may_end_after_its_term():
-    hold, ballot = Hold("t", "x/1"), Ballot(1, "x", 1)
+    hold, ballot = LeaseHolder("t", "x/1"), Ballot(1, "x", 1)
     claim = Claim(Stage.HOLDING, ballot, 0, grant=Grant(3, "x", 1, SECOND, ballot), until=1000, free=False)
     assert hold.settle(0, claim, TERMS) and hold.acts_from == TERMS.linger
     assert hold.begin(TERMS.linger - 1, 5) is None  # what another sent may still arrive
@@ -288,7 +288,7 @@
 
 
 def test_a_receiver_refuses_what_was_followed_late_or_doubled():
-    gate = Gate()
+    gate = FencingGate()
     for (number, serial, holder), taken in GATE:
         assert (gate.refuses("t", number, serial, holder) is None) == taken, (number, serial, holder)
         if taken:
@@ -324,7 +324,7 @@
         Member("m1", 1, state="serving", program="0.2.0-aa"),
         Member("m2", 1, state="serving", program="0.10.0-bb"),
         Member("m3", 1, state="draining", program="0.10.0-bb"),
-        Member("m4", 1, standing=Standing.GONE, state="serving", program="0.10.0-bb"),
+        Member("m4", 1, standing=MemberState.GONE, state="serving", program="0.10.0-bb"),
         Member("m5", 1, state="serving", program="0.10.0-bb"),
     ]
     found = assignment.candidates(members, "m2", True, {"m5": 0.0})
@@ -349,7 +349,7 @@
 
 
 def test_orders_leave_at_an_even_pace_and_never_two_to_one_engine():
-    rounds, engines, sent, out = Rounds(10 * SECOND, 3), [f"e{n}" for n in range(40)], [], []
+    rounds, engines, sent, out = MaintenanceSchedule(10 * SECOND, 3), [f"e{n}" for n in range(40)], [], []
     rounds.begin(0)
     for tick in range(300):
         now = tick * SECOND // 10
@@ -381,7 +381,7 @@
 
 
 def test_what_is_put_outlives_the_process_and_a_full_disk_is_said(tmp_path):
-    disk = Disk(Now(), str(tmp_path))
+    disk = DurableStore(Now(), str(tmp_path))
     disk._pool.callInThread = lambda call, *values: call(*values)
     told = []
     disk.put("a", {"x": b"1", "y": b"2"}).addCallback(told.append)
@@ -391,16 +391,16 @@
     disk._base.execute("pragma max_page_count = 3")
     failed = []
     disk.put("a", {"z": b"0" * 100_000}).addErrback(lambda fault: failed.append(fault.value))
-    assert isinstance(failed[0], Unkept) and disk.load("a") == {"x": b"1"}
+    assert isinstance(failed[0], StoreError) and disk.load("a") == {"x": b"1"}
     disk.close()
-    again = Disk(Now(), str(tmp_path))
+    again = DurableStore(Now(), str(tmp_path))
     assert again.load("a") == {"x": b"1"} and again.load("b") == {}
     again.close()
-    with pytest.raises(Unkept):
-        Disk(Now(), str(tmp_path / "promises.db"))
+    with pytest.raises(StoreError):
+        DurableStore(Now(), str(tmp_path / "promises.db"))
     (tmp_path / "promises.db").write_bytes(b"no database " * 1000)
-    with pytest.raises(Unkept):
-        Disk(Now(), str(tmp_path))
+    with pytest.raises(StoreError):
+        DurableStore(Now(), str(tmp_path))
 
 
 class Failing:
@@ -414,7 +414,7 @@
 
     def put(self, space, records):
         if self.full:
-            return fail(Unkept("full"))
+            return fail(StoreError("full"))
         self.records |= records
         return succeed(None)
 
@@ -424,14 +424,16 @@
 
 def test_what_a_full_disk_did_not_keep_is_kept_before_anything_else_is_said():
     disk = Failing()
-    voting = Voting(Clock(), "a", TERMS, THREE, disk, lambda: 0, None)
+    voting = VoterService(Clock(), "a", TERMS, THREE, disk, lambda: 0, None)
     ask = messages.Ask(1, [("t", Ballot(1, "x", 1))])
     disk.full, refused, told = True, [], []
     voting.answer(ask).addErrback(lambda fault: refused.append(fault.value))
-    assert isinstance(refused[0], Refused) and disk.records == {} and voting.why == "full"
+    assert isinstance(refused[0], RequestRefusedError) and disk.records == {} and voting.why == "full"
     disk.full = False
     voting.answer(messages.Ask(1, [("u", Ballot(1, "x", 1))])).addCallback(told.append)
-    assert set(disk.records) == {"t", "u"} and told[0].prepares[0].said is Said.YES and voting.why == ""
+    assert (
+        set(disk.records) == {"t", "u"} and told[0].prepares[0].said is VoterAnswer.YES and voting.why == ""
+    )
 
 
 # What operators write.
@@ -467,7 +469,7 @@
 def filled(tmp_path, text):
     path = tmp_path / "options.hcl"
     path.write_text(text)
-    return lease_parts.parts(read(str(path)).only("leases"))
+    return lease_parts.read_config(read(str(path)).only("leases"))
 
 
 def test_the_block_is_read(tmp_path):
--- a/tests/test_leases_model.py
+++ b/tests/test_leases_model.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from vanerelay.leases.voter import Claim, Slot, Stage, Terms, Voters, accept, prepare
+from vanerelay.leases.voter import Claim, LeaseTerms, Stage, VoterRecord, Voters, accept, prepare
 
 NAMES, ASKERS = ("v0", "v1", "v2"), "ab"
 VOTERS = Voters(1, NAMES)
 TERM = 2  # by voters' clocks; the fast one passes it in one
-TERMS = Terms(term=TERM, longest=TERM, drift=1.0)
+TERMS = LeaseTerms(term=TERM, longest=TERM, drift=1.0)
 
 
 @dataclass(frozen=True)
@@ -75,8 +75,8 @@
     def __init__(self, model, most=3_000_000):
         self.model, self.terms = model, TERMS
         if model.broken == "skew":
-            self.terms = Terms(term=TERM, longest=TERM, drift=0.0)
-        self.slots, self.claims = Numbered(Slot()), Numbered(Claim())
+            self.terms = LeaseTerms(term=TERM, longest=TERM, drift=0.0)
+        self.slots, self.claims = Numbered(VoterRecord()), Numbered(Claim())
         self.messages, self.held = Numbered(), Numbered(())
         self.states, self.wrong, self.reached = 0, None, set()
         for name in ("_prepare", "_accept", "_took", "_heal"):
@@ -159,7 +159,7 @@
         known = self.slots.values[one], self.slots.values[other]
         grant = max((slot.grant for slot in known), key=lambda grant: grant.ballot)
         until = at + grant.term if grant.holder else 0
-        return self.slots.number(Slot(max(slot.promised for slot in known), grant, until))
+        return self.slots.number(VoterRecord(max(slot.promised for slot in known), grant, until))
 
     def delivered(self, state, place):
         kind, who, voter, *_ = self.messages.values[place]
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -6,11 +6,13 @@
 
 import pytest
 
-from vanerelay.interface import NEVER_RAN, EngineState, NoteKind, Outcome
-from vanerelay.net import attempt_outcome, discovery_codec, frames, resp_codec
-from vanerelay.net.attempt_outcome import Cause, Stage
+from vanerelay import attempt_outcome
+from vanerelay.attempt_outcome import AttemptStage, EndCause
+from vanerelay.clock import Clock
+from vanerelay.engine_list import EngineListChange
+from vanerelay.interface import NEVER_RAN, EngineState, Outcome, ProgressKind
+from vanerelay.net import discovery_codec, frames, resp_codec
 from vanerelay.net.buffers import BLOCK, Gather, Pool
-from vanerelay.net.clock import Clock
 from vanerelay.net.statements import table_group, table_groups
 
 
@@ -131,17 +133,17 @@
 
 def exchange(most=4, may_cancel=True):
     talk = resp_codec.Exchange(Pool(), most, may_cancel)
-    talk.serve(b"q", resp_codec.Query(b"report", 1500, b"SELECT 1", 96, 0))
+    talk.serve(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
     talk.out.clear()
     return talk
 
 
 def test_a_dispatch_is_laid_out_as_the_page_says():
     talk = resp_codec.Exchange(Pool(), 4, True)
-    talk.serve(b"q", resp_codec.Query(b"report", 1500, b"S", 0, 0))
-    talk.serve(b"r", resp_codec.Query(b"report", 1500, b"S", 96, 0))
+    talk.serve(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
     assert talk.out[0] == b"*4\r\n$5\r\nserve\r\n$1\r\nq\r\n$25\r\nsort=report,patience=1500\r\n$1\r\nS\r\n"
-    talk.serve(b"s", resp_codec.Query(b"report", 1500, b"S", 96, 2))
+    talk.serve(b"s", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 2))
     assert b"sort=report,patience=1500,pool=96\r\n" in talk.out[1]
     assert b"sort=report,patience=1500,pool=96,band=2\r\n" in talk.out[2]
 
@@ -160,8 +162,10 @@
     # What brings more than belongs to it, second copies and an answer to nobody, is as good without.
     data = said(b"z", b"OK", TOLD, b"x") + said(b"q", b"OK", TOLD, rows[0]) + data
     got = [end for piece in pieces(data, size) for end in talk.feed(piece)]
-    assert [(i, e.cause, e.stage, e.rows) for i, e in got] == [(b"q", Cause.OK, Stage.WHOLE, b"".join(rows))]
-    assert got[0][1].told["l"] == "queue:3;x0:0.4" and got[0][1].told["rss"] == "40"
+    assert [(i, e.cause, e.stage, e.rows) for i, e in got] == [
+        (b"q", EndCause.OK, AttemptStage.COMPLETE_ANSWER, b"".join(rows))
+    ]
+    assert got[0][1].fields["l"] == "queue:3;x0:0.4" and got[0][1].fields["rss"] == "40"
     assert talk.out == [
         resp_codec.command(b"read", b"q", b"1"),
         resp_codec.command(b"read", b"q", b"2"),
@@ -176,48 +180,52 @@
 @pytest.mark.parametrize(
     ("data", "cause", "stage"),
     [
-        (said(b"q", b"BUSY"), Cause.BUSY, Stage.WRITTEN),
-        (said(b"q", b"ERR"), Cause.ERR, Stage.WRITTEN),
-        (said(b"q", b"VOID"), Cause.VOID, Stage.WRITTEN),
-        (said(b"q", b"WHAT"), Cause.UNREADABLE, Stage.WRITTEN),
-        (said(b"q", b"OK"), Cause.UNREADABLE, Stage.WRITTEN),
-        (said(b"q", b"OK", "total=0"), Cause.UNREADABLE, Stage.WRITTEN),
-        (said(b"q", b"OK", "total=x"), Cause.UNREADABLE, Stage.WRITTEN),
-        (said(b"q", b"OK", "total=\u00b2"), Cause.UNREADABLE, Stage.WRITTEN),
-        (said(b"q", b"OK", "total=" + "9" * 5000), Cause.UNREADABLE, Stage.WRITTEN),
-        (PAGE + said(b"q", b"ROWS", "index=\u00b2", ROW), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (said(b"q", b"OK", "total=1", b"\t\tx\n" * 1501), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (said(b"q", b"OK", "total=1", b"a\tb\n"), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (said(b"q", b"OK", "total=1", ROW + b"a\tb\tc"), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (said(b"q", b"OK", "total=1", ROW + b"a\tb\tc\td\n"), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (said(b"q", b"OK", "total=1", b"a\tb\t\xff\n"), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (said(b"q", b"OK", "total=1", b"a\tb\t\0\n"), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (said(b"q", b"OK", "total", ROW), Cause.UNREADABLE, Stage.WRITTEN),
-        (said(b"z", b"OK", "=", ROW), Cause.UNREADABLE, Stage.WRITTEN),
-        (b"*3\r\n$1\r\nq\r\n", Cause.UNREADABLE, Stage.WRITTEN),
-        (b"x", Cause.UNREADABLE, Stage.WRITTEN),
-        (b"*x", Cause.UNREADABLE, Stage.WRITTEN),
-        (b"*4\r\n$1x", Cause.UNREADABLE, Stage.WRITTEN),
-        (said(b"q", b"ROWS", "index=1"), Cause.UNREADABLE, Stage.WRITTEN),
-        (PAGE + said(b"q", b"ERR"), Cause.ERR, Stage.PAGES_MISSING),
-        (PAGE + said(b"q", b"BUSY"), Cause.BUSY, Stage.PAGES_MISSING),
-        (PAGE + said(b"q", b"VOID"), Cause.VOID, Stage.PAGES_MISSING),
-        (PAGE + said(b"q", b"OK", "total=4", ROW), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (PAGE + said(b"q", b"ROWS", "index=0", ROW + ROW), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (PAGE + said(b"q", b"ROWS", "index=3", ROW), Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (PAGE + said(b"q", b"ROWS", "", ROW), Cause.UNREADABLE, Stage.PAGES_MISSING),
+        (said(b"q", b"BUSY"), EndCause.BUSY, AttemptStage.WRITTEN),
+        (said(b"q", b"ERR"), EndCause.ERROR, AttemptStage.WRITTEN),
+        (said(b"q", b"VOID"), EndCause.VOID, AttemptStage.WRITTEN),
+        (said(b"q", b"WHAT"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (said(b"q", b"OK"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (said(b"q", b"OK", "total=0"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (said(b"q", b"OK", "total=x"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (said(b"q", b"OK", "total=\u00b2"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (said(b"q", b"OK", "total=" + "9" * 5000), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (PAGE + said(b"q", b"ROWS", "index=\u00b2", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (said(b"q", b"OK", "total=1", b"\t\tx\n" * 1501), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (said(b"q", b"OK", "total=1", b"a\tb\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (said(b"q", b"OK", "total=1", ROW + b"a\tb\tc"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (
+            said(b"q", b"OK", "total=1", ROW + b"a\tb\tc\td\n"),
+            EndCause.MALFORMED,
+            AttemptStage.PARTIAL_ANSWER,
+        ),
+        (said(b"q", b"OK", "total=1", b"a\tb\t\xff\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (said(b"q", b"OK", "total=1", b"a\tb\t\0\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (said(b"q", b"OK", "total", ROW), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (said(b"z", b"OK", "=", ROW), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (b"*3\r\n$1\r\nq\r\n", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (b"x", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (b"*x", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (b"*4\r\n$1x", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (said(b"q", b"ROWS", "index=1"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (PAGE + said(b"q", b"ERR"), EndCause.ERROR, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + said(b"q", b"BUSY"), EndCause.BUSY, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + said(b"q", b"VOID"), EndCause.VOID, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + said(b"q", b"OK", "total=4", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + said(b"q", b"ROWS", "index=0", ROW + ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + said(b"q", b"ROWS", "index=3", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + said(b"q", b"ROWS", "", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
         (
             PAGE + said(b"q", b"ROWS", "index=1", ROW) + said(b"q", b"ROWS", "index=1", b"\t\t\n"),
-            Cause.UNREADABLE,
-            Stage.PAGES_MISSING,
+            EndCause.MALFORMED,
+            AttemptStage.PARTIAL_ANSWER,
         ),
-        (b"nonsense\r\n", Cause.UNREADABLE, Stage.WRITTEN),
-        (PAGE + b"*4\r\n$1\r\nqq", Cause.UNREADABLE, Stage.PAGES_MISSING),
-        (b"*0\r\n", Cause.UNREADABLE, Stage.WRITTEN),
-        (b"*4\r\n$-1\r\n", Cause.UNREADABLE, Stage.WRITTEN),
-        (b"*4\r\n$99999999\r\n", Cause.UNREADABLE, Stage.WRITTEN),
-        (b"*99999999\r\n", Cause.UNREADABLE, Stage.WRITTEN),
-        (b"*" + b"1" * 40, Cause.UNREADABLE, Stage.WRITTEN),
+        (b"nonsense\r\n", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (PAGE + b"*4\r\n$1\r\nqq", EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (b"*0\r\n", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (b"*4\r\n$-1\r\n", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (b"*4\r\n$99999999\r\n", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (b"*99999999\r\n", EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (b"*" + b"1" * 40, EndCause.MALFORMED, AttemptStage.WRITTEN),
     ],
 )
 @SIZES
@@ -232,17 +240,17 @@
     data = said(b"q", b"OK", "total=9", b"\t\tx\n" * 1500) + b"".join(
         said(b"q", b"ROWS", f"index={n}", b"\t\tx\n" * 1500) for n in range(1, 9)
     )
-    assert [e.cause for _, e in talk.feed(data)] == [Cause.UNREADABLE]
+    assert [e.cause for _, e in talk.feed(data)] == [EndCause.MALFORMED]
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_late_answer_passes_for_no_other(may_cancel):
     """Answers name only the id. One given up must not end a dispatch of the same batch sent later."""
     talk = exchange(most=2, may_cancel=may_cancel)
-    assert talk.give_up(b"q") is Stage.WRITTEN
+    assert talk.give_up(b"q") is AttemptStage.WRITTEN
     assert talk.out == ([resp_codec.command(b"cancel", b"q")] if may_cancel else [])
     assert talk.takes(b"q") == may_cancel and talk.takes(b"r")
-    talk.serve(b"r", resp_codec.Query(b"report", 1500, b"S", 0, 0))
+    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     assert talk.takes(b"s") == may_cancel  # one that the engine may still run counts among the most
     assert list(talk.feed(said(b"q", b"OK", "total=1", b"x"))) == [] and b"r" in talk.open
     assert talk.takes(b"q") and talk.takes(b"s")
@@ -252,9 +260,9 @@
 @pytest.mark.parametrize(
     ("told", "note"),
     [
-        ("n=frac,datum=0.5", resp_codec.Note(NoteKind.PROGRESS, 0.5)),
-        ("n=missing,datum=13", resp_codec.Note(NoteKind.SPILL, 13.0)),
-        ("n=parked,datum=2", resp_codec.Note(NoteKind.WAITING, 2.0)),
+        ("n=frac,datum=0.5", resp_codec.Note(ProgressKind.PROGRESS, 0.5)),
+        ("n=missing,datum=13", resp_codec.Note(ProgressKind.SPILL, 13.0)),
+        ("n=parked,datum=2", resp_codec.Note(ProgressKind.WAITING, 2.0)),
         ("n=other,datum=2", None),
         ("n=frac,datum=x", None),
         ("n=frac", None),
@@ -265,14 +273,14 @@
     """Taken for an answer that cannot be read, it had a batch dispatched again beside the one that ran on."""
     talk, data = exchange(), said(b"q", b"NOTE", told) + said(b"z", b"NOTE", told) + said(b"q", b"ERR")
     got = [said for piece in pieces(data, size) for _, said in talk.feed(piece)]
-    assert got[:-1] == ([note] if note else []) and got[-1].cause is Cause.ERR
+    assert got[:-1] == ([note] if note else []) and got[-1].cause is EndCause.ERROR
 
 
 def test_an_unreadable_answer_ends_all_that_is_open_and_the_connection_takes_no_more():
     talk = exchange()
-    talk.serve(b"r", resp_codec.Query(b"report", 1500, b"S", 0, 0))
+    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     got = list(talk.feed(b"?"))
-    assert [(i, e.cause) for i, e in got] == [(b"q", Cause.UNREADABLE), (b"r", Cause.UNREADABLE)]
+    assert [(i, e.cause) for i, e in got] == [(b"q", EndCause.MALFORMED), (b"r", EndCause.MALFORMED)]
     assert talk.broken and not talk.takes(b"s") and list(talk.feed(said(b"q", b"ERR"))) == []
 
 
@@ -285,15 +293,17 @@
         assert list(talk.feed(piece)) == [] and talk.awaits is not None
         seen.add(talk.awaits)
     assert len(seen) == 2  # going on with the pages is another thing to await than the first message
-    assert [e.stage for _, e in talk.spoil("stopped")] == [Stage.PAGES_MISSING] and talk.awaits is None
+    assert [e.stage for _, e in talk.spoil("stopped")] == [
+        AttemptStage.PARTIAL_ANSWER
+    ] and talk.awaits is None
     assert list(talk.feed(PAGE)) == [] and not talk.takes(b"r")
 
 
 def test_what_is_lost_tells_how_far_it_had_come():
     talk = exchange()
-    talk.serve(b"r", resp_codec.Query(b"report", 1500, b"S", 0, 0))
+    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     assert list(talk.feed(PAGE)) == []
-    assert talk.lost() == {b"q": Stage.PAGES_MISSING, b"r": Stage.WRITTEN} and not talk.open
+    assert talk.lost() == {b"q": AttemptStage.PARTIAL_ANSWER, b"r": AttemptStage.WRITTEN} and not talk.open
 
 
 # Ends and outcomes.
@@ -302,21 +312,35 @@
 @pytest.mark.parametrize(("cause", "stage"), list(attempt_outcome.OUTCOMES))
 def test_only_what_is_proved_never_to_have_run_is_said_so(cause, stage):
     outcome = attempt_outcome.OUTCOMES[cause, stage]
-    proved = stage in (Stage.NOT_CONNECTED, Stage.PARTLY_WRITTEN) or (
-        stage is Stage.WRITTEN and cause in (Cause.BUSY, Cause.VOID)
+    proved = stage in (AttemptStage.NOT_CONNECTED, AttemptStage.PARTLY_WRITTEN) or (
+        stage is AttemptStage.WRITTEN and cause in (EndCause.BUSY, EndCause.VOID)
     )
     assert (outcome in NEVER_RAN) == proved
-    assert (outcome is Outcome.RETURNED) == (stage is Stage.WHOLE)
+    assert (outcome is Outcome.COMPLETED) == (stage is AttemptStage.COMPLETE_ANSWER)
 
 
 def test_the_table_has_a_row_for_every_end_there_is():
-    spoken = (Cause.BUSY, Cause.ERR, Cause.VOID, Cause.UNREADABLE)
-    given_up = (Cause.TIME_OUT, Cause.CANCELLED)
-    wanted = {(Cause.OK, Stage.WHOLE), (Cause.LOST, Stage.PARTLY_WRITTEN)}
-    wanted |= set(itertools.product((*spoken, *given_up, Cause.LOST), (Stage.WRITTEN, Stage.PAGES_MISSING)))
+    spoken = (EndCause.BUSY, EndCause.ERROR, EndCause.VOID, EndCause.MALFORMED)
+    given_up = (EndCause.TIMEOUT, EndCause.CANCELLED)
+    wanted = {
+        (EndCause.OK, AttemptStage.COMPLETE_ANSWER),
+        (EndCause.CONNECTION_LOST, AttemptStage.PARTLY_WRITTEN),
+    }
+    wanted |= set(
+        itertools.product(
+            (*spoken, *given_up, EndCause.CONNECTION_LOST),
+            (AttemptStage.WRITTEN, AttemptStage.PARTIAL_ANSWER),
+        )
+    )
     wanted |= {
-        (cause, Stage.NOT_CONNECTED)
-        for cause in (*given_up, Cause.LOST, Cause.REFUSED, Cause.CONNECT_TIME_OUT, Cause.OVER)
+        (cause, AttemptStage.NOT_CONNECTED)
+        for cause in (
+            *given_up,
+            EndCause.CONNECTION_LOST,
+            EndCause.CONNECTION_REFUSED,
+            EndCause.CONNECT_TIMEOUT,
+            EndCause.NOT_SENT,
+        )
     }
     assert set(attempt_outcome.OUTCOMES) == wanted
 
@@ -415,8 +439,8 @@
 def test_a_line_of_the_list_in_the_module_s_terms():
     told = {"events": [event(1, row(phase="DRAINING", cell=2, size=1.5, up_since_ms=7)), {"n": 2, "x": 1}]}
     changes = discovery_codec.parse(told, {"a": 0, "b": 1}, {"k": 0})
-    entry = changes[0].members[0].entry(5)
-    assert (entry.engine, entry.location, entry.kind, entry.cell, entry.weight, entry.started) == (
+    entry = changes[0].engines[0].entry(5)
+    assert (entry.index, entry.zone, entry.machine_kind, entry.cell, entry.weight, entry.started_at) == (
         5,
         1,
         0,
@@ -424,10 +448,10 @@
         1.0,
         70,
     )
-    assert (changes[0].members[0].size, changes[0].members[0].weight) == (1.5, None)  # a size is no weight
-    assert entry.state is EngineState.DRAINING and changes[1] == discovery_codec.Change(2, False, [])
+    assert (changes[0].engines[0].size, changes[0].engines[0].weight) == (1.5, None)  # a size is no weight
+    assert entry.state is EngineState.DRAINING and changes[1] == EngineListChange(2, False, [])
     unknown = discovery_codec.parse({"events": [event(1, row(locality="z", flavor="z"))]}, {"a": 0}, {"k": 0})
-    assert (unknown[0].members[0].location, unknown[0].members[0].kind) == (1, 1)
+    assert (unknown[0].engines[0].zone, unknown[0].engines[0].machine_kind) == (1, 1)
 
 
 @pytest.mark.parametrize(
@@ -446,7 +470,7 @@
     numbering = discovery_codec.Numbering()
     numbering.held = held
     new, missing = numbering.fresh(
-        [discovery_codec.Change(abs(n), n < 0, []) for n in numbers]
+        [EngineListChange(abs(n), n < 0, []) for n in numbers]
     )  # below 0: a whole list
     assert ([change.number for change in new], missing) == (applied, gap)
     assert numbering.held == (applied[-1] if applied else held)
--- a/tests/test_members_parts.py
+++ b/tests/test_members_parts.py
@@ -42,7 +42,14 @@
     )
     assert isinstance(found, EngineList) and found.revision == 7
     one, two = found.members["e-1"], found.members["e-2"]
-    assert (one.location, one.kind, one.cell, one.size, one.started, one.weight) == (1, 0, 2, 4.0, 70, 0.5)
+    assert (one.zone, one.machine_kind, one.cell, one.size, one.started_at, one.weight) == (
+        1,
+        0,
+        2,
+        4.0,
+        70,
+        0.5,
+    )
     assert (two.state, two.weight, two.entry(3).weight) == (EngineState.DRAINING, 1.0, 1.0)
     assert list_codec.told(one, *NAMES) == row(weight=50.0, size=4.0, up_since_ms=7)
     assert list_codec.unpack(list_codec.pack({"p": found}, *NAMES), *PLACES) == {"p": found}
--- a/tests/test_members_view.py
+++ b/tests/test_members_view.py
@@ -11,28 +11,28 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from vanerelay.engine_list import ListedEngine
 from vanerelay.interface import SECOND, EngineState
 from vanerelay.membership.file_stability import Mark, Settling, Stillness
 from vanerelay.membership.list_acceptance import Checks, Kind, Lists
 from vanerelay.membership.list_codec import EngineList, Unusable
 from vanerelay.membership.merged_view import FIRST, KEPT, Flapping, Standing, View
-from vanerelay.net.discovery_codec import Member
 
 UP, DRAINING, GONE = EngineState.UP, EngineState.DRAINING, EngineState.GONE
 NOW = 1000 * SECOND
 
 
 def engine(name, address=None, state=UP, **other):
-    return Member(
+    return ListedEngine(
         **{
             "name": name,
             "address": address or f"127.0.0.1:{1000 + ord(name[-1])}",
             "state": state,
-            "location": 0,
-            "kind": 0,
+            "zone": 0,
+            "machine_kind": 0,
             "cell": 0,
             "size": 1.0,
-            "started": 0,
+            "started_at": 0,
             **other,
         }
     )
@@ -262,11 +262,11 @@
 
 def test_what_sources_tell_of_one_engine_is_put_together():
     s = Sources(FILES, FEED)
-    s.tell("feed", engine("a", started=70), engine("b", "127.0.0.1:9", started=70), engine("c"))
+    s.tell("feed", engine("a", started_at=70), engine("b", "127.0.0.1:9", started_at=70), engine("c"))
     s.tell("files", engine("a", weight=0.5), engine("b", weight=2.0, cell=3))
     out = s.show()
-    assert (out["a"].started, out["a"].weight) == (70, 0.5)  # a cold engine is not taken for a warm one
-    assert (out["b"].started, out["b"].weight, out["b"].cell) == (0, 2.0, 3)  # told of another address
+    assert (out["a"].started_at, out["a"].weight) == (70, 0.5)  # a cold engine is not taken for a warm one
+    assert (out["b"].started_at, out["b"].weight, out["b"].cell) == (0, 2.0, 3)  # told of another address
     assert out["c"].weight is None
     s.tell("files", off=("b",))
     assert "b" not in s.show()
@@ -301,7 +301,7 @@
     s.tell("files", engine("a", "127.0.0.1:9"))
     s.tell("feed", engine("b", "127.0.0.1:9"))
     assert set(s.show()) == {"a"} and "is that of a" in s.view.explain(NOW, "b")[1].why
-    s.tell("feed", engine("b", "127.0.0.1:9", started=5))  # it started later: the other has gone
+    s.tell("feed", engine("b", "127.0.0.1:9", started_at=5))  # it started later: the other has gone
     assert set(s.show()) == {"b"} and [shown.member.state for shown in s.order][-2:] == [GONE, UP]
     s.tell("files", engine("a", "127.0.0.1:8"))
     assert set(s.show()) == {"a", "b"}
@@ -387,7 +387,7 @@
                 s.tell(source, off=(name,))
             else:
                 state = {"up": UP, "drain": DRAINING, "gone": GONE}[word]
-                s.tell(source, engine(name, f"127.0.0.1:{port}", state, started=started))
+                s.tell(source, engine(name, f"127.0.0.1:{port}", state, started_at=started))
             if chance.random() < 0.5:
                 s.show(most=chance.choice((1, 250)))
         views.append(s.show())
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -11,16 +11,16 @@
 from vanerelay.interface import (
     SECOND,
     AttemptResult,
-    ColdStart,
     GatewaySettings,
     MachineKind,
-    NoteKind,
     Outcome,
-    RationTerms,
+    ProgressKind,
+    RetryBudgetTerms,
+    SlowStartTerms,
 )
 from vanerelay.policy.gateway import Gateway, Peaks
 
-NOTES, LOOK = {"cancel": True, "notes_every": SECOND // 2}, SERVICES["classes"][0]
+NOTES, LOOK = {"may_cancel": True, "progress_interval": SECOND // 2}, SERVICES["classes"][0]
 
 
 @pytest.mark.parametrize(
@@ -31,22 +31,22 @@
         (NOTES, 2.1, (0.4, 0.5, 0.6), 0),  # cannot end in time, nor can another: answered at once
         (NOTES, 10, (0.4,), 2),
         (NOTES, 10, (), 1),  # the notes have stopped; none has ever come
-        ({"cancel": False, "notes_every": 5000}, 10, (0.02,), 1),
-        ({"cancel": True}, 10, (0.02,), 1),
+        ({"may_cancel": False, "progress_interval": 5000}, 10, (0.02,), 1),
+        ({"may_cancel": True}, 10, (0.02,), 1),
     ],
 )
 def test_notes_end_what_another_dispatch_overtakes_and_what_is_lost(allowed, limit, shares, sends):
     """Seen at vpis-ljubljana: one report in ten ran 9 to 20 times as long; lost answers held their slices."""
-    world = World(allowed=allowed, goal=2 * SECOND)
+    world = World(allowed=allowed, latency_objective=2 * SECOND)
     batch = world.take(cost=SECOND, limit=int(limit * SECOND))
     for share in (*shares, 0.0, 0.0, 0.0)[:3]:
         world.run(SECOND // 2)
         if share:
-            batch.noted(0, NoteKind.PROGRESS, share)
+            batch.attempt_progressed(0, ProgressKind.PROGRESS, share)
     world.run(SECOND // 5)
-    if world.did("cancel"):
+    if world.did("cancel_attempt"):
         world.end(batch, Outcome.CANCELLED)
-    assert (0 if batch.over else len(batch.sends)) == sends and len(world.did("push_back")) == batch.over
+    assert (0 if batch.over else len(batch.sends)) == sends and len(world.did("reject")) == batch.over
 
 
 def test_a_grant_takes_what_is_used_where_engines_page():
@@ -84,25 +84,32 @@
 @pytest.mark.parametrize(("is_load", "used", "most"), [(False, 1, 150), (True, 4, 30)])
 def test_table_groups_lean_alike_at_all_gateways_and_loads_do_not(is_load, used, most):
     for number in range(4):
-        world = World(engines=4, gateways=4, number=number, is_load=is_load)
+        world = World(engines=4, gateways=4, number=number, is_data_load=is_load)
         for _ in range(300):
-            world.end(world.take(memory=10.0, cost=10, tables=169), Outcome.RETURNED)
-        to = [engine for _, engine, _ in world.did("dispatch")]
+            world.end(world.take(memory=10.0, cost=10, tables=169), Outcome.COMPLETED)
+        to = [engine for _, engine, _ in world.did("send_attempt")]
         assert [engine for engine in range(4) if to.count(engine) > most] == [*range(4)][-used:]
 
 
 def switch(world: World, memory: float = 32000.0, **group) -> Gateway:
     """Has another gateway take over in this world, under other settings; the one before it."""
     old, groups = world.gateway, [dataclasses.replace(world.group, **group), GROUP]
-    cold = ColdStart(0.3, 10 * SECOND, 2.0, SECOND)
+    cold = SlowStartTerms(0.3, 10 * SECOND, 2.0, SECOND)
     world.gateway = Gateway(
         world,
         7,
         GatewaySettings(
-            groups, [MachineKind(16, memory)], old._place, ALLOWED, cold, RationTerms(0, 0, 0.0), SECOND, 50
+            groups,
+            [MachineKind(16, memory)],
+            old._place,
+            ALLOWED,
+            cold,
+            RetryBudgetTerms(0, 0, 0.0),
+            SECOND,
+            50,
         ),
     )
-    world.gateway.succeed(old)
+    world.gateway.take_over(old)
     return old
 
 
@@ -110,11 +117,11 @@
 def test_a_switch_keeps_what_means_the_same_and_ends_what_was_taken(change, learned):
     world = World(engines=2)
     for _ in range(60):
-        world.end(world.take(memory=500.0), Outcome.RETURNED, memory=2000.0)
+        world.end(world.take(memory=500.0), Outcome.COMPLETED, memory=2000.0)
     batch, sick = world.take(memory=500.0), world.gateway._engines[0]
     sick.health.level = 0.4
     old, engines = switch(world, **change), world.gateway._engines.values()
-    assert sum(e.ledger.granted for e in engines) == batch.sends[0].grant and not old.done()
+    assert sum(e.ledger.granted for e in engines) == batch.sends[0].grant and not old.is_finished()
     assert world.gateway._ration.ring is old._ration.ring
     old._looked_after.clear()
     world.run(SECOND)
@@ -122,23 +129,23 @@
     assert (world.take(memory=500.0).sends[0].grant > 1500.0) is learned
     switch(world, memory=16000.0)
     assert sum(e.ledger.granted for e in world.gateway._engines.values()) == 0.0
-    world.end(batch, Outcome.RETURNED)
+    world.end(batch, Outcome.COMPLETED)
     world.run(30 * SECOND)
-    assert batch.over and old.done() and not world.did("push_back") and len(world.timers) == 2
+    assert batch.over and old.is_finished() and not world.did("reject") and len(world.timers) == 2
 
 
 def test_cold_engines_and_order_know_no_switch():
-    world = World(engines=1, in_order=True)
-    world.gateway.listed([entry(0, started=world.now)], False)
+    world = World(engines=1, ordered=True)
+    world.gateway.update_engines([entry(0, started_at=world.now)], False)
     first = [world.take(key=key, memory=10.0, cost=10) for key in (8, 9)]
     world.gateway._engines[0].ramp.sent.add(world.now, 10**9)
-    old, second = switch(world, in_order=True), [world.take(key=8, memory=10.0)]
+    old, second = switch(world, ordered=True), [world.take(key=8, memory=10.0)]
     for gateway, known in ((old, [0]), (world.gateway, [0, 1])):  # the old one sends to no engine that comes
-        gateway.listed([entry(1)], False)
+        gateway.update_engines([entry(1)], False)
         assert sorted(gateway._engines) == known and not gateway._engines[0].ramp.allows(world.now, 1)
         assert gateway._engines[0].ramp is old._engines[0].ramp
     for batch in first:
-        batch.ended(0, AttemptResult(Outcome.RESET, 1), True)
+        batch.attempt_ended(0, AttemptResult(Outcome.RESET, 1), True)
     second.append(world.take(key=9, memory=10.0))
     for span, sends in ((SECOND - 100, 0), (300, 1)):
         world.run(span)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,13 +15,31 @@
 from vanerelay import settings_validation
 from vanerelay.interface import SECOND
 from vanerelay.rollout import messages, plan_reader, settings_diff
-from vanerelay.rollout.agent_store import Store
-from vanerelay.rollout.canary_analysis import Guard, Judge, Seen, Terms, Verdict, Word
-from vanerelay.rollout.change_log import Record, Unkept
+from vanerelay.rollout.agent_store import AgentStore
+from vanerelay.rollout.canary_analysis import (
+    AnalysisTerms,
+    Assessment,
+    CanaryAnalysis,
+    GatewaySample,
+    Guard,
+    Verdict,
+)
+from vanerelay.rollout.change_log import ChangeLog, ChangeLogError
 from vanerelay.rollout.controller import Controller
 from vanerelay.rollout.fence import Fence, Order
-from vanerelay.rollout.stage_machine import IS_NEW, NEW, OLD, Away, Course, Do, Event, Heard, Plan, Stage
-from vanerelay.rollout.supervisor_state import Patience, Succession
+from vanerelay.rollout.stage_machine import (
+    IS_NEW,
+    NEW,
+    OLD,
+    Action,
+    Away,
+    Event,
+    Heard,
+    Plan,
+    Stage,
+    StageMachine,
+)
+from vanerelay.rollout.supervisor_state import Patience, SupervisorState
 
 SERVICES = {
     "classes": [{"name": "look", "aimUs": 2000000, "deadlineUs": 20000000, "semantics": "pure"}],
@@ -48,7 +66,7 @@
 
 def stage(seed, slices=300, before=60, watched=lambda n: {}, loss=Loss()):  # noqa: B008
     """How a stage over two of six managers ends, and after how many slices."""
-    managers, judge = managers_of(seed), Judge({"look": Guard(0.01, 0.05)}, Terms(settle=0))
+    managers, judge = managers_of(seed), CanaryAnalysis({"look": Guard(0.01, 0.05)}, AnalysisTerms(settle=0))
     for number in range(before):
         judge.before(managers.second(**watched(number - before)))
     judge.began(0)
@@ -56,7 +74,7 @@
     for number in range(1, slices):
         judge.during(number * SECOND, managers.second(new, loss, **watched(number)), new, old)
         verdict = judge.verdict(number * SECOND, new)
-        if verdict.word is not Word.WAIT:
+        if verdict.word is not Assessment.WAIT:
             return verdict, number
     return verdict, slices
 
@@ -68,7 +86,7 @@
 def test_a_loss_is_found_in_time(loss, within):
     for seed in range(5):
         verdict, after = stage(seed, loss=loss)
-        assert verdict.word is Word.WORSE and after <= within, (seed, verdict, after)
+        assert verdict.word is Assessment.WORSE and after <= within, (seed, verdict, after)
 
 
 @pytest.mark.parametrize(
@@ -82,29 +100,29 @@
 )
 def test_what_changes_nothing_passes_and_what_hits_both_sides_is_blamed_on_neither(watched):
     words = [stage(seed, watched=watched)[0].word for seed in range(20)]
-    assert Word.WORSE not in words and words.count(Word.FINE) >= 16
+    assert Assessment.WORSE not in words and words.count(Assessment.FINE) >= 16
 
 
 def test_too_little_evidence_never_passes():
-    judge = Judge({"look": Guard()}, Terms(settle=0))
-    assert judge.verdict(0, ["m0"]).word is Word.WAIT
+    judge = CanaryAnalysis({"look": Guard()}, AnalysisTerms(settle=0))
+    assert judge.verdict(0, ["m0"]).word is Assessment.WAIT
     managers = managers_of(1)
     for number in range(5):
         judge.during(number, managers.second(), managers.names[:2], managers.names[2:])
     verdict = judge.verdict(5, managers.names[:2])
-    assert verdict.word is Word.WAIT and "of 8 blocks" in verdict.why[0]
+    assert verdict.word is Assessment.WAIT and "of 8 blocks" in verdict.why[0]
 
 
 @pytest.mark.parametrize(
     "loss, other, word, says",
     [
-        (Loss(), {"deaths": 1}, Word.WORSE, "ended by themselves"),
-        (Loss(), {"memory": 0.9}, Word.WORSE, "memory"),
-        (Loss(late=0.3), {"away": 3}, Word.WAIT, "reach"),
+        (Loss(), {"deaths": 1}, Assessment.WORSE, "ended by themselves"),
+        (Loss(), {"memory": 0.9}, Assessment.WORSE, "memory"),
+        (Loss(late=0.3), {"away": 3}, Assessment.WAIT, "reach"),
     ],
 )
 def test_processes_and_links(loss, other, word, says):
-    managers, judge = managers_of(2), Judge({"look": Guard()}, Terms(settle=2))
+    managers, judge = managers_of(2), CanaryAnalysis({"look": Guard()}, AnalysisTerms(settle=2))
     new, old = managers.names[:2], managers.names[2:]
     judge.before(managers.second())
     judge.began(0)
@@ -116,26 +134,26 @@
 
 
 def test_one_that_does_well_by_crowding_the_others_is_found():
-    managers, judge = managers_of(4), Judge({"look": Guard()}, Terms(settle=0))
+    managers, judge = managers_of(4), CanaryAnalysis({"look": Guard()}, AnalysisTerms(settle=0))
     for _ in range(40):
-        judge.before({name: Seen(one.counts, held=0.1) for name, one in managers.second().items()})
+        judge.before({name: GatewaySample(one.counts, held=0.1) for name, one in managers.second().items()})
     judge.began(0)
     new, old = managers.names[:2], managers.names[2:]
     for number in range(1, 60):
         seen = {
-            name: Seen(one.counts, held=0.4 if name in new else 0.1)
+            name: GatewaySample(one.counts, held=0.4 if name in new else 0.1)
             for name, one in managers.second(old, Loss(late=0.15)).items()
         }
         judge.during(number, seen, new, old)
     verdict = judge.verdict(60, new)
-    assert verdict.word is Word.WORSE and "of the engines" in verdict.why[-1], verdict
+    assert verdict.word is Assessment.WORSE and "of the engines" in verdict.why[-1], verdict
 
 
 def test_a_baseline_outlives_its_controller():
     managers, one, other = (
         managers_of(1),
-        Judge({"look": Guard()}, Terms()),
-        Judge({"look": Guard()}, Terms()),
+        CanaryAnalysis({"look": Guard()}, AnalysisTerms()),
+        CanaryAnalysis({"look": Guard()}, AnalysisTerms()),
     )
     for _ in range(40):
         one.before(managers.second())
@@ -191,14 +209,14 @@
 
 
 def test_what_is_kept_of_orders_outlives_a_restart_but_not_a_new_configuration(tmp_path):
-    store = Store(str(tmp_path / "m1"))
+    store = AgentStore(str(tmp_path / "m1"))
     store.at_start("digest")
     assert store.keep("7/a") is None and store.ordered({"x": 1}) is None
-    again = Store(str(tmp_path / "m1"))
+    again = AgentStore(str(tmp_path / "m1"))
     assert Fence(again.fence()).highest == 7
     assert again.at_start("digest") == {"x": 1} and again.at_start("another") is None
     (tmp_path / "full").write_text("")
-    assert "full" in Store(str(tmp_path / "full" / "m1")).keep("7/a")
+    assert "full" in AgentStore(str(tmp_path / "full" / "m1")).keep("7/a")
 
 
 PLAN = Plan(
@@ -229,15 +247,15 @@
                 events.append(Event("confirmed", now, name))
                 course.apply(events[-1])
         step, event = course.next(now, there), None
-        if step.do is Do.ORDER:
+        if step.do is Action.ORDER:
             event = Event("ordered", now, step.manager, to=step.to)
-        elif step.do is Do.STAGE:
+        elif step.do is Action.STAGE:
             event = Event("stage", now, stage=course.stage + 1)
-        elif step.do is Do.UNCLEAR:
+        elif step.do is Action.UNCLEAR:
             event = course.unclear(now, step.why)
-        elif step.do is Do.JUDGE:
+        elif step.do is Action.JUDGE:
             event = course.judged(now, verdicts(course), step.why)
-        elif step.do is Do.ENDED:
+        elif step.do is Action.ENDED:
             event = Event("ended", now, to=step.to)
         if event is not None:
             events.append(event)
@@ -252,43 +270,43 @@
 
 
 def test_a_good_change_goes_through_all_stages():
-    course = Course(PLAN)
-    events = drive(course, verdict(Word.FINE))
+    course = StageMachine(PLAN)
+    events = drive(course, verdict(Assessment.FINE))
     assert course.ended == "done" and set(course.wants.values()) == {NEW}
     assert [e.what for e in events].count("judged") == 2
-    assert Course.replayed(PLAN, events).wants == course.wants
+    assert StageMachine.replayed(PLAN, events).wants == course.wants
 
 
 def test_a_worse_one_goes_back_and_does_not_wait_for_the_unreachable():
-    course = Course(PLAN)
-    events = drive(course, verdict(Word.WORSE), lambda now: ("m3",) if now > 1 else ())
+    course = StageMachine(PLAN)
+    events = drive(course, verdict(Assessment.WORSE), lambda now: ("m3",) if now > 1 else ())
     assert course.ended == "back" and course.ever == {"m0"} and set(course.wants.values()) == {OLD}
     assert next(e for e in events if e.what == "back").why == "why"
 
 
 def test_without_evidence_it_holds_and_one_that_is_not_heard_stops_the_next_stage():
-    course = Course(PLAN)
-    drive(course, verdict(Word.WAIT), until=150)
+    course = StageMachine(PLAN)
+    drive(course, verdict(Assessment.WAIT), until=150)
     assert course.held and len(course.ever) == 1
-    course = Course(PLAN)
-    drive(course, verdict(Word.FINE), lambda now: ("m3",) if now > 1 else (), until=60)
+    course = StageMachine(PLAN)
+    drive(course, verdict(Assessment.FINE), lambda now: ("m3",) if now > 1 else (), until=60)
     assert len(course.ever) == 1 and not course.ended
 
 
 def test_less_than_half_heard_moves_nothing():
-    course = Course(PLAN)
-    assert course.next(0, heard(course, ("m0", "m1"))).do is Do.WAIT
+    course = StageMachine(PLAN)
+    assert course.next(0, heard(course, ("m0", "m1"))).do is Action.WAIT
 
 
 def test_one_back_with_another_release_is_brought_to_its_own():
-    course = Course(PLAN)
+    course = StageMachine(PLAN)
     step = course.next(0, heard(course, m2="last week's"))
-    assert (step.do, step.manager, step.to) == (Do.ORDER, "m2", OLD)
+    assert (step.do, step.manager, step.to) == (Action.ORDER, "m2", OLD)
 
 
 @functools.cache
 def replayed(plan_, events):
-    return Course.replayed(plan_, events)
+    return StageMachine.replayed(plan_, events)
 
 
 def explore(plan_, fenced=True, recorded_first=True):
@@ -350,7 +368,7 @@
             if not course.confirmed[name] and wanted and course.sure(name, there[name]):
                 push((*events, Event("confirmed", now, name)), managers, flying, fence)
         step = course.next(now, there)
-        if step.do is Do.ORDER and len(flying) < 2:
+        if step.do is Action.ORDER and len(flying) < 2:
             event, order = (
                 Event("ordered", now, step.manager, fence, number, step.to),
                 (step.manager, step.to, fence, number),
@@ -360,12 +378,12 @@
                 push((*events, event), managers, flying, fence)
             else:
                 push(events, managers, (*flying, order), fence)
-        elif step.do is Do.STAGE:
+        elif step.do is Action.STAGE:
             push((*events, Event("stage", now, stage=course.stage + 1)), managers, flying, fence)
-        elif step.do is Do.JUDGE:
-            fine = Event("judged", now, to=Word.FINE.value, stage=course.stage)
+        elif step.do is Action.JUDGE:
+            fine = Event("judged", now, to=Assessment.FINE.value, stage=course.stage)
             push((*events, fine), managers, flying, fence)
-        elif step.do is Do.ENDED:
+        elif step.do is Action.ENDED:
             push((*events, Event("ended", now, to=step.to)), managers, flying, fence)
     return len(seen), wrong
 
@@ -387,7 +405,7 @@
 
     def __init__(self, first="old"):
         self.did, self.answers, self.now, self.children = [], [], 0, []
-        self.line = Succession(self, Patience(), frozenset({"old", "new"}), first)
+        self.line = SupervisorState(self, Patience(), frozenset({"old", "new"}), first)
         self.line.begin(0)
 
     def start(self, child):
@@ -457,27 +475,27 @@
 
 
 def test_a_record_is_whole_or_not_there(tmp_path):
-    record = Record(str(tmp_path / "r"))
+    record = ChangeLog(str(tmp_path / "r"))
     record.begin("c", "plan", 3)
     for event in (Event("stage", 5), Event("ordered", 6, "m1", to=NEW)):
         record.add(event)
     record.say("pause")
-    again = Record(str(tmp_path / "r"))
+    again = ChangeLog(str(tmp_path / "r"))
     assert (again.name, again.fence, [e.what for e in again.events()]) == ("c", 3, ["stage", "ordered"])
     assert again.said() == ["pause"] and again.said() == []
     (tmp_path / "bad").write_text("no database, but long enough to be taken for one" * 20)
-    with pytest.raises(Unkept, match="bad"):
-        Record(str(tmp_path / "bad"))
+    with pytest.raises(ChangeLogError, match="bad"):
+        ChangeLog(str(tmp_path / "bad"))
 
 
-class Full(Record):
+class Full(ChangeLog):
     """A record whose disk is full for a while."""
 
     full = False
 
     def add(self, event):
         if self.full:
-            raise Unkept("record: disk is full")
+            raise ChangeLogError("record: disk is full")
         return super().add(event)
 
 
@@ -491,18 +509,18 @@
         name = address.split(":")[0]
         if kind == "state":
             return succeed(
-                messages.pack(
+                messages.encode(
                     messages.State(
                         name, "", self.runs[name], "serving", 7, self.fence, self.heeded.get(name, 0)
                     )
                 )
             )
-        order = messages.unpack(body, messages.Order)
+        order = messages.decode(body, messages.Order)
         self.fence = order.fence
         if order.what != "claim":
             self.orders.append(name)
             self.runs[name], self.heeded[name] = order.body.decode(), order.number
-        return succeed(messages.pack(messages.Taken(order.fence)))
+        return succeed(messages.encode(messages.Taken(order.fence)))
 
     def stop(self):
         pass
@@ -514,7 +532,7 @@
     runs = {NEW: NEW, OLD: OLD, "old strict": OLD, "new strict": NEW}
     loaded = plan_reader.Loaded(
         PLAN,
-        Terms(stages=2, settle=0),
+        AnalysisTerms(stages=2, settle=0),
         {},
         {name: plan_reader.Reached(name, f"{name}:1") for name in names},
         plan_reader.Change(),
@@ -578,12 +596,12 @@
 @pytest.mark.parametrize("span", [-3600 * SECOND, 3600 * SECOND])
 def test_a_controller_that_reads_its_record_back_waits_anew(span):
     """The moments on record are of another process's clock, which may have been stepped since."""
-    course = Course(PLAN)
+    course = StageMachine(PLAN)
     name = next(iter(course.domains))
     course.apply(Event("stage", 1000 * SECOND, stage=0))
     course.apply(Event("ordered", 1000 * SECOND, manager=name, to=NEW, fence=1, number=1))
     now = 1001 * SECOND + span
     course.resume(now)
     there = heard(course, down=(name,))
-    assert course.next(now, there).do is not Do.UNCLEAR
-    assert course.next(now + PLAN.away_for + 1, there).do is Do.UNCLEAR
+    assert course.next(now, there).do is not Action.UNCLEAR
+    assert course.next(now + PLAN.away_for + 1, there).do is Action.UNCLEAR
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,9 +14,9 @@
 from tests.helpers import member, stand_still, until
 from tests.test_crossings import cancels, closes, joined, returns, settle
 from tests.test_drivers import Fleet, Served
-from vanerelay.net.attempt_outcome import Cause, Stage
+from vanerelay.attempt_outcome import AttemptStage, EndCause
 from vanerelay.net.buffers import Pool
-from vanerelay.net.client_connection import Clients
+from vanerelay.net.client_connection import ClientListener
 
 
 def test_a_start_goes_on_while_no_socket_can_be_had(started, tmp_path):
@@ -104,7 +104,7 @@
 def test_who_waits_when_the_port_closes_is_accepted_though_accept_fails(faults):
     """The first failure ended the look, and the close reset all that still waited."""
     served = Served()
-    clients = Clients(MemoryReactorClock(), served.clock, served.service, Pool(), 100, lambda: True)
+    clients = ClientListener(MemoryReactorClock(), served.clock, served.service, Pool(), 100, lambda: True)
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
@@ -119,7 +119,7 @@
 def test_without_a_descriptor_a_client_waits_and_is_not_shut():
     """Its request may have come already: shut unread it would be lost."""
     served, reactor = Served(), MemoryReactorClock()
-    clients = Clients(reactor, served.clock, served.service, Pool(), 100, lambda: True)
+    clients = ClientListener(reactor, served.clock, served.service, Pool(), 100, lambda: True)
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
@@ -146,7 +146,7 @@
     wire.leave()
     fleet.say(b"what is this\r\n" * 3)
     fleet.reactor.advance(1.0)
-    attempt.give_up(Cause.CANCELLED)
+    attempt.give_up(EndCause.CANCELLED)
     assert fleet.ends == [] and wire.aborted
     fleet.lose()
-    assert fleet.ends == [("a", Cause.UNREADABLE, Stage.WRITTEN)]
+    assert fleet.ends == [("a", EndCause.MALFORMED, AttemptStage.WRITTEN)]
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import Clock
 
 from tests.helpers import World as Module
-from vanerelay.interface import SECOND, Arrival, Outcome, RationTerms
+from vanerelay.interface import SECOND, Outcome, QueryArrival, RetryBudgetTerms
 from vanerelay.lab import warming_simulation
 from vanerelay.net import frames
 from vanerelay.operator_config import BadOptions
@@ -20,7 +20,7 @@
 from vanerelay.warming import config as warm_parts
 from vanerelay.warming import executor as warm_hands
 from vanerelay.warming import messages
-from vanerelay.warming.config import Parts
+from vanerelay.warming.config import WarmingConfig
 from vanerelay.warming.executor import Hands
 from vanerelay.warming.forecast import NOTICE, SHAPES, Forecasts, areas, fresh
 from vanerelay.warming.gain_experiment import LEAST, MOST, Trust
@@ -231,23 +231,21 @@
 class Host:
     """A program whose batches of its own end when the test says so."""
 
-    def __init__(self, monkeypatch, waiting=0):
+    def __init__(self, waiting=0):
         self.reactor, self.name, self.made, self.waiting = Clock(), "m1", [], waiting
-        self.gateway = SimpleNamespace()
-        monkeypatch.setattr(warm_hands, "waits", lambda gateway: self.waiting)
-        entries = [SimpleNamespace(name=f"e{n}", engine=n, state=warm_hands.EngineState.UP) for n in range(3)]
-        rows = [SimpleNamespace(entry=one, sound=True) for one in entries]
-        monkeypatch.setattr(warm_hands, "conditions", lambda gateway: rows)
+        entries = [SimpleNamespace(name=f"e{n}", index=n, state=warm_hands.EngineState.UP) for n in range(3)]
+        rows = [SimpleNamespace(entry=one, usable=True) for one in entries]
+        self.gateway = SimpleNamespace(queue_wait=lambda: self.waiting, engine_statuses=lambda: rows)
 
-    def own(self, group, statement, engine, memory, lasts):
+    def submit_internal(self, service_class, statement, engine, memory, max_duration):
         one = SimpleNamespace(done=Deferred(), statement=statement, engine=engine, gone=False)
 
         class Own:
             done = one.done
 
-            def withdraw(self):
+            def cancel(self):
                 one.gone = True
-                self.done.callback(frames.PUSHED_BACK)
+                self.done.callback(frames.REJECTED)
 
         self.made.append(one)
         return Own()
@@ -257,20 +255,20 @@
     return messages.Do("warm/east", number, serial, holder, lasts, orders)
 
 
-def made(monkeypatch):
-    host = Host(monkeypatch)
-    told = Parts("warm", "SELECT @GROUP@", at_once=2)
+def made():
+    host = Host()
+    told = WarmingConfig("warm", "SELECT @GROUP@", at_once=2)
     hands = Hands(host, told, lambda: int(host.reactor.seconds() * SECOND))
     hands.turn()
     return host, hands
 
 
-def test_orders_go_out_a_few_at_a_time_and_give_way_to_the_line(monkeypatch):
-    host, hands = made(monkeypatch)
+def test_orders_go_out_a_few_at_a_time_and_give_way_to_the_line():
+    host, hands = made()
     assert hands.take(do(5, 1, [(7, "e1"), (8, "e2"), (9, "e0"), (1, "gone")])).taken == 4
     host.reactor.advance(0.05)
     assert [(one.statement, one.engine) for one in host.made] == [("SELECT 7", 1), ("SELECT 8", 2)]
-    host.made[0].done.callback(frames.RETURNED)
+    host.made[0].done.callback(frames.COMPLETED)
     host.reactor.advance(0.05)
     assert [one.statement for one in host.made][2:] == ["SELECT 9"]
     host.waiting = 5
@@ -278,21 +276,21 @@
     assert [one.gone for one in host.made] == [False, True, True]
 
 
-def test_orders_of_who_was_followed_are_refused_and_what_waits_of_them_dropped(monkeypatch):
-    host, hands = made(monkeypatch)
+def test_orders_of_who_was_followed_are_refused_and_what_waits_of_them_dropped():
+    host, hands = made()
     hands.take(do(5, 1, [(7, "e1")] * 6))
     host.reactor.advance(0.05)
     assert hands.take(do(6, 1, [(3, "e0")], "q/2")).taken == 1
     assert hands.take(do(5, 2, [(8, "e2")])) == messages.Done(later=6)
     assert hands.take(do(6, 1, [(3, "e0")], "q/2")) == messages.Done(later=6), "doubled"
     for one in list(host.made):
-        one.done.callback(frames.RETURNED)
+        one.done.callback(frames.COMPLETED)
     host.reactor.advance(0.05)
     assert [one.statement for one in host.made] == ["SELECT 7", "SELECT 7", "SELECT 3"]
 
 
-def test_orders_that_come_too_late_or_last_too_long_are_not_carried_out(monkeypatch):
-    host, hands = made(monkeypatch)
+def test_orders_that_come_too_late_or_last_too_long_are_not_carried_out():
+    host, hands = made()
     host.waiting = 1
     hands.take(do(5, 1, [(7, "e1")], lasts=SECOND))
     host.reactor.pump([0.05] * 30)
@@ -306,16 +304,16 @@
 
 
 def test_a_batch_of_ours_goes_to_its_engine_alone_and_earns_nobody_further_dispatches():
-    world = Module(engines=3, ration=RationTerms(10 * SECOND, 0, 0.5))
+    world = Module(engines=3, ration=RetryBudgetTerms(10 * SECOND, 0, 0.5))
     for number in range(20):
         told = (70 + number, 0, 0, None, world.now + SECOND, 1000, 500.0, 7, False, frozenset({1}), True)
-        own = Arrival(*told)
-        batch = world.gateway.take(own)
-        assert world.did("dispatch")[-1][:2] == (70 + number, 1) and world.gateway.pool.running == 1
-        world.end(batch, Outcome.RETURNED)
+        own = QueryArrival(*told)
+        batch = world.gateway.submit(own)
+        assert world.did("send_attempt")[-1][:2] == (70 + number, 1) and world.gateway.pool.running == 1
+        world.end(batch, Outcome.COMPLETED)
     assert world.gateway.pool.running == 0
     batch = world.take()
-    world.end(batch, Outcome.ERRORED)
+    world.end(batch, Outcome.FAILED)
     assert len(batch.sends) == 1, "one batch of clients earns half a dispatch, ours none"
 
 
@@ -342,7 +340,7 @@
 
 def filled(tmp_path, text):
     (tmp_path / "options.hcl").write_text(text)
-    return warm_parts.parts(read_options(str(tmp_path / "options.hcl")).only("warming"))
+    return warm_parts.read_config(read_options(str(tmp_path / "options.hcl")).only("warming"))
 
 
 def test_the_block_is_read(tmp_path):
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.helpers import ALLOWED, GROUP, entry
-from vanerelay.interface import SECOND, Condition, Effect, RationTerms, Scope
+from vanerelay.interface import SECOND, DeduplicationScope, EngineStatus, Idempotency, RetryBudgetTerms
 from vanerelay.xds import resources
 from vanerelay.xds.assignment import Handed, Health, Retry, Steady, Terms, plan
 from vanerelay.xds.load_reports import HELD, Load, Loads
@@ -18,9 +18,11 @@
 
 
 def condition(index, **told):
-    of = {k: told.pop(k) for k in list(told) if k in ("location", "kind", "weight", "state", "started")}
+    of = {
+        k: told.pop(k) for k in list(told) if k in ("zone", "machine_kind", "weight", "state", "started_at")
+    }
     return dataclasses.replace(
-        Condition(entry(index, **of), 1.0, True, True, True, 1.0, 1.0, 32000.0, 16), **told
+        EngineStatus(entry(index, **of), 1.0, True, True, True, 1.0, 1.0, 32000.0, 16), **told
     )
 
 
@@ -40,10 +42,10 @@
     terms = Terms(
         (dataclasses.replace(GROUP, **group),),
         dataclasses.replace(ALLOWED, **(allowed or {})),
-        ration or RationTerms(0, 0, 0.0),
+        ration or RetryBudgetTerms(0, 0, 0.0),
         3.0,
     )
-    addresses = {c.entry.engine: f"127.0.0.1:{c.entry.engine + 1}" for c in conditions}
+    addresses = {c.entry.index: f"127.0.0.1:{c.entry.index + 1}" for c in conditions}
     found = plan(
         terms, conditions, addresses, Handed(part), proxies, location, demand or [1.0], shed, peaks, draining
     )
@@ -54,8 +56,8 @@
     group = made(
         [
             condition(0),
-            condition(1, level=0.5),
-            condition(2, level=0.1, sound=False),
+            condition(1, health=0.5),
+            condition(2, health=0.1, usable=False),
             condition(3, weight=0.0),
             condition(4, weight=3.0),
             condition(5, cores=4),
@@ -85,20 +87,20 @@
     ],
 )
 def test_the_own_location_first_and_the_rest_together(location, engines, is_):
-    group = made([condition(n, location=place) for n, place in enumerate(engines)], location=location)
+    group = made([condition(n, zone=place) for n, place in enumerate(engines)], location=location)
     assert [(p.location, p.priority) for p in group.warm] == is_
 
 
 def test_a_location_with_nothing_of_use_is_no_priority():
-    group = made([condition(0, location=1, sound=False, level=0.0), condition(1)], location=1)
+    group = made([condition(0, zone=1, usable=False, health=0.0), condition(1)], location=1)
     assert [(p.location, p.priority) for p in group.warm] == [(0, 0), (1, 0)]
 
 
 def test_placement_holds_at_proxies():
-    conditions = [condition(0, location=0), condition(1, location=1), condition(2, location=1, kind=1)]
-    group = made(conditions, locations=(1,), kinds=(0,), draining=[("x", "127.0.0.1:9", 0, 0)])
+    conditions = [condition(0, zone=0), condition(1, zone=1), condition(2, zone=1, machine_kind=1)]
+    group = made(conditions, zones=(1,), machine_kinds=(0,), draining=[("x", "127.0.0.1:9", 0, 0)])
     assert [e.name for p in group.warm for e in p.endpoints] == ["e1"]
-    assert made(conditions, in_order=True) is None  # a proxy keeps no order of keys
+    assert made(conditions, ordered=True) is None  # a proxy keeps no order of keys
 
 
 @pytest.mark.parametrize(
@@ -115,26 +117,26 @@
 def test_limits_hold_all_proxies_to_what_is_handed(proxies, peak, part, threads, most):
     two = [condition(0), condition(1)]  # 16 cores of 2.8 threads, 32,000 MB each
     assert made(two, proxies, part=part, peaks=(peak,), threads=threads).most == most
-    sick = [two[0], condition(1, sound=False)]
+    sick = [two[0], condition(1, usable=False)]
     assert made(sick, proxies, part=part, peaks=(peak,), threads=threads).most == max(1, most // 2)
 
 
 @pytest.mark.parametrize(
     ("effect", "scope", "retry", "limit"),
     [
-        (Effect.REPEATABLE, Scope.ALL, Retry.HARMLESS, 10 * SECOND),
-        (Effect.ONCE_ONLY, Scope.ALL, Retry.NEVER_RAN, 10 * SECOND),
-        (Effect.REFERENCED, Scope.ALL, Retry.HARMLESS, 5 * SECOND),
-        (Effect.REFERENCED, Scope.CELL, Retry.NEVER_RAN, 10 * SECOND),
-        (Effect.REFERENCED, Scope.LOCATION, Retry.NEVER_RAN, 10 * SECOND),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, Retry.HARMLESS, 10 * SECOND),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Retry.NEVER_RAN, 10 * SECOND),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ALL, Retry.HARMLESS, 5 * SECOND),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.CELL, Retry.NEVER_RAN, 10 * SECOND),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, Retry.NEVER_RAN, 10 * SECOND),
     ],
 )
 def test_retries_keep_rule_2_and_the_window(effect, scope, retry, limit):
-    group = made([condition(0)], effect=effect, scope=scope)
+    group = made([condition(0)], idempotency=effect, deduplication_scope=scope)
     assert (group.retry, group.time_limit, group.dispatches) == (retry, limit, 3)
     routes = resources.resources((group,), "v", "", ["here"])[Type.ROUTES]["vanerelay"].encoded
     assert (b"gateway-error" in routes) == (retry is Retry.HARMLESS) and b"refused-stream" in routes
-    once = made([condition(0)], effect=effect, scope=scope, allowed={"most_dispatches": 1})
+    once = made([condition(0)], idempotency=effect, deduplication_scope=scope, allowed={"max_attempts": 1})
     assert (
         b"refused-stream"
         not in resources.resources((once,), "v", "", ["here"])[Type.ROUTES]["vanerelay"].encoded
@@ -142,7 +144,7 @@
 
 
 def test_the_retry_budget_keeps_the_ration():
-    group = made([condition(0)], proxies=4, ration=RationTerms(10 * SECOND, 20, 0.1))
+    group = made([condition(0)], proxies=4, ration=RetryBudgetTerms(10 * SECOND, 20, 0.1))
     # of 20, half handed on, over four
     assert group.retry_percent == pytest.approx(8.0) and group.retries == 2
 
@@ -157,7 +159,10 @@
         for length in (100, 2_000, 20_000):
             work = 0.0
             for _ in range(gateways):
-                cold = [condition(n, warm=False, share=share, part=1.0 / gateways) for n in range(2)]
+                cold = [
+                    condition(n, warmed_up=False, ramp_share=share, capacity_share=1.0 / gateways)
+                    for n in range(2)
+                ]
                 group = made([*cold, condition(9)], proxies)
                 assert group.most_cold * proxies <= multiple * cores * share / gateways
                 # Each bound is over all cold engines, and so holds on each: all run at once, one after the
@@ -170,27 +175,32 @@
 
 
 def test_a_cold_engine_s_limits_rise_with_its_ramp_and_fall_when_a_proxy_joins():
-    at = [made([condition(0, warm=False, share=s), condition(1)]).most_cold for s in (0.3, 0.6, 1.0)]
+    at = [
+        made([condition(0, warmed_up=False, ramp_share=s), condition(1)]).most_cold for s in (0.3, 0.6, 1.0)
+    ]
     assert at == sorted(at) and at[0] < at[2] and at[0] > 0
     with_others = [
-        made([condition(0, warm=False, share=1.0), condition(1)], p).most_cold for p in (1, 2, 4, 100)
+        made([condition(0, warmed_up=False, ramp_share=1.0), condition(1)], p).most_cold
+        for p in (1, 2, 4, 100)
     ]
     assert with_others == sorted(with_others, reverse=True) and with_others[-1] == 0
-    assert not made([condition(0, warm=False, ours=False), condition(1)]).cold  # warmed by other gateways
+    assert not made(
+        [condition(0, warmed_up=False, ramped_here=False), condition(1)]
+    ).cold  # warmed by other gateways
 
 
 def test_small_changes_wait_and_what_must_not_never_does():
     steady, handed = Steady(Handed()), Handed()
     one = (made([condition(0), condition(1)]),)
     assert steady.take(NOW, one) and not steady.take(NOW, one)
-    slower = (made([condition(0, level=0.7), condition(1)]),)
+    slower = (made([condition(0, health=0.7), condition(1)]),)
     assert not steady.take(NOW + 1, slower) and steady.due(slower) == NOW + handed.changes_every
-    little = (made([condition(0, level=0.98), condition(1)]),)
+    little = (made([condition(0, health=0.98), condition(1)]),)
     assert not steady.take(NOW + 60 * SECOND, little) and steady.due(little) is None
     assert steady.take(NOW + handed.changes_every, slower)
     for urgent in (
         [condition(0)],
-        [condition(0, level=0.1, sound=False), condition(1)],
+        [condition(0, health=0.1, usable=False), condition(1)],
         [condition(0, weight=0.0), condition(1)],
     ):
         again = Steady(Handed())
