--- a/vanerelay/adapter/instance.py
+++ b/vanerelay/adapter/instance.py
@@ -9,9 +9,9 @@
 
 from vanerelay import settings
 from vanerelay.adapter import wire
-from vanerelay.interface import Arrival, AttemptResult, NoteKind
+from vanerelay.interface import AttemptResult, ProgressKind, QueryArrival
 from vanerelay.policy.gateway import Gateway
-from vanerelay.query_table import Held, Holding, Names
+from vanerelay.query_table import EngineNames, HeldQuery, QueryTable
 
 Orders = list[dict[str, Any]]
 
@@ -21,9 +21,9 @@
 
     def __init__(self, number: int, now: int, seed: int, profile: dict[str, Any], orders: Orders) -> None:
         self.number, self.now, self.orders = number, now, orders
-        self._held: dict[str, Held] = {}
-        self._holding: Holding[Held] = Holding()
-        self._engines = Names()
+        self._held: dict[str, HeldQuery] = {}
+        self._holding: QueryTable[HeldQuery] = QueryTable()
+        self._engines = EngineNames()
         self._timers: dict[int, Callable[[], None]] = {}
         self._timer = 0
         self._reported = settings.report_names(profile)
@@ -48,50 +48,52 @@
         elif verb == "notice":
             held, kind = self._held.get(e["requestId"]), wire.NOTES.get(e["sort"])
             if held is not None and held.batch is not None and kind is not None:
-                self._call(held.batch.noted, int(e.get("seqNo", 0)), kind, float(e.get("x", 0.0)))
+                self._call(
+                    held.batch.attempt_progressed, int(e.get("seqNo", 0)), kind, float(e.get("x", 0.0))
+                )
         elif verb == "left":
             held = self._held.get(e["requestId"])
             if held is not None and held.batch is not None:
                 held.ended = True
-                self._call(held.batch.left)
+                self._call(held.batch.client_left)
                 self._forget(e["requestId"], held)
         elif verb == "first":
             held = self._held.get(e["requestId"])
             if held is not None and held.batch is not None:
-                self._call(held.batch.noted, int(e.get("seqNo", 0)), NoteKind.PROGRESS, 0.0)
+                self._call(held.batch.attempt_progressed, int(e.get("seqNo", 0)), ProgressKind.PROGRESS, 0.0)
         elif verb == "rosterChange":
             self._roster(e, pages)
         elif verb == "checkResult":
             if self._gateway is not None:
                 engine, outcome = self._engines.index(e["engine"]), wire.OUTCOMES[e["status"]]
                 report = settings.load_report(self._reported, e.get("telemetry"))
-                self._call(self._gateway.reported, engine, outcome, report)
+                self._call(self._gateway.probe_completed, engine, outcome, report)
         elif verb == "fromPeer":
             if self._gateway is not None:
                 data = base64.b64decode(e.get("data") or "")
-                self._call(self._gateway.heard_from, int(e["neighbour"]), data)
+                self._call(self._gateway.receive_from_peer, int(e["neighbour"]), data)
         else:
             raise ValueError(f"unknown event {verb!r}")
 
     def _ingress(self, e: dict[str, Any]) -> None:
         request = e["requestId"]
-        held = self._held[request] = self._holding.open(Held(request))
+        held = self._held[request] = self._holding.open(HeldQuery(request))
         bits = int(e.get("bits") or 0)
-        arrival = Arrival(
+        arrival = QueryArrival(
             index=held.index,
-            group=int(e.get("lane", 0)),
-            customer=int(e.get("clientGroup", 0)),
-            key=e.get("relation"),
-            time_limit=settings.down(e["clientDeadlineUs"]),
-            cost=settings.up(e.get("guessUs") or 0) if bits & 1 else 0,
-            memory=float(e.get("memMb") or 0.0),
-            tables=int(e.get("tableGroup") or 0),
+            service_class=int(e.get("lane", 0)),
+            tenant=int(e.get("clientGroup", 0)),
+            order_key=e.get("relation"),
+            deadline=settings.down(e["clientDeadlineUs"]),
+            estimated_cost=settings.up(e.get("guessUs") or 0) if bits & 1 else 0,
+            estimated_memory=float(e.get("memMb") or 0.0),
+            table_group=int(e.get("tableGroup") or 0),
             is_retry=bool(bits & 2),
         )
 
         def take() -> None:
             if self._gateway is not None:
-                held.batch = self._gateway.take(arrival)
+                held.batch = self._gateway.submit(arrival)
 
         self._call(take)
         self._forget(request, held)
@@ -108,7 +110,7 @@
         held.out -= 1
         held.ended = held.ended or over
         result = AttemptResult(outcome, lasted, work, memory, report)
-        self._call(held.batch.ended, int(e.get("seqNo", 0)), result, over)
+        self._call(held.batch.attempt_ended, int(e.get("seqNo", 0)), result, over)
         self._forget(request, held)
 
     def _roster(self, e: dict[str, Any], pages: dict[int, list[dict[str, Any]]]) -> None:
@@ -116,14 +118,14 @@
         if self._gateway is None:
             return
         if form == "failed":
-            self._call(self._gateway.list_failed)
+            self._call(self._gateway.engine_list_failed)
             return
         if form not in ("delta", "full", "cached"):
             raise ValueError(f"unknown list form {form!r}")
         entries = [wire.engine_entry(self._engines.index(row["engine"]), row) for row in pages[e["page"]]]
-        self._call(self._gateway.listed, entries, form != "delta")
+        self._call(self._gateway.update_engines, entries, form != "delta")
 
-    def _forget(self, request: str, held: Held) -> None:
+    def _forget(self, request: str, held: HeldQuery) -> None:
         if self._holding.settle(held):
             del self._held[request]
 
@@ -141,7 +143,7 @@
     def _order(self, verb: str, **fields: Any) -> None:
         self.orders.append({"verb": verb, "manager": self.number, **fields})
 
-    def dispatch(self, batch: int, engine: int, time_out: int) -> None:
+    def send_attempt(self, batch: int, engine: int, time_out: int) -> None:
         held = self._holding.at(batch)
         held.out += 1
         self._order(
@@ -151,10 +153,10 @@
             engine=self._engines.name(engine),
         )
 
-    def grant(self, batch: int, memory: float, priority: int) -> None:
+    def grant_memory(self, batch: int, memory: float, priority: int) -> None:
         self._order("equip", requestId=self._holding.at(batch).name, workspaceMb=memory, lane=priority)
 
-    def push_back(self, batch: int, retry_after: int) -> None:
+    def reject(self, batch: int, retry_after: int) -> None:
         held = self._holding.at(batch)
         if retry_after > 0:
             self._order("bounce", requestId=held.name, waitUs=retry_after * settings.MICROS)
@@ -162,26 +164,26 @@
             self._order("bounce", requestId=held.name)
         self._given_up(held)
 
-    def error(self, batch: int) -> None:
+    def fail(self, batch: int) -> None:
         held = self._holding.at(batch)
         self._order("finishError", requestId=held.name)
         self._given_up(held)
 
-    def _given_up(self, held: Held) -> None:
+    def _given_up(self, held: HeldQuery) -> None:
         held.ended = True
         self._forget(held.name, held)  # in the line nothing else comes for it, and it would stay for good
 
-    def cancel(self, batch: int, dispatch: int) -> None:
+    def cancel_attempt(self, batch: int, dispatch: int) -> None:
         self._order("revoke", requestId=self._holding.at(batch).name, seqNo=dispatch)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peers(self, peer: int | None, data: bytes) -> None:
         recipient: int | str = "*" if peer is None else peer
         self._order("broadcastTo", recipient=recipient, data=base64.b64encode(data).decode())
 
-    def probe(self, engine: int) -> None:
+    def probe_engine(self, engine: int) -> None:
         self._order("inspect", engine=self._engines.name(engine))
 
-    def subscribe(self) -> None:
+    def subscribe_to_engine_list(self) -> None:
         self._order("subscribe", enable=True)
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
--- a/vanerelay/adapter/wire.py
+++ b/vanerelay/adapter/wire.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from vanerelay.interface import EngineEntry, EngineState, NoteKind, Outcome
+from vanerelay.interface import EngineEntry, EngineState, Outcome, ProgressKind
 from vanerelay.settings import up
 
 OUTCOMES = {
-    "GOOD": Outcome.RETURNED,
-    "BAD": Outcome.ERRORED,
-    "FULL": Outcome.PUSHED_BACK,
+    "GOOD": Outcome.COMPLETED,
+    "BAD": Outcome.FAILED,
+    "FULL": Outcome.REJECTED,
     "LATE": Outcome.TIMED_OUT,
     "NOCONN": Outcome.NO_CONNECTION,
     "RST": Outcome.RESET,
@@ -18,19 +18,19 @@
     "NOP": Outcome.NOT_SENT,
 }
 STATES = {"U": EngineState.UP, "L": EngineState.DRAINING, "D": EngineState.GONE}
-NOTES = {1: NoteKind.PROGRESS, 2: NoteKind.SPILL, 3: NoteKind.WAITING}
+NOTES = {1: ProgressKind.PROGRESS, 2: ProgressKind.SPILL, 3: ProgressKind.WAITING}
 
 
 def engine_entry(index: int, row: dict[str, Any]) -> EngineEntry:
     return EngineEntry(
-        engine=index,
+        index=index,
         name=row["engine"],
-        location=int(row.get("rackZone", 0)),
-        kind=int(row.get("generationHw", 0)),
+        zone=int(row.get("rackZone", 0)),
+        machine_kind=int(row.get("generationHw", 0)),
         cell=int(row.get("cell", 0)),
         state=STATES[row.get("condition", "U")],
         weight=1.0,  # the wire's word is the size of the machine, which its kind tells too
-        started=up(row.get("bornUs") or 0),
+        started_at=up(row.get("bornUs") or 0),
     )
 
 
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -128,13 +128,14 @@
     log_to(log_level)
     from twisted.internet.main import installReactor
 
-    from vanerelay.net.clock import Clock, Reactor
+    from vanerelay.clock import Clock
+    from vanerelay.net.reactor import Reactor
 
     clock = Clock()
     reactor = Reactor(clock)
     installReactor(reactor)  # type: ignore[no-untyped-call]
-    from vanerelay.extension import BadStart
-    from vanerelay.net.server import Kept, Program, read
+    from vanerelay.extension import StartupError
+    from vanerelay.net.server import Server, SupervisorSockets, read
 
     try:
         parts = _subsystems(options)
@@ -142,10 +143,16 @@
         name = name or str(told.get("name", ""))
         structlog.contextvars.bind_contextvars(gateway=name)
         join = importlib.import_module("vanerelay.extension_registry").joins(parts) if parts else None
-        program = Program(
-            reactor, clock, told, listen or str(told.get("listen", "")), name, Kept(listen_fd, ready_fd), join
+        program = Server(
+            reactor,
+            clock,
+            told,
+            listen or str(told.get("listen", "")),
+            name,
+            SupervisorSockets(listen_fd, ready_fd),
+            join,
         )
-    except BadStart as fault:
+    except StartupError as fault:
         click.echo(f"vanerelay: {fault}", err=True)
         sys.exit(2)
     except (KeyError, TypeError, ValueError, AttributeError) as fault:
@@ -154,7 +161,7 @@
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(program.reload, config))
     try:
         program.run()
-    except BadStart as fault:
+    except StartupError as fault:
         click.echo(f"vanerelay: {fault}", err=True)
         sys.exit(2)
 
@@ -165,7 +172,7 @@
 def check(config: str, options: str | None) -> None:
     """Reads a configuration and says what it tells, without listening anywhere."""
     from vanerelay import settings, settings_validation
-    from vanerelay.extension import BadStart
+    from vanerelay.extension import StartupError
     from vanerelay.net import discovery_codec
     from vanerelay.net.server import read
 
@@ -173,16 +180,16 @@
         told = read(config)
         why = settings_validation.doubtful(told["settings"])
         if why is not None:
-            raise BadStart(f"configuration {config}: {why}")
+            raise StartupError(f"configuration {config}: {why}")
         groups = settings.service_groups(told["settings"])
         changes = discovery_codec.parse(told["known"], {}, {})
-    except (BadStart, KeyError, TypeError, ValueError, AttributeError) as fault:
+    except (StartupError, KeyError, TypeError, ValueError, AttributeError) as fault:
         click.echo(f"vanerelay: {fault}", err=True)
         sys.exit(2)
     if isinstance(changes, discovery_codec.Unreadable):
         click.echo(f"vanerelay: the list known at the start: {changes.why}", err=True)
         sys.exit(2)
-    engines = {member.name for change in changes for member in change.members}
+    engines = {member.name for change in changes for member in change.engines}
     click.echo(f"service groups: {', '.join(group.name for group in groups)}")
     click.echo(f"engines known: {len(engines)}")
     parts = _subsystems(options)
--- a/vanerelay/confidence.py
+++ b/vanerelay/confidence.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Spread:
+class RunningVariance:
     """Mean and variance of what came, and how much one is like the one before."""
 
     number: int = 0
@@ -30,8 +30,8 @@
         self._last = one
 
     @staticmethod
-    def of(number: int, mean: float, variance: float) -> Spread:
-        return Spread(number, mean, variance * max(0, number - 1))
+    def of(number: int, mean: float, variance: float) -> RunningVariance:
+        return RunningVariance(number, mean, variance * max(0, number - 1))
 
     @property
     def variance(self) -> float:
--- a/vanerelay/estimation.py
+++ b/vanerelay/estimation.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 
-class Ring:
+class SlidingSums:
     """Sums over a span of time, in fixed buckets that are used again in turn."""
 
     def __init__(self, span: int, fields: int, buckets: int = 10) -> None:
@@ -86,12 +86,12 @@
     return ranked[-1][0] if ranked else 0.0
 
 
-def scatter(name: str, number: int) -> int:
+def stable_hash(name: str, number: int) -> int:
     """A figure of a pair, spread as if at random and the same in every process."""
     return int.from_bytes(hashlib.blake2b(f"{number} {name}".encode(), digest_size=8).digest(), "big")
 
 
 def rank_among(name: str, number: int, count: int) -> int:
     """The place of a number among 0 to count - 1, in an order that the name scatters."""
-    own = scatter(name, number)
-    return sum(scatter(name, other) < own for other in range(count))
+    own = stable_hash(name, number)
+    return sum(stable_hash(name, other) < own for other in range(count))
--- a/vanerelay/extension.py
+++ b/vanerelay/extension.py
@@ -1,7 +1,7 @@
-"""How a subsystem joins the served program: what it may see, when it is asked, what it may answer. Types.
+"""How a subsystem joins the served program: what it sees of it, what it is told, what it may answer.
 
-`net/` knows this page and no subsystem; a subsystem knows this page and nothing of `net/service.py` or
-`net/program.py`. Which subsystems there are stands in `joining.py`, above both."""
+Only types stand here, below `net/` and all subsystems. Which subsystems there are is in `extension_registry`.
+"""
 
 from __future__ import annotations
 
@@ -12,193 +12,221 @@
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
 
-    from vanerelay.interface import Outcome
-    from vanerelay.net.attempt_outcome import End
-    from vanerelay.net.clock import Clock
-    from vanerelay.net.discovery_codec import Change
+    from vanerelay.attempt_outcome import AttemptEnd
+    from vanerelay.clock import Clock
+    from vanerelay.engine_list import EngineListChange
+    from vanerelay.interface import AnswerStatus, Outcome
     from vanerelay.policy.gateway import Gateway
 
-Listed = Callable[["Change"], None]
-Answered = Callable[[], None]
+ListListener = Callable[["EngineListChange"], None]
+"""Told of each change of the engine list."""
 
+DiscoveryAnswerListener = Callable[[], None]
+"""Told that the discovery service has answered, whatever it said."""
 
-class BadStart(Exception):
+
+class StartupError(Exception):
     """Why the program cannot start, in one line."""
 
 
-class Host(Protocol):
-    """The served program, as a subsystem sees it. `kept`: whether a keeper holds the clients' socket."""
+class ExtensionHost(Protocol):
+    """The served program, as a subsystem sees it."""
 
     @property
-    def reactor(self) -> Any: ...
+    def reactor(self) -> Any:
+        """The event loop."""
+
     @property
-    def clock(self) -> Clock: ...
+    def clock(self) -> Clock:
+        """The clock of the process."""
+
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """The name of this gateway."""
+
     @property
-    def seed(self) -> int: ...
+    def seed(self) -> int:
+        """The seed of all that is drawn by chance."""
+
     @property
-    def kept(self) -> bool: ...
+    def supervised(self) -> bool:
+        """Whether a supervisor holds the clients' listening socket."""
+
     @property
-    def profile(self) -> dict[str, Any]:
-        """The settings in force."""
+    def settings(self) -> dict[str, Any]:
+        """The settings in force, as the JSON object that was read."""
 
     @property
     def limits(self) -> Mapping[str, Any]:
-        """What the platform gives us, as it names it."""
+        """What the platform gives this process, under the platform's names."""
 
     @property
-    def places(self) -> Mapping[str, int]:
-        """Locations by name; `kinds` likewise."""
+    def zones(self) -> Mapping[str, int]:
+        """The rows of the zones that the settings name."""
 
     @property
-    def kinds(self) -> Mapping[str, int]: ...
+    def machine_kinds(self) -> Mapping[str, int]:
+        """The rows of the machine kinds that the settings name."""
+
     @property
     def gateway(self) -> Gateway:
-        """The module, for those that hand its decisions on."""
+        """The decisions in force."""
 
-    def addresses(self) -> dict[int, str]:
-        """Where each engine is listed, by the module's index."""
+    def engine_addresses(self) -> dict[int, str]:
+        """Where each engine is listed, by its index."""
 
-    def settle(self, settings: dict[str, Any]) -> str | None:
-        """Goes on under other settings of the fleet's; why it can't."""
+    def apply_settings(self, settings: dict[str, Any]) -> str | None:
+        """Goes on under other settings; the reason where it cannot."""
 
-    def order(self, engine: int, words: Sequence[bytes], ident: bytes, patience_s: float) -> Deferred[End]:
-        """A command to an engine that is no batch. The Deferred never fails."""
+    def send_command(
+        self, engine: int, arguments: Sequence[bytes], command_id: bytes, timeout_s: float
+    ) -> Deferred[AttemptEnd]:
+        """Sends an engine a command that is no query. The Deferred never fails."""
 
-    def large(self) -> None:
-        """A change of many engines is in force."""
+    def large_list_applied(self) -> None:
+        """A change of many engines has been applied."""
 
-    def own(self, group: str, statement: str, engine: int, memory: float, lasts: int) -> Own | None:
-        """A batch of ours at one engine, decided on as any; None where it can't be taken now."""
+    def submit_internal(
+        self, service_class: str, statement: str, engine: int, memory: float, max_duration: int
+    ) -> InternalQuery | None:
+        """Submits a query of the gateway itself to one engine; None where it cannot be taken now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
-    """A batch as it comes. `goal`: how long its service group's response goal is; `left`: until its time
-    limit. Both in the module's unit."""
+class QueryInfo:
+    """A query as its client brings it. Times in ticks."""
 
-    ref: str
-    group: str
+    reference: str
+    service_class: str
     statement: str
-    goal: int
-    left: int
+    latency_objective: int
+    time_left: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
-    """A batch that an engine has answered: the table group that it is known by, 0 for none, and whether it
-    wrote; `work` as the engine told it, in the module's unit; `own`: one of ours, for nobody's client."""
+class EngineRun:
+    """A query that an engine has completed.
+
+    Attributes:
+        table_group: The group of tables that it names; 0 for none.
+        writes: Whether it wrote them.
+        work: The work that the engine reported, in ticks of core time.
+        internal: Whether it was a query of the gateway itself.
+    """
 
-    tables: int
+    table_group: int
     writes: bool
     engine: int
     work: int
-    own: bool
+    internal: bool
 
 
-class Own(Protocol):
-    """A batch of ours, for nobody's client. `done` fires with the frames' code, and never fails."""
+class InternalQuery(Protocol):
+    """A query of the gateway itself, for no client."""
 
     @property
-    def done(self) -> Deferred[int]: ...
+    def done(self) -> Deferred[AnswerStatus]:
+        """Fires with the final answer, and never fails."""
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         """Nobody waits for it any more."""
 
 
-class Lead(Protocol):
-    """A batch that a subsystem leads, and that the module does not have before it was told among which
-    engines."""
+class ConstrainedQuery(Protocol):
+    """A query that is held back until its constraint names the engines that may serve it."""
 
-    def among(self, engines: frozenset[int] | None) -> None:
-        """These may serve it from now on, for each further dispatch as well; None: all."""
+    def restrict_to(self, engines: frozenset[int] | None) -> None:
+        """Names the engines that may serve it from now on, in each further attempt as well; None for all."""
 
-    def refuse(self, wait: int) -> None:
-        """Nobody may serve it: pushed back at once, with a time to return. Nothing where it is taken."""
+    def reject(self, retry_after: int) -> None:
+        """Rejects it at once, where no engine may serve it. Does nothing once the decisions have it."""
 
 
-class Guide:
-    """How a subsystem leads one batch: each call as it happens, all of them empty here."""
+class QueryConstraint:
+    """What a subsystem demands of the engines and answers of one query. Each call does nothing here."""
 
-    def begin(self, lead: Lead) -> None:
-        """The batch is held. `lead` is told at once or later."""
-        lead.among(None)
+    def start(self, query: ConstrainedQuery) -> None:
+        """The query is held. Its engines are named now or later."""
+        query.restrict_to(None)
 
-    def sent(self, engine: int) -> None:
-        """A dispatch goes out."""
+    def attempt_sent(self, engine: int) -> None:
+        """An attempt goes out."""
 
-    def accepts(self, engine: int, told: Mapping[str, str]) -> bool:
-        """Whether an answer that came may be handed on; else it counts as spoilt, and another may follow."""
+    def accepts_answer(self, engine: int, fields: Mapping[str, str]) -> bool:
+        """Whether an answer may be handed on; else it counts as malformed, and a retry may follow."""
         return True
 
-    def missed(self, engine: int, outcome: Outcome) -> None:
-        """A dispatch ended without an answer."""
+    def attempt_failed(self, engine: int, outcome: Outcome) -> None:
+        """An attempt ended without an answer."""
 
-    def fields(self) -> dict[str, str]:
-        """Words for the answer that was accepted."""
+    def answer_fields(self) -> dict[str, str]:
+        """Named values to add to the answer that was accepted."""
         return {}
 
-    def over(self) -> None:
-        """The batch has its final answer, or nobody waits for it."""
+    def finished(self) -> None:
+        """The query has its final answer, or nobody waits for it any more."""
 
 
-class Part:
-    """One subsystem in the program: each call in the order of this page, all of them empty here."""
+class Extension:
+    """One subsystem in the program. Its methods are called in the order of this class; each does nothing here."""
 
-    busy = False  # whether something is under way that a long pass would disturb
+    busy = False
+    """Whether something is under way that a long pass of the event loop would disturb."""
 
-    def settings(self, profile: dict[str, Any]) -> dict[str, Any]:
-        """The settings to start with, in place of those configured."""
-        return profile
+    def initial_settings(self, settings: dict[str, Any]) -> dict[str, Any]:
+        """The settings to start with in place of those configured."""
+        return settings
 
-    def again(self, profile: dict[str, Any]) -> dict[str, Any]:
-        """The same where the configuration is read once more."""
-        return profile
+    def reloaded_settings(self, settings: dict[str, Any]) -> dict[str, Any]:
+        """The settings to go on with in place of those that were read again."""
+        return settings
 
-    def between(self, listed: Listed, answered: Answered | None) -> tuple[Listed, Answered | None]:
-        """What is told of the control feed's changes, and of whether it answers, in place of these."""
-        return listed, answered
+    def wrap_discovery(
+        self, on_change: ListListener, on_answer: DiscoveryAnswerListener | None
+    ) -> tuple[ListListener, DiscoveryAnswerListener | None]:
+        """The listeners of the discovery service in place of these."""
+        return on_change, on_answer
 
     def open(self) -> None:
-        """The list of the start is in force. Raises BadStart."""
+        """The list known at the start is in force. Raises StartupError."""
 
-    def begin(self) -> None:
-        """All parts are open. Raises BadStart."""
+    def start(self) -> None:
+        """All extensions are open. Raises StartupError."""
 
-    def running(self) -> None:
-        """The loop is about to run."""
+    def loop_starting(self) -> None:
+        """The event loop is about to run."""
 
-    def listed(self, change: Change) -> None:
-        """A change of the list is in force."""
+    def engines_changed(self, change: EngineListChange) -> None:
+        """A change of the engine list is in force."""
 
-    def guide(self, want: Want) -> Guide | str | None:
-        """Who leads a batch; None: nobody, words for its client where it can't be served as it asks."""
+    def constrain(self, query: QueryInfo) -> QueryConstraint | str | None:
+        """The constraint of a query; None for no constraint, a reason where it cannot be served as asked."""
         return None
 
-    def ran(self, ran: Ran) -> None:
-        """An engine has answered a batch, and its answer was handed on."""
+    def engine_ran(self, run: EngineRun) -> None:
+        """An engine has completed a query, and its answer was handed on."""
 
-    def answered(self, group: str, utility: float, code: int, tenths: int, dispatches: int) -> None:
-        """What became of a batch: the part of its utility that its answer earned, the frames' code, how long
-        it took, how many dispatches it had."""
+    def query_answered(
+        self, service_class: str, earned: float, status: int, duration: int, attempts: int
+    ) -> None:
+        """A query has its final answer; `earned` is the part of its value that the answer earned."""
 
-    def refuses(self, profile: dict[str, Any]) -> str | None:
-        """Why these settings can't take the place of those in force."""
+    def settings_conflict(self, settings: dict[str, Any]) -> str | None:
+        """Why these settings cannot replace those in force."""
         return None
 
-    def switched(self, profile: dict[str, Any]) -> dict[str, Any]:
-        """These settings are in force; words for the log."""
+    def settings_applied(self, settings: dict[str, Any]) -> dict[str, Any]:
+        """These settings are in force; named values for the log line."""
         return {}
 
     def draining(self) -> None:
         """Nothing new is to be begun."""
 
     def stop(self) -> Deferred[Any] | None:
-        """All batches are answered; fires once it has ended, None where it has."""
+        """All queries are answered. Fires once the extension has ended; None where it has already."""
         return None
 
 
-def tells(part: Part, name: str) -> bool:
-    """Whether a part wants to be told of something, so that nothing is worked out for nobody."""
-    return getattr(type(part), name) is not getattr(Part, name)
+def overrides(extension: Extension, method: str) -> bool:
+    """Whether an extension wants to be told of something, so that nothing is worked out for nobody."""
+    return getattr(type(extension), method) is not getattr(Extension, method)
--- a/vanerelay/extension_registry.py
+++ b/vanerelay/extension_registry.py
@@ -6,47 +6,47 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from vanerelay.extension import Host, Part
+from vanerelay.extension import Extension, ExtensionHost
 
 
-def joins(options: Mapping[str, Any]) -> Callable[[Host], list[Part]] | None:
+def joins(options: Mapping[str, Any]) -> Callable[[ExtensionHost], list[Extension]] | None:
     """`options`: the parts of each subsystem that is on, by the name of its block; None where none is."""
     return (lambda host: _parts(host, options)) if options else None
 
 
-def _parts(host: Host, options: Mapping[str, Any]) -> list[Part]:
+def _parts(host: ExtensionHost, options: Mapping[str, Any]) -> list[Extension]:
     """Each before those that stand on it."""
-    found, members, fleet, leases, freshness = list[Part](), None, None, None, None
+    found, members, fleet, leases, freshness = list[Extension](), None, None, None, None
     if "membership" in options:
-        from vanerelay.membership.extension import MembersPart
+        from vanerelay.membership.extension import MembershipExtension
 
-        members = MembersPart(host, options["membership"])
+        members = MembershipExtension(host, options["membership"])
         found.append(members)
     if "xds" in options:
-        from vanerelay.xds.extension import ControlPart
+        from vanerelay.xds.extension import XdsExtension
 
-        found.append(ControlPart(host, options["xds"], members))
+        found.append(XdsExtension(host, options["xds"], members))
     if "fleet" in options:
-        from vanerelay.fleet.extension import FleetPart
+        from vanerelay.fleet.extension import FleetExtension
 
-        fleet = FleetPart(host, options["fleet"])
+        fleet = FleetExtension(host, options["fleet"])
         found.append(fleet)
     if "rollout" in options and fleet is not None:
-        from vanerelay.rollout.extension import OrdersPart
+        from vanerelay.rollout.extension import RolloutExtension
 
-        found.append(OrdersPart(host, options["rollout"], fleet))
+        found.append(RolloutExtension(host, options["rollout"], fleet))
     if "leases" in options and fleet is not None:
-        from vanerelay.leases.extension import LeasesPart
+        from vanerelay.leases.extension import LeasesExtension
 
-        leases = LeasesPart(host, options["leases"], fleet)
+        leases = LeasesExtension(host, options["leases"], fleet)
         found.append(leases)
     if "freshness" in options and fleet is not None and leases is not None:
-        from vanerelay.freshness.extension import FreshnessPart
+        from vanerelay.freshness.extension import FreshnessExtension
 
-        freshness = FreshnessPart(host, options["freshness"], fleet, leases)
+        freshness = FreshnessExtension(host, options["freshness"], fleet, leases)
         found.append(freshness)
     if "warming" in options and fleet is not None and leases is not None:
-        from vanerelay.warming.extension import WarmingPart
+        from vanerelay.warming.extension import WarmingExtension
 
-        found.append(WarmingPart(host, options["warming"], fleet, leases, freshness))
+        found.append(WarmingExtension(host, options["warming"], fleet, leases, freshness))
     return found
--- a/vanerelay/fleet/commands.py
+++ b/vanerelay/fleet/commands.py
@@ -10,8 +10,8 @@
 from twisted.internet.defer import Deferred, DeferredList
 
 from vanerelay.fleet import messages
-from vanerelay.fleet.failure_detector import Standing, splits
-from vanerelay.fleet.rpc import Links
+from vanerelay.fleet.failure_detector import MemberState, splits
+from vanerelay.fleet.rpc import RpcNode
 
 PATIENCE_S = 3.0
 
@@ -94,7 +94,9 @@
         if as_json:
             click.echo(json.dumps(row))
         else:
-            heard = "" if name in views or member.standing is not Standing.ALIVE else "  does not answer us"
+            heard = (
+                "" if name in views or member.standing is not MemberState.ALIVE else "  does not answer us"
+            )
             click.echo(
                 f"{name:<12} {row['standing']:<8} {row['state']:<9} {row['domain']:<10} "
                 f"{row['program']:<20} {row['settings']:<13}{heard}".rstrip()
@@ -109,12 +111,12 @@
 
 
 def _views(reactor: Any, first: str) -> Deferred[dict[str, messages.View]]:
-    links = Links(reactor)
+    links = RpcNode(reactor)
     found = dict[str, messages.View]()
 
     def ask(address: str) -> Deferred[messages.View | None]:
         asked: Deferred[Any] = links.ask(address, "view", b"", PATIENCE_S)
-        return asked.addCallback(lambda body: messages.unpack(body, messages.View))
+        return asked.addCallback(lambda body: messages.decode(body, messages.View))
 
     def others(view: messages.View | None) -> Deferred[Any]:
         if view is None:
@@ -123,7 +125,7 @@
         at = [
             row.address
             for row in view.rows
-            if row.name != view.name and row.address and row.standing != Standing.LEFT
+            if row.name != view.name and row.address and row.standing != MemberState.LEFT
         ]
         return DeferredList([ask(address) for address in at], consumeErrors=True)
 
@@ -167,21 +169,21 @@
 def _leases(reactor: Any, first: str) -> Deferred[dict[str, Any]]:
     from vanerelay.leases import messages as lease_words
 
-    links = Links(reactor)
+    links = RpcNode(reactor)
 
     def each(views: dict[str, messages.View]) -> Deferred[dict[str, Any]]:
         at = {
             row.name: row.address
             for view in views.values()
             for row in view.rows
-            if row.address and row.standing != Standing.LEFT
+            if row.address and row.standing != MemberState.LEFT
         }
         names = sorted(at)
         asked = [links.ask(at[name], "leases", b"", PATIENCE_S) for name in names]
 
         def ended(results: list[tuple[bool, Any]]) -> dict[str, Any]:
             links.stop()
-            told = [lease_words.unpack(body, lease_words.View) for good, body in results if good]
+            told = [lease_words.decode(body, lease_words.View) for good, body in results if good]
             return {view.name: view for view in told if view is not None}
 
         return DeferredList(asked, consumeErrors=True).addCallback(ended)
--- a/vanerelay/fleet/config.py
+++ b/vanerelay/fleet/config.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from vanerelay.fleet.failure_detector import Pace
+from vanerelay.fleet.failure_detector import FailureDetectorConfig
 from vanerelay.operator_config import Block
 
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class FleetConfig:
     """`fleet`: which fleet, others are not listened to; `listen`: host and port for managers; `domain`: what
     fails together with us; `folder`: where the incarnation is kept, if anywhere."""
 
@@ -27,16 +27,16 @@
     domain: str = ""
     folder: str = ""
     known: tuple[Known, ...] = ()
-    pace: Pace = Pace()
+    pace: FailureDetectorConfig = FailureDetectorConfig()
 
 
-def parts(block: Block) -> Parts:
+def read_config(block: Block) -> FleetConfig:
     """Raises BadOptions with the line of what is wrong."""
     pace, known = block.only("pace"), block.all("member")
     found = block.fill(
-        Parts,
+        FleetConfig,
         known=tuple(one.fill(Known, name=one.label) for one in known),
-        pace=pace.fill(Pace) if pace else Pace(),
+        pace=pace.fill(FailureDetectorConfig) if pace else FailureDetectorConfig(),
     )
     for name, text, at in (
         ("listen", found.listen, block),
--- a/vanerelay/fleet/failure_detector.py
+++ b/vanerelay/fleet/failure_detector.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-from vanerelay.interface import MILLISECOND, SECOND, Span
+from vanerelay.interface import MILLISECOND, SECOND, Duration
 
 
-class Standing(IntEnum):
+class MemberState(IntEnum):
     """Of two words on the same version of a member the later one here counts."""
 
     ALIVE = 0
@@ -34,7 +34,7 @@
     name: str
     incarnation: int
     word: int = 0
-    standing: Standing = Standing.ALIVE
+    standing: MemberState = MemberState.ALIVE
     domain: str = ""
     address: str = ""
     program: str = ""
@@ -51,18 +51,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class FailureDetectorConfig:
     """`period`: between questions; `patience`: until one is asked through others; `through`: how many others;
     `suspicion`: periods, times the logarithm of the fleet's size, until a suspect is gone; `told`: pieces of
     news in one message; `most`: members at all; `forget`: after which one that is gone is let go of."""
 
-    period: Span = 500 * MILLISECOND
-    patience: Span = 250 * MILLISECOND
+    period: Duration = 500 * MILLISECOND
+    patience: Duration = 250 * MILLISECOND
     through: int = 3
     suspicion: float = 6.0
     told: int = 12
     most: int = 1000
-    forget: Span = 600 * SECOND
+    forget: Duration = 600 * SECOND
 
 
 REPEATS = 3.0  # times the logarithm of the fleet's size that a piece of news is told on
@@ -75,10 +75,10 @@
     member: Member
 
 
-class Alive:
+class FailureDetector:
     """One manager's view of the fleet."""
 
-    def __init__(self, own: Member, pace: Pace, chance: random.Random) -> None:
+    def __init__(self, own: Member, pace: FailureDetectorConfig, chance: random.Random) -> None:
         self.pace, self._chance = pace, chance
         self._own = own
         self.members = {own.name: own}
@@ -101,13 +101,13 @@
         self._set(new)
 
     def leave(self) -> None:
-        self._set(replace(self._own, word=self._own.word + 1, standing=Standing.LEFT))
+        self._set(replace(self._own, word=self._own.word + 1, standing=MemberState.LEFT))
 
     def introduce(self, name: str, address: str, domain: str = "") -> None:
         """One that operators name. Nothing is known of it: it is asked, and does not count as alive
         before."""
         if name not in self.members:
-            self.members[name] = Member(name, 0, 0, Standing.GONE, domain, address)
+            self.members[name] = Member(name, 0, 0, MemberState.GONE, domain, address)
 
     # In turn.
 
@@ -120,7 +120,9 @@
             return None
         self._order = [name for name in self._order if name in others]
         if not self._order:
-            self._order = sorted(name for name in others if self.members[name].standing is not Standing.LEFT)
+            self._order = sorted(
+                name for name in others if self.members[name].standing is not MemberState.LEFT
+            )
             self._chance.shuffle(self._order)
         return self.members[self._order.pop()] if self._order else None
 
@@ -129,7 +131,7 @@
         sound = sorted(
             name
             for name, member in self.members.items()
-            if member.standing is Standing.ALIVE and name not in (target, self._own.name)
+            if member.standing is MemberState.ALIVE and name not in (target, self._own.name)
         )
         return [self.members[name] for name in self._chance.sample(sound, min(self.pace.through, len(sound)))]
 
@@ -145,8 +147,8 @@
         """Neither we nor the helpers reached it."""
         self._failing = min(WORST, self._failing + 1)
         member = self.members.get(name)
-        if member is not None and member.standing is Standing.ALIVE:
-            self._set(replace(member, standing=Standing.SUSPECT))
+        if member is not None and member.standing is MemberState.ALIVE:
+            self._set(replace(member, standing=MemberState.SUSPECT))
             self._suspected[name] = now
 
     def stalled(self) -> None:
@@ -183,11 +185,11 @@
             ):
                 continue
             self._set(member)
-            if member.standing is Standing.SUSPECT:
+            if member.standing is MemberState.SUSPECT:
                 self._suspected.setdefault(member.name, now)
             else:
                 self._suspected.pop(member.name, None)
-            if member.standing in (Standing.GONE, Standing.LEFT):
+            if member.standing in (MemberState.GONE, MemberState.LEFT):
                 self._gone[member.name] = now
             else:
                 self._gone.pop(member.name, None)
@@ -214,7 +216,7 @@
             self.replaced = True
         elif member.incarnation > own.incarnation:
             self._set(replace(own, incarnation=member.incarnation + 1, word=0))
-        elif member.newer(own) and own.standing is not Standing.LEFT:
+        elif member.newer(own) and own.standing is not MemberState.LEFT:
             self._failing = min(WORST, self._failing + 1)
             self._set(replace(own, word=member.word + 1))
 
@@ -224,7 +226,7 @@
             if now - since >= self.suspicion():
                 del self._suspected[name]
                 self._gone[name] = now
-                self._set(replace(self.members[name], standing=Standing.GONE))
+                self._set(replace(self.members[name], standing=MemberState.GONE))
         for name, since in list(self._gone.items()):
             if now - since >= self.pace.forget:
                 del self._gone[name]
@@ -263,7 +265,7 @@
     says = dict[str, dict[str, list[str]]]()
     for viewer in sorted(views):
         for member in views[viewer]:
-            word = "alive" if member.standing in (Standing.ALIVE, Standing.SUSPECT) else "gone"
+            word = "alive" if member.standing in (MemberState.ALIVE, MemberState.SUSPECT) else "gone"
             says.setdefault(member.name, {}).setdefault(word, []).append(viewer)
     return [
         Split(name, tuple((word, tuple(who)) for word, who in sorted(told.items())))
--- a/vanerelay/fleet/messages.py
+++ b/vanerelay/fleet/messages.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from vanerelay.fleet.failure_detector import Member, Standing
+from vanerelay.fleet.failure_detector import Member, MemberState
 
 T = TypeVar("T")
-LONGEST = 60_000  # bytes of a body: AMP carries 65,535 in one value
+MAX_MESSAGE_BYTES = 60_000  # bytes of a body: AMP carries 65,535 in one value
 ROWS = 200  # members told at once
 
 
@@ -84,13 +84,13 @@
 
 def member(told: Row) -> Member | None:
     """None where it is of a standing that we do not know."""
-    if not told.name or not 0 <= told.standing <= max(Standing):
+    if not told.name or not 0 <= told.standing <= max(MemberState):
         return None
     return Member(
         told.name,
         told.incarnation,
         told.word,
-        Standing(told.standing),
+        MemberState(told.standing),
         told.domain,
         told.address,
         told.program,
@@ -104,11 +104,11 @@
     return [one for one in map(member, rows[:ROWS]) if one is not None]
 
 
-def pack(body: msgspec.Struct) -> bytes:
+def encode(body: msgspec.Struct) -> bytes:
     return msgspec.msgpack.encode(body)
 
 
-def unpack(data: bytes, kind: type[T]) -> T | None:
+def decode(data: bytes, kind: type[T]) -> T | None:
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except msgspec.MsgspecError:
--- a/vanerelay/fleet/rpc.py
+++ b/vanerelay/fleet/rpc.py
@@ -27,42 +27,45 @@
 AGAIN_S = 0.1  # between tries to listen, while a process of before still does
 
 
-class Unknown(Exception):
+class UnknownKindError(Exception):
     """The other side knows no such question."""
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """The other side knows it and will not; why, in one line."""
 
 
-class Unanswered(Exception):
+class NoReplyError(Exception):
     """No answer in time, or no connection: whether it was heard is not known."""
 
 
-class Say(amp.Command):
+class Call(amp.Command):
+    """Carries one request of any kind. Its name on the wire is that of earlier releases."""
+
+    commandName = b"Say"
     arguments = [(b"kind", amp.Unicode()), (b"body", amp.String())]  # type: ignore[no-untyped-call]
     response = [(b"body", amp.String())]  # type: ignore[no-untyped-call]
-    errors = {Unknown: b"UNKNOWN", Refused: b"REFUSED"}
+    errors = {UnknownKindError: b"UNKNOWN", RequestRefusedError: b"REFUSED"}
 
 
 Handler = Callable[[bytes], "bytes | Deferred[bytes]"]
 
 
-class Link(amp.AMP):
+class RpcConnection(amp.AMP):
     """One connection. Faults of the other side end it; they are no reason for a traceback."""
 
     transport: Any
 
-    def __init__(self, links: Links) -> None:
+    def __init__(self, links: RpcNode) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         self._links, self.lost, self.asking = links, False, 0
 
-    @Say.responder
+    @Call.responder
     def said(self, kind: str, body: bytes) -> Deferred[dict[str, bytes]]:
         self._links.used(self)
         handler = self._links.handlers.get(kind)
         if handler is None:
-            raise Unknown(kind)
+            raise UnknownKindError(kind)
         answer: Deferred[bytes] = maybeDeferred(handler, body)  # type: ignore[call-overload]
         return answer.addCallback(lambda told: {"body": told})
 
@@ -77,7 +80,7 @@
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
 
-class Links(Factory):
+class RpcNode(Factory):
     """All links of one manager: those it opened, by address, and those others opened."""
 
     noisy = False
@@ -85,8 +88,8 @@
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         self.handlers = dict[str, Handler]()
-        self._open: OrderedDict[str, Link] = OrderedDict()  # the longest unused first
-        self._accepted: OrderedDict[Link, None] = OrderedDict()
+        self._open: OrderedDict[str, RpcConnection] = OrderedDict()  # the longest unused first
+        self._accepted: OrderedDict[RpcConnection, None] = OrderedDict()
         self._port: Any = None
         self._stopped = self._waiting = False
 
@@ -108,23 +111,23 @@
         self._waiting = False
         then()
 
-    def buildProtocol(self, addr: Any) -> Link:
-        link = Link(self)
+    def buildProtocol(self, addr: Any) -> RpcConnection:
+        link = RpcConnection(self)
         self._accepted[link] = None
         if len(self._accepted) > ACCEPTED:
             oldest, _ = self._accepted.popitem(last=False)
             oldest.transport.loseConnection()
         return link
 
-    def used(self, link: Link) -> None:
+    def used(self, link: RpcConnection) -> None:
         if link in self._accepted:
             self._accepted.move_to_end(link)
 
-    def gone(self, link: Link) -> None:
+    def gone(self, link: RpcConnection) -> None:
         self._accepted.pop(link, None)
         self._leave(link)
 
-    def _leave(self, link: Link) -> None:
+    def _leave(self, link: RpcConnection) -> None:
         for address, other in list(self._open.items()):
             if other is link:
                 del self._open[address]
@@ -134,7 +137,7 @@
     def ask(self, address: str, kind: str, body: bytes, patience_s: float) -> Deferred[bytes]:
         """Fails with Unknown, Refused or Unanswered."""
         result: Deferred[bytes] = Deferred()
-        used = list[Link]()  # the link it went by, while it is out
+        used = list[RpcConnection]()  # the link it went by, while it is out
 
         def end(told: Any) -> None:
             if timer.active():
@@ -150,19 +153,19 @@
                 self._leave(link)
                 if link.asking == 1:
                     link.transport.abortConnection()
-            end(Unanswered(f"nothing came from {address} within {patience_s:.1f} s"))
+            end(NoReplyError(f"nothing came from {address} within {patience_s:.1f} s"))
 
         def failed(failure: Any) -> None:
-            known = failure.check(Unknown, Refused)
-            end(failure.value if known else Unanswered(f"{address}: {failure.getErrorMessage()}"))
+            known = failure.check(UnknownKindError, RequestRefusedError)
+            end(failure.value if known else NoReplyError(f"{address}: {failure.getErrorMessage()}"))
 
-        def linked(link: Link) -> None:
+        def linked(link: RpcConnection) -> None:
             if result.called:
                 return
             used.append(link)
             link.asking += 1
             asked: Deferred[dict[str, bytes]] = link.callRemote(  # type: ignore[no-untyped-call]
-                Say, kind=kind, body=body
+                Call, kind=kind, body=body
             )
             asked.addCallbacks(lambda told: end(told["body"]), failed)
 
@@ -170,17 +173,17 @@
         self._link(address, patience_s).addCallbacks(linked, failed)
         return result
 
-    def _link(self, address: str, patience_s: float) -> Deferred[Link]:
+    def _link(self, address: str, patience_s: float) -> Deferred[RpcConnection]:
         link = self._open.get(address)
         if link is not None and not link.lost:
             self._open.move_to_end(address)
             return succeed(link)
         host, _, port = address.rpartition(":")
         endpoint = TCP4ClientEndpoint(self._reactor, host, int(port), timeout=max(1.0, patience_s))
-        opening: Deferred[Link] = connectProtocol(endpoint, Link(self))  # type: ignore[no-untyped-call]
+        opening: Deferred[RpcConnection] = connectProtocol(endpoint, RpcConnection(self))  # type: ignore[no-untyped-call]
         return opening.addCallback(self._opened, address)
 
-    def _opened(self, link: Link, address: str) -> Link:
+    def _opened(self, link: RpcConnection, address: str) -> RpcConnection:
         if self._stopped:
             link.transport.loseConnection()
             return link
--- a/vanerelay/fleet/service.py
+++ b/vanerelay/fleet/service.py
@@ -13,12 +13,12 @@
 import structlog
 from twisted.internet.defer import Deferred, DeferredList, succeed
 
+from vanerelay.clock import Clock
 from vanerelay.fleet import messages
-from vanerelay.fleet.config import Parts
-from vanerelay.fleet.failure_detector import Alive, Member, Standing, incarnation
-from vanerelay.fleet.rpc import Links, Refused
-from vanerelay.interface import MILLISECOND
-from vanerelay.net.clock import UNITS, Clock
+from vanerelay.fleet.config import FleetConfig
+from vanerelay.fleet.failure_detector import FailureDetector, Member, MemberState, incarnation
+from vanerelay.fleet.rpc import RequestRefusedError, RpcNode
+from vanerelay.interface import MILLISECOND, SECOND
 
 KEPT = "incarnation"
 STALLED = 100 * MILLISECOND  # that our own turn came late, past which nobody else is blamed
@@ -31,15 +31,22 @@
     """`seen` are told of each change of a member, `replaced` once that another process goes by our name."""
 
     def __init__(
-        self, reactor: Any, clock: Clock, parts: Parts, name: str, program: str, settings: str, seed: int
+        self,
+        reactor: Any,
+        clock: Clock,
+        parts: FleetConfig,
+        name: str,
+        program: str,
+        settings: str,
+        seed: int,
     ) -> None:
         self._reactor, self._clock, self.parts, self.name = reactor, clock, parts, name
         self._chance = random.Random(f"{seed}/fleet")
-        self.links = Links(reactor)
+        self.links = RpcNode(reactor)
         own = Member(
-            name, self._incarnation(), 0, Standing.ALIVE, parts.domain, parts.listen, program, settings
+            name, self._incarnation(), 0, MemberState.ALIVE, parts.domain, parts.listen, program, settings
         )
-        self.alive = Alive(own, parts.pace, self._chance)
+        self.alive = FailureDetector(own, parts.pace, self._chance)
         self._reach = {known.name: known.address for known in parts.known}
         for known in parts.known:
             self.alive.introduce(known.name, known.address, known.domain)
@@ -81,7 +88,7 @@
         others = [
             one
             for one in self.alive.members.values()
-            if one.standing is Standing.ALIVE and one.name != self.name
+            if one.standing is MemberState.ALIVE and one.name != self.name
         ]
         told = [
             self._ping(self._address(one.name, one.address), one.name)
@@ -108,7 +115,7 @@
         address = self.address(name)
         if address is None:
             failed: Deferred[bytes] = Deferred()
-            failed.errback(Refused(f"no address of {name} is known"))
+            failed.errback(RequestRefusedError(f"no address of {name} is known"))
             return failed
         return self.links.ask(address, kind, body, patience_s)
 
@@ -121,7 +128,7 @@
         if now - self._due > STALLED:
             self.alive.stalled()
         self._due = now + pace.period
-        self._timer = self._reactor.callLater(pace.period / UNITS, self._turn)
+        self._timer = self._reactor.callLater(pace.period / SECOND, self._turn)
         if self._silent:
             return
         target = self.alive.next(now)
@@ -131,20 +138,20 @@
 
     def _question(self, target: Member) -> None:
         asked = self._ping(
-            self._address(target.name, target.address), target.name, join=target.standing is Standing.GONE
+            self._address(target.name, target.address), target.name, join=target.standing is MemberState.GONE
         )
 
         def direct(reached: bool) -> None:
-            if reached or self._stopped or target.standing is Standing.GONE:
+            if reached or self._stopped or target.standing is MemberState.GONE:
                 return
             helpers = self.alive.helpers(target.name)
-            body = messages.pack(messages.Through(self.parts.fleet, target.name, target.address))
+            body = messages.encode(messages.Through(self.parts.fleet, target.name, target.address))
             through = [self._ask(self._address(one.name, one.address), "through", body, 2) for one in helpers]
             DeferredList(through).addCallback(indirect)
 
         def indirect(results: list[tuple[bool, Any]]) -> None:
             heard = [
-                messages.unpack(told, messages.Heard) for good, told in results if good and told is not None
+                messages.decode(told, messages.Heard) for good, told in results if good and told is not None
             ]
             if not any(one is not None and one.reached for one in heard):
                 self.alive.unanswered(target.name, self._clock.now())
@@ -158,7 +165,7 @@
         ping = messages.Ping(self.parts.fleet, messages.row(own), [messages.row(one) for one in news], join)
 
         def heard(told: bytes | None) -> bool:
-            answer = messages.unpack(told, messages.Heard) if told is not None else None
+            answer = messages.decode(told, messages.Heard) if told is not None else None
             if answer is None:
                 return False
             self._heard(answer.news)
@@ -166,44 +173,44 @@
             self.alive.answered()
             return True
 
-        return self._ask(address, "ping", messages.pack(ping), 1).addCallback(heard)
+        return self._ask(address, "ping", messages.encode(ping), 1).addCallback(heard)
 
     def _ask(self, address: str, kind: str, body: bytes, times: int) -> Deferred[bytes | None]:
         """None where no answer came."""
         self.asks += 1
-        patience_s = self.alive.patience() * times / UNITS
+        patience_s = self.alive.patience() * times / SECOND
         asked: Deferred[Any] = self.links.ask(address, kind, body, patience_s)
         return asked.addErrback(lambda _: None)
 
     # What others ask.
 
     def _pinged(self, body: bytes) -> bytes:
-        ping = messages.unpack(body, messages.Ping)
+        ping = messages.decode(body, messages.Ping)
         if ping is None or ping.fleet != self.parts.fleet or self._silent:
-            raise Refused("not of this fleet" if ping is not None else "unreadable")
+            raise RequestRefusedError("not of this fleet" if ping is not None else "unreadable")
         self.answers += 1
         sender = messages.member(ping.own)
         self._heard([ping.own, *ping.news])
         if sender is None:
-            return messages.pack(messages.Heard())
+            return messages.encode(messages.Heard())
         told = (
             [*self.alive.whole()[: messages.ROWS], *self.alive.reply(sender)]
             if ping.join
             else self.alive.reply(sender)
         )
-        return messages.pack(messages.Heard([messages.row(one) for one in told]))
+        return messages.encode(messages.Heard([messages.row(one) for one in told]))
 
     def _asked_through(self, body: bytes) -> Deferred[bytes]:
-        through = messages.unpack(body, messages.Through)
+        through = messages.decode(body, messages.Through)
         if through is None or through.fleet != self.parts.fleet or self._silent:
-            raise Refused("not of this fleet")
+            raise RequestRefusedError("not of this fleet")
         self.answers += 1
         asked = self._ping(self._address(through.target, through.address), through.target)
-        return asked.addCallback(lambda reached: messages.pack(messages.Heard([], reached)))
+        return asked.addCallback(lambda reached: messages.encode(messages.Heard([], reached)))
 
     def _viewed(self, body: bytes) -> bytes:
         rows = [messages.row(one) for one in self.alive.members.values()][: messages.ROWS]
-        return messages.pack(
+        return messages.encode(
             messages.View(self.name, self.parts.fleet, rows, self.alive.replaced, self.asks, self.answers)
         )
 
--- a/vanerelay/freshness/config.py
+++ b/vanerelay/freshness/config.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from vanerelay.interface import MILLISECOND, SECOND, Span
+from vanerelay.interface import MILLISECOND, SECOND, Duration
 from vanerelay.leases.config import WORDS_MOST
 from vanerelay.operator_config import Block
 
@@ -17,11 +17,11 @@
     news."""
 
     words: tuple[str, ...]
-    every: Span = SECOND // 2
-    patience: Span = SECOND
+    every: Duration = SECOND // 2
+    patience: Duration = SECOND
     shards: int = 1
     at_once: int = 16
-    hear: Span = 200 * MILLISECOND
+    hear: Duration = 200 * MILLISECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,12 +30,12 @@
     remember."""
 
     most: int = 100_000
-    longest: Span = 60 * SECOND
-    patience: Span = 100 * MILLISECOND
+    longest: Duration = 60 * SECOND
+    patience: Duration = 100 * MILLISECOND
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class FreshnessConfig:
     """`at`: the word under which engines say in an answer what they read at, `to`: where a load ended; empty:
     they do not. `lead_loads`: loads go to the source."""
 
@@ -46,13 +46,13 @@
     sessions: Sessions = Sessions()
 
 
-def parts(block: Block) -> Parts:
+def read_config(block: Block) -> FreshnessConfig:
     """Raises BadOptions with the line of what is wrong."""
     watch, sessions = block.only("watch"), block.only("sessions")
     if watch is None:
         raise block.wrong("freshness: no watch, expected a watch block in it")
     found = block.fill(
-        Parts,
+        FreshnessConfig,
         watch=watch.fill(Watch),
         sessions=sessions.fill(Sessions) if sessions is not None else Sessions(),
     )
--- a/vanerelay/freshness/hints.py
+++ b/vanerelay/freshness/hints.py
@@ -17,7 +17,7 @@
 from lark.exceptions import VisitError
 
 from vanerelay.freshness.replication_positions import Point
-from vanerelay.interface import SECOND, Span
+from vanerelay.interface import SECOND, Duration
 
 SIGN, NAME = "/*+", "vanerelay"
 MOST = 256  # characters of a hint
@@ -41,12 +41,12 @@
     them; `after`: a load by its reference; `at`: a point that it holds; `pin`: a session that never goes
     back, remembered `lasts` past its last read."""
 
-    stale: Span | None = None
+    stale: Duration | None = None
     behind: int = 0
     after: str = ""
     at: Point | None = None
     pin: str = ""
-    lasts: Span = 30 * SECOND
+    lasts: Duration = 30 * SECOND
     otherwise: Else = Else.WAIT
 
 
@@ -103,7 +103,7 @@
         return "otherwise", Else(told[0])
 
 
-def _span(text: str) -> Span:
+def _span(text: str) -> Duration:
     unit = text.lstrip("0123456789.")
     return round(float(text[: -len(unit)]) * UNITS[unit])
 
--- a/vanerelay/freshness/messages.py
+++ b/vanerelay/freshness/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from vanerelay.fleet.messages import LONGEST, pack, unpack
+from vanerelay.fleet.messages import MAX_MESSAGE_BYTES, decode, encode
 from vanerelay.freshness.replication_positions import Point, Told
 from vanerelay.freshness.session_affinity import Pin
 from vanerelay.freshness.shard_updates import Given, Row
@@ -12,7 +12,7 @@
 COPY, SOURCE, GONE = 0, 1, -1
 ROLES = {"copy": False, "source": True}
 
-__all__ = ["LONGEST", "pack", "unpack"]
+__all__ = ["MAX_MESSAGE_BYTES", "encode", "decode"]
 
 
 class Pull(msgspec.Struct, frozen=True):
--- a/vanerelay/freshness/read_constraints.py
+++ b/vanerelay/freshness/read_constraints.py
@@ -10,18 +10,16 @@
 import structlog
 from twisted.internet.defer import Deferred, DeferredList
 
-from vanerelay.extension import Guide, Host, Lead, Want
+from vanerelay.extension import ConstrainedQuery, ExtensionHost, QueryConstraint, QueryInfo
 from vanerelay.freshness import eligibility, hints
 from vanerelay.freshness.eligibility import Choice
 from vanerelay.freshness.hints import BadHint, Hint
 from vanerelay.freshness.replication_positions import Point
 from vanerelay.freshness.service import Freshness
 from vanerelay.freshness.session_affinity import Known, Pin
-from vanerelay.interface import MILLISECOND, Condition, EngineState, Outcome
+from vanerelay.interface import MILLISECOND, SECOND, EngineState, EngineStatus, Outcome
 from vanerelay.net.buffers import BLOCK
-from vanerelay.net.clock import UNITS
 from vanerelay.net.statements import named, writes
-from vanerelay.query_table import conditions
 
 LOOK = 100 * MILLISECOND  # between looks at how engines stand
 TRIES = 3  # at a session that others move at the same time
@@ -33,14 +31,14 @@
 class Leading:
     """All batches that are led at one manager."""
 
-    def __init__(self, host: Host, freshness: Freshness, chance: random.Random) -> None:
+    def __init__(self, host: ExtensionHost, freshness: Freshness, chance: random.Random) -> None:
         self.host, self.freshness, self._chance = host, freshness, chance
         self.waiting, self.led = set[_Led](), set[_Led]()
-        self._there, self._names = dict[str, Condition](), dict[int, str]()
+        self._there, self._names = dict[str, EngineStatus](), dict[int, str]()
         self._looked = -LOOK
         freshness.moved = self.moved
 
-    def guide(self, want: Want) -> Guide | str | None:
+    def guide(self, want: QueryInfo) -> QueryConstraint | str | None:
         """Raises nothing: a hint that can't be read is told in one line."""
         statement = want.statement
         try:
@@ -74,15 +72,15 @@
 
     # How engines stand.
 
-    def there(self) -> Mapping[str, Condition]:
+    def there(self) -> Mapping[str, EngineStatus]:
         """Engines that may be sent something, by name."""
         now = self.freshness.clock()
         if now - self._looked >= LOOK:
-            found = [one for one in conditions(self.host.gateway) if one.entry.state is EngineState.UP]
+            found = [one for one in self.host.gateway.engine_statuses() if one.entry.state is EngineState.UP]
             self._there = {one.entry.name: one for one in found}
-            self._names |= {one.entry.engine: one.entry.name for one in found}
+            self._names |= {one.entry.index: one.entry.name for one in found}
             if len(self._names) > 2 * len(found) + len(self.led):
-                self._names = {one.entry.engine: one.entry.name for one in found}
+                self._names = {one.entry.index: one.entry.name for one in found}
             self._looked = now
         return self._there
 
@@ -97,11 +95,13 @@
     def draw(self, engines: Sequence[str]) -> str:
         """A session's copy: by room, as sessions stay for a while."""
         there = self.there()
-        weights = [max(1e-3, there[name].level * there[name].share) * there[name].cores for name in engines]
+        weights = [
+            max(1e-3, there[name].health * there[name].ramp_share) * there[name].cores for name in engines
+        ]
         return self._chance.choices(engines, weights)[0]
 
     def sound(self, engine: str) -> bool:
-        return self.there()[engine].sound
+        return self.there()[engine].usable
 
     @property
     def soon(self) -> int:
@@ -110,19 +110,19 @@
         return watch.every + watch.hear
 
 
-class _Led(Guide):
+class _Led(QueryConstraint):
     """One batch; `out`: a dispatch of it has gone out."""
 
-    def __init__(self, leading: Leading, want: Want) -> None:
+    def __init__(self, leading: Leading, want: QueryInfo) -> None:
         self._leading, self._want = leading, want
         self.came, self.out, self.ended = leading.freshness.clock(), False, False
         self._timer: Any = None
         self._among: frozenset[str] | None = None  # as the module was told last
 
-    def begin(self, lead: Lead) -> None:
+    def start(self, lead: ConstrainedQuery) -> None:
         self._lead = lead
         self._leading.waiting.add(self)
-        wait = max(1, min(self._want.goal, self._want.left)) / UNITS
+        wait = max(1, min(self._want.latency_objective, self._want.time_left)) / SECOND
         self._timer = self._leading.host.reactor.callLater(wait, self._late)
 
     def look(self) -> None:
@@ -134,7 +134,7 @@
             self._refuse()
 
     def _refuse(self) -> None:
-        self._lead.refuse(self._leading.soon)
+        self._lead.reject(self._leading.soon)
 
     def _go(self, engines: frozenset[str] | None) -> None:
         if self.ended:
@@ -142,16 +142,16 @@
         there, self._among = self._leading.there(), engines
         self._leading.waiting.discard(self)
         self._leading.led.add(self)
-        self._lead.among(
+        self._lead.restrict_to(
             None
             if engines is None
-            else frozenset(there[name].entry.engine for name in engines if name in there)
+            else frozenset(there[name].entry.index for name in engines if name in there)
         )
 
-    def sent(self, engine: int) -> None:
+    def attempt_sent(self, engine: int) -> None:
         self.out = True
 
-    def over(self) -> None:
+    def finished(self) -> None:
         self.ended = True
         self._leading.waiting.discard(self)
         self._leading.led.discard(self)
@@ -162,12 +162,12 @@
 class Loading(_Led):
     """A load: it goes to the source of what it writes, and where it ended is remembered."""
 
-    def __init__(self, leading: Leading, want: Want, groups: Sequence[int]) -> None:
+    def __init__(self, leading: Leading, want: QueryInfo, groups: Sequence[int]) -> None:
         super().__init__(leading, want)
         self._group = groups[0]
 
-    def begin(self, lead: Lead) -> None:
-        super().begin(lead)
+    def start(self, lead: ConstrainedQuery) -> None:
+        super().start(lead)
         self.look()
 
     def look(self) -> None:
@@ -179,18 +179,18 @@
         if source is not None and source in self._leading.there():
             self._go(frozenset({source}))
 
-    def accepts(self, engine: int, told: Mapping[str, str]) -> bool:
+    def accepts_answer(self, engine: int, told: Mapping[str, str]) -> bool:
         freshness = self._leading.freshness
         point = Point.read(told.get(freshness.parts.to, "")) if freshness.parts.to else None
         if point is not None:
-            freshness.ended(self._want.ref, self._group, point)
+            freshness.ended(self._want.reference, self._group, point)
         return True
 
 
 class Reading(_Led):
     """A read with a hint. What it has to hold is fixed when it comes; where it may go is looked at anew."""
 
-    def __init__(self, leading: Leading, want: Want, hint: Hint, groups: tuple[int, ...]) -> None:
+    def __init__(self, leading: Leading, want: QueryInfo, hint: Hint, groups: tuple[int, ...]) -> None:
         super().__init__(leading, want)
         self._hint, self._groups = hint, groups
         self._needs = eligibility.needs(hint, groups, self.came)
@@ -207,8 +207,8 @@
         self._answered = True  # whether what was answered holds what is asked
         self._known = False
 
-    def begin(self, lead: Lead) -> None:
-        super().begin(lead)
+    def start(self, lead: ConstrainedQuery) -> None:
+        super().start(lead)
         hint, freshness = self._hint, self._leading.freshness
         asked = list[Deferred[Any]]()
         if hint.after:
@@ -292,14 +292,14 @@
         self._word = word if settled else "lost"
         self._go(frozenset({new.engine}))
 
-    def sent(self, engine: int) -> None:
-        super().sent(engine)
+    def attempt_sent(self, engine: int) -> None:
+        super().attempt_sent(engine)
         name = self._leading.name(engine)
         positions = self._leading.freshness.positions
         still = not self._met or eligibility.serves(positions, name, self._asked)
         self._held[name] = positions.point(name, self._groups[0]), self._met, still
 
-    def accepts(self, engine: int, told: Mapping[str, str]) -> bool:
+    def accepts_answer(self, engine: int, told: Mapping[str, str]) -> bool:
         """Whether the engine had what we took it to have, as it says itself: it may have gone back since."""
         freshness, name = self._leading.freshness, self._leading.name(engine)
         word = freshness.parts.at
@@ -322,7 +322,7 @@
             )
         return True
 
-    def missed(self, engine: int, outcome: Outcome) -> None:
+    def attempt_failed(self, engine: int, outcome: Outcome) -> None:
         """Another dispatch may follow: among those that may serve it now, not as it came."""
         if self._hint.pin and outcome in AWAY:
             self._gone(self._leading.name(engine))
@@ -336,7 +336,7 @@
         if self._among is not None and name in self._among:
             self._go(self._among - {name})
 
-    def fields(self) -> dict[str, str]:
+    def answer_fields(self) -> dict[str, str]:
         found = dict[str, str]()
         if self._point is not None:
             found["at"] = str(self._point)
--- a/vanerelay/freshness/service.py
+++ b/vanerelay/freshness/service.py
@@ -10,21 +10,20 @@
 import structlog
 from twisted.internet.defer import Deferred, succeed
 
-from vanerelay.fleet.failure_detector import Standing
-from vanerelay.fleet.rpc import Refused
+from vanerelay.attempt_outcome import AttemptEnd, EndCause
+from vanerelay.fleet.failure_detector import MemberState
+from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.fleet.service import Fleet
 from vanerelay.freshness import dissemination, messages, session_affinity
-from vanerelay.freshness.config import Parts
+from vanerelay.freshness.config import FreshnessConfig
 from vanerelay.freshness.replication_positions import Point, Positions, Told
 from vanerelay.freshness.session_affinity import Keeper, Known, Loads, Pin
 from vanerelay.freshness.shard_updates import Shard
-from vanerelay.interface import Span
+from vanerelay.interface import SECOND, Duration
 from vanerelay.leases.assignment import Candidate, ranked
-from vanerelay.leases.fencing import Hold
-from vanerelay.leases.maintenance_runner import Chat
+from vanerelay.leases.fencing import LeaseHolder
+from vanerelay.leases.maintenance_runner import MaintenanceDialog
 from vanerelay.leases.service import Leases
-from vanerelay.net.attempt_outcome import Cause, End
-from vanerelay.net.clock import UNITS
 
 ROWS_OF_ONE = 50_000  # table groups of one engine
 OLD = 20  # times the pace of the watch, past which it is said that news are old
@@ -34,7 +33,7 @@
 log = structlog.get_logger()
 
 
-class Watching(Chat):
+class Watching(MaintenanceDialog):
     """One shard, where it is ours: what engines answer goes into its news."""
 
     def __init__(self, freshness: Freshness, shard: Shard) -> None:
@@ -42,23 +41,23 @@
         self._begun = dict[str, tuple[int, dict[int, Told]]]()  # answers that are not whole yet
         self._unread = set[str]()
 
-    def began(self, hold: Hold) -> None:
+    def began(self, hold: LeaseHolder) -> None:
         self._begun.clear()
         self._shard.begin(hold.number, self._freshness.name)
         self._freshness.changed()
 
-    def heard(self, engine: str, at: int, end: End) -> str | None:
-        told = messages.rows(end.rows, ROWS_OF_ONE) if end.cause is Cause.OK else None
+    def heard(self, engine: str, at: int, end: AttemptEnd) -> str | None:
+        told = messages.rows(end.rows, ROWS_OF_ONE) if end.cause is EndCause.OK else None
         begun = self._begun.pop(engine, None)
         if told is None:
-            if end.cause is Cause.OK and engine not in self._unread:
+            if end.cause is EndCause.OK and engine not in self._unread:
                 self._unread.add(engine)
                 log.warning("an engine's word on its copies can't be read", engine=engine)
             return None
         self._unread.discard(engine)
         if begun is not None and begun[0] == at:
             told = begun[1] | told
-        follow = end.told.get("next", "")
+        follow = end.fields.get("next", "")
         if follow.isdecimal() and 0 < len(follow) <= 15 and len(told) < ROWS_OF_ONE:
             self._begun[engine] = at, told
             return follow
@@ -70,12 +69,12 @@
 class Freshness:
     """`moved` is called once news have come."""
 
-    def __init__(self, reactor: Any, fleet: Fleet, leases: Leases, parts: Parts) -> None:
+    def __init__(self, reactor: Any, fleet: Fleet, leases: Leases, parts: FreshnessConfig) -> None:
         self._reactor, self._fleet, self.parts = reactor, fleet, parts
         self.name, self.clock, self._drift = fleet.name, leases.clock, leases.parts.terms.drift
         self.positions = Positions()
         self.shards = [Shard(self.positions) for _ in range(parts.watch.shards)]
-        self.holds = list[Hold]()  # of the shards, in their order
+        self.holds = list[LeaseHolder]()  # of the shards, in their order
         self._failed = [0] * parts.watch.shards
         self._turns = parts.watch.every // parts.watch.hear + 2  # of ours in which news should have come
         self._old = set[int]()  # shards whose news are old, as was logged
@@ -121,11 +120,11 @@
     # News.
 
     def _turn(self) -> None:
-        self._timer = self._reactor.callLater(self.parts.watch.hear / UNITS, self._turn)
+        self._timer = self._reactor.callLater(self.parts.watch.hear / SECOND, self._turn)
         alive = sorted(
             one.name
             for one in self._fleet.alive.members.values()
-            if one.standing is Standing.ALIVE or one.name == self.name
+            if one.standing is MemberState.ALIVE or one.name == self.name
         )
         if alive != self._alive:
             self._alive = alive
@@ -145,7 +144,7 @@
             (log.warning if number in self._old else log.info)(
                 "news of copies are old" if number in self._old else "news of copies come again",
                 shard=number,
-                age_s=round(old / UNITS, 1),
+                age_s=round(old / SECOND, 1),
             )
 
     def _pull(self, number: int) -> None:
@@ -155,12 +154,12 @@
         if whom is None:
             return
         at = self.clock()
-        body = messages.pack(messages.Pull(number, *shard.wants(at)))
-        patience_s = HEAR_PATIENCE * self.parts.watch.hear / UNITS
+        body = messages.encode(messages.Pull(number, *shard.wants(at)))
+        patience_s = HEAR_PATIENCE * self.parts.watch.hear / SECOND
         self.asked += 1
 
         def heard(told: bytes) -> None:
-            news = messages.unpack(told, messages.News)
+            news = messages.decode(told, messages.News)
             given = messages.given(news) if news is not None else None
             # One that goes on to know no more than we is as good as none: another is asked then.
             more = given is not None and shard.hear(at, given, self._drift)
@@ -174,34 +173,36 @@
         self._fleet.ask(whom, "fresh-news", body, patience_s).addCallback(heard).addErrback(failed)
 
     def _pulled(self, body: bytes) -> bytes:
-        pull = messages.unpack(body, messages.Pull)
+        pull = messages.decode(body, messages.Pull)
         if pull is None or not 0 <= pull.shard < len(self.shards):
-            raise Refused("no such shard" if pull is not None else "unreadable")
+            raise RequestRefusedError("no such shard" if pull is not None else "unreadable")
         self.told += 1
-        found = messages.pack(
+        found = messages.encode(
             messages.news(self.shards[pull.shard].give(self.clock(), pull.number, pull.upto))
         )
-        if len(found) > messages.LONGEST:
-            raise Refused("the shard is too large, expected more shards")
+        if len(found) > messages.MAX_MESSAGE_BYTES:
+            raise RequestRefusedError("the shard is too large, expected more shards")
         return found
 
     # Sessions and loads, remembered for others.
 
     def _pin_asked(self, body: bytes) -> bytes:
         ask = _read(body, messages.PinAsk)
-        return messages.pack(messages.pin_told(*self.keeper.ask(self.clock(), ask.name, ask.lasts)))
+        return messages.encode(messages.pin_told(*self.keeper.ask(self.clock(), ask.name, ask.lasts)))
 
     def _pin_put(self, body: bytes) -> bytes:
         put = _read(body, messages.PinPut)
         pin = messages.pin(put)
         if pin is None:
-            raise Refused("no engine")
-        return messages.pack(messages.pin_told(self.keeper.put(self.clock(), put.name, pin, put.lasts), True))
+            raise RequestRefusedError("no engine")
+        return messages.encode(
+            messages.pin_told(self.keeper.put(self.clock(), put.name, pin, put.lasts), True)
+        )
 
     def _load_asked(self, body: bytes) -> bytes:
         ask = _read(body, messages.LoadAsk)
         group, point = self.loads.get(ask.ref) or (0, Point(-1, -1))
-        return messages.pack(messages.LoadTold(group, point.life, point.number))
+        return messages.encode(messages.LoadTold(group, point.life, point.number))
 
     def _load_put(self, body: bytes) -> bytes:
         put = _read(body, messages.LoadPut)
@@ -210,7 +211,7 @@
 
     # What we ask of keepers.
 
-    def session(self, name: str, lasts: Span) -> Deferred[Known]:
+    def session(self, name: str, lasts: Duration) -> Deferred[Known]:
         """What keepers know of a session; never fails."""
         named = session_affinity.keepers(name, self._managers)
         body = messages.PinAsk(name, lasts)
@@ -223,7 +224,7 @@
             named, "fresh-pin", body, messages.PinTold, session_affinity.enough(len(named)), self._pin_asked
         ).addCallback(settle)
 
-    def put_session(self, name: str, lasts: Span, pin: Pin) -> Deferred[tuple[bool, Pin | None]]:
+    def put_session(self, name: str, lasts: Duration, pin: Pin) -> Deferred[tuple[bool, Pin | None]]:
         """Whether a majority remembers it so, and what else one of them said; never fails."""
         named = session_affinity.keepers(name, self._managers)
         body = messages.pin_put(name, lasts, pin)
@@ -240,7 +241,7 @@
     def ended(self, ref: str, group: int, point: Point) -> None:
         """A load has ended: told to those that remember it, not waited for."""
         self._own_loads.put(ref, group, point)
-        body = messages.pack(messages.LoadPut(ref, group, point.life, point.number))
+        body = messages.encode(messages.LoadPut(ref, group, point.life, point.number))
         for name in session_affinity.keepers(ref, self._managers):
             if name == self.name:
                 self.loads.put(ref, group, point)
@@ -265,7 +266,7 @@
 
     @property
     def _patience_s(self) -> float:
-        return self.parts.sessions.patience / UNITS
+        return self.parts.sessions.patience / SECOND
 
     def _gather(
         self,
@@ -279,11 +280,11 @@
     ) -> Deferred[list[T]]:
         """Answers, once so many of them count or no more can come; `own`: how we answer ourselves."""
         done: Deferred[list[T]] = Deferred()
-        found, left, packed = list[T](), set(names), messages.pack(body)
+        found, left, packed = list[T](), set(names), messages.encode(body)
 
         def came(told: bytes | None, name: str) -> None:
             left.discard(name)
-            one = messages.unpack(told, answer) if told is not None else None
+            one = messages.decode(told, answer) if told is not None else None
             if done.called:
                 return
             if one is not None:
@@ -303,7 +304,7 @@
 
 
 def _read(body: bytes, kind: type[T]) -> T:
-    found = messages.unpack(body, kind)
+    found = messages.decode(body, kind)
     if found is None:
-        raise Refused("unreadable")
+        raise RequestRefusedError("unreadable")
     return found
--- a/vanerelay/freshness/session_affinity.py
+++ b/vanerelay/freshness/session_affinity.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from vanerelay.freshness.replication_positions import Point
-from vanerelay.interface import Span
+from vanerelay.interface import Duration
 from vanerelay.leases.assignment import Candidate, ranked
 
 KEEPERS = 3
@@ -59,14 +59,14 @@
 
     since: int
     most: int
-    longest: Span
+    longest: Duration
     forgot: int = -1  # when one was let go of before its time
     _kept: OrderedDict[str, Kept] = field(default_factory=OrderedDict)
 
     def __len__(self) -> int:
         return len(self._kept)
 
-    def ask(self, now: int, name: str, lasts: Span) -> tuple[Pin | None, bool]:
+    def ask(self, now: int, name: str, lasts: Duration) -> tuple[Pin | None, bool]:
         """The session, remembered for so long from now, and whether we would surely know of one."""
         kept = self._kept.get(name)
         if kept is not None and kept.until > now:
@@ -75,7 +75,7 @@
             return kept.pin, True
         return None, now - max(self.since, self.forgot) > self.longest
 
-    def put(self, now: int, name: str, pin: Pin, lasts: Span) -> Pin:
+    def put(self, now: int, name: str, pin: Pin, lasts: Duration) -> Pin:
         """What is remembered then: another's where that was first, or has moved since."""
         kept = self._kept.get(name)
         held = kept.pin if kept is not None and kept.until > now else None
--- a/vanerelay/freshness/shard_updates.py
+++ b/vanerelay/freshness/shard_updates.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from vanerelay.freshness.replication_positions import Positions, Told
-from vanerelay.interface import SECOND, Span
+from vanerelay.interface import SECOND, Duration
 
 TOLD = 600 * SECOND  # for so long a row that is no more is told of
 ROWS = 1000  # in one answer
@@ -44,7 +44,7 @@
     upto: int
     rows: tuple[Row, ...]
     more: bool
-    ages: Mapping[str, Span]
+    ages: Mapping[str, Duration]
 
 
 @dataclass(slots=True)
--- a/vanerelay/grpc_wire/driver.py
+++ b/vanerelay/grpc_wire/driver.py
@@ -12,10 +12,11 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
+from vanerelay.clock import Clock
 from vanerelay.grpc_wire.limits import Limits
 from vanerelay.grpc_wire.session import ClientSession, Opener, ServerSession, Session
-from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.rate_limited_log import Sparing
+from vanerelay.interface import SECOND
+from vanerelay.net.rate_limited_log import RateLimitedLog
 
 log = structlog.get_logger()
 
@@ -86,7 +87,7 @@
         self._wait()
 
     def _wait(self) -> None:
-        delay = max(10, self.session.due() - self._clock.now()) / UNITS
+        delay = max(10, self.session.due() - self._clock.now()) / SECOND
         if self._timer is not None and self._timer.active():
             self._timer.reset(delay)
         else:
@@ -119,8 +120,8 @@
             opener,
         )
         self.open = set[Connection]()
-        self._full = Sparing(reactor, "as many gRPC connections as are allowed")
-        self._bad = Sparing(reactor, "a gRPC peer does not keep to the protocol")
+        self._full = RateLimitedLog(reactor, "as many gRPC connections as are allowed")
+        self._bad = RateLimitedLog(reactor, "a gRPC peer does not keep to the protocol")
 
     def buildProtocol(self, addr: Any) -> Connection | None:
         if len(self.open) >= self._most:
--- a/vanerelay/grpc_wire/limits.py
+++ b/vanerelay/grpc_wire/limits.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from vanerelay.interface import SECOND, Span
+from vanerelay.interface import SECOND, Duration
 
 DATA, HEADERS, PRIORITY, RST_STREAM, SETTINGS, PUSH_PROMISE, PING, GOAWAY, WINDOW_UPDATE, CONTINUATION = (
     range(10)
@@ -25,9 +25,9 @@
     message: int = 4 * 2**20
     headers: int = 16 * 2**10
     waiting: int = 16 * 2**20
-    quiet: Span = 30 * SECOND
-    answer: Span = 10 * SECOND
-    greeting: Span = 5 * SECOND
+    quiet: Duration = 30 * SECOND
+    answer: Duration = 10 * SECOND
+    greeting: Duration = 5 * SECOND
 
 
 class Meter:
--- a/vanerelay/invariants.py
+++ b/vanerelay/invariants.py
@@ -14,15 +14,15 @@
 
 from vanerelay.interface import (
     NEVER_RAN,
-    ColdStart,
-    Effect,
+    DeduplicationScope,
     EngineEntry,
     EngineState,
+    Idempotency,
     MachineKind,
     Outcome,
-    RationTerms,
-    Scope,
-    ServiceGroup,
+    RetryBudgetTerms,
+    ServiceClass,
+    SlowStartTerms,
 )
 
 BUCKET = 100  # of the module's time: a hundredth of a second, in which events are counted together
@@ -49,10 +49,10 @@
 class GuardTerms:
     """What the settings say of the invariants."""
 
-    groups: Sequence[ServiceGroup]
+    groups: Sequence[ServiceClass]
     kinds: Sequence[MachineKind]
-    budget: RationTerms
-    cold: ColdStart
+    budget: RetryBudgetTerms
+    cold: SlowStartTerms
     most_attempts: int
     copies: bool
 
@@ -62,7 +62,7 @@
     """One query as the guard knows it. `out`: attempts that have begun and not ended; `maybe_ran`: when and
     where attempts began that may have run."""
 
-    group: ServiceGroup
+    group: ServiceClass
     deadline: int
     begun: int = 0
     out: set[int] = field(default_factory=set)
@@ -123,8 +123,8 @@
 
     def listed(self, entry: EngineEntry) -> StateChange | None:
         """An engine as its list tells it; how its state has changed, if it has."""
-        before = self._engines.get(entry.engine)
-        self._engines[entry.engine] = entry
+        before = self._engines.get(entry.index)
+        self._engines[entry.index] = entry
         if before is not None and before.state is entry.state:
             return None
         return StateChange(before.state.name.lower() if before else "unknown", entry.state.name.lower())
@@ -141,14 +141,14 @@
     def taken(self, now: int, group: int, deadline: int, earns: bool) -> QueryRecord:
         """A query was taken. `earns`: it adds to the budget for further attempts."""
         if earns:
-            self._taken.add(now, self._terms.budget.span)
+            self._taken.add(now, self._terms.budget.window)
         return QueryRecord(self._terms.groups[group], deadline)
 
     def attempt_ended(self, record: QueryRecord, number: int, outcome: Outcome, work: int) -> None:
         record.out.discard(number)
         if outcome in NEVER_RAN:
             record.maybe_ran.pop(number, None)
-        elif outcome is Outcome.RETURNED and work > 0:
+        elif outcome is Outcome.COMPLETED and work > 0:
             self._answers, self._work = self._answers + 1, self._work + work
 
     def answered(self, record: QueryRecord) -> bool:
@@ -171,9 +171,9 @@
         record.out.add(number)
         record.maybe_ran[number] = now, entry
         if number:
-            self._further.add(now, self._terms.budget.span)
+            self._further.add(now, self._terms.budget.window)
         if self._is_cold(now, entry):
-            self._sent_to.setdefault(engine, Window()).add(now, self._terms.cold.window)
+            self._sent_to.setdefault(engine, Window()).add(now, self._terms.cold.overload_window)
         return None
 
     def _holds(self, broken: Invariant | None) -> bool:
@@ -201,38 +201,41 @@
 
     def _runs_twice(self, now: int, record: QueryRecord, entry: EngineEntry) -> bool:
         group = record.group
-        if group.effect is Effect.REPEATABLE or not record.maybe_ran:
+        if group.idempotency is Idempotency.IDEMPOTENT or not record.maybe_ran:
             return False
         began, first = min(record.maybe_ran.values(), key=lambda attempt: attempt[0])
-        if group.effect is Effect.ONCE_ONLY or now - began >= group.window:
+        if group.idempotency is Idempotency.NON_IDEMPOTENT or now - began >= group.deduplication_window:
             return True
-        if group.scope is Scope.LOCATION:
-            return entry.location != first.location
-        return group.scope is Scope.CELL and entry.cell != first.cell
+        if group.deduplication_scope is DeduplicationScope.ZONE:
+            return entry.zone != first.zone
+        return group.deduplication_scope is DeduplicationScope.CELL and entry.cell != first.cell
 
     def _in_budget(self, now: int) -> bool:
         budget = self._terms.budget
-        if not budget.span:
+        if not budget.window:
             return True
-        earned = budget.free + budget.share * self._taken.total(now, budget.span)
-        return self._further.total(now, budget.span) + 1 <= earned
+        earned = budget.min_retries + budget.retry_ratio * self._taken.total(now, budget.window)
+        return self._further.total(now, budget.window) + 1 <= earned
 
     def _is_cold(self, now: int, entry: EngineEntry) -> bool:
         cold = self._terms.cold
-        return bool(cold.window and entry.started) and now - entry.started < cold.warm_after + cold.window
+        return (
+            bool(cold.overload_window and entry.started_at)
+            and now - entry.started_at < cold.ramp_duration + cold.overload_window
+        )
 
     def _overloads(self, now: int, entry: EngineEntry) -> bool:
-        sent = self._sent_to.get(entry.engine)
+        sent = self._sent_to.get(entry.index)
         if sent is None or self._answers < ENOUGH_ANSWERS or not self._is_cold(now, entry):
             return False
         cold, kinds = self._terms.cold, self._terms.kinds
-        cores = kinds[entry.kind].cores if entry.kind < len(kinds) else 1
-        age = min(1.0, (now - entry.started) / max(1, cold.warm_after))
-        share = cold.share + (1.0 - cold.share) * age
+        cores = kinds[entry.machine_kind].cores if entry.machine_kind < len(kinds) else 1
+        age = min(1.0, (now - entry.started_at) / max(1, cold.ramp_duration))
+        share = cold.initial_share + (1.0 - cold.initial_share) * age
         mean = self._work / self._answers
-        allowed = cold.multiple * share * max(1, cores) * cold.window / mean
+        allowed = cold.overload_multiple * share * max(1, cores) * cold.overload_window / mean
         slack = 2.0 * math.sqrt(allowed) + 2.0 if allowed >= LARGE else 3.0 * math.sqrt(allowed) + 3.0
-        return sent.total(now, cold.window) + 1 > allowed + slack
+        return sent.total(now, cold.overload_window) + 1 > allowed + slack
 
     def remembered(self) -> int:
         """How many buckets are kept at the moment."""
--- a/vanerelay/lab/client_load.py
+++ b/vanerelay/lab/client_load.py
@@ -13,13 +13,12 @@
 from typing import Any
 
 from vanerelay.history import History
-from vanerelay.interface import MILLISECOND, SECOND, Effect
+from vanerelay.interface import MILLISECOND, SECOND, Idempotency
 from vanerelay.lab.engine_server import World
 from vanerelay.lab.fault_network import Joint
 from vanerelay.lab.record import What
 from vanerelay.lab.scenario import Clients, Group
 from vanerelay.lab.schedule import Need, shares
-from vanerelay.net.clock import UNITS
 from vanerelay.net.frames import ANSWER, LAST, LEAVE, OPEN_MOST, REQUEST, frame
 
 CODES = {0: "returned", 1: "pushed back", 2: "errored"}
@@ -141,7 +140,7 @@
             self.open += 1
             self._try(need, need.draw)
         if self._next < len(self._needs):
-            wait = max(1, self._needs[self._next].at - now) / UNITS
+            wait = max(1, self._needs[self._next].at - now) / SECOND
             self._world.net.reactor.callLater(wait, self._bring)
 
     def _try(self, need: Need, draw: float, even: bool = False) -> None:
@@ -215,7 +214,7 @@
             figure=float(allow * 10),
             told=self._release(one.manager),
         )
-        left = (allow * 10 + WATCHED) / UNITS
+        left = (allow * 10 + WATCHED) / SECOND
         one.timer = self._world.net.reactor.callLater(left, self._forget, connection, one)
 
     def _hint(self, need: Need) -> str:
@@ -260,7 +259,7 @@
             self.open += 1
             place = self._names.index(self._chance.choice(others)) if others else 0
             draw = (place + 0.5) / len(self._names)
-            self._world.net.reactor.callLater(FOLLOWS / UNITS, self._try, need, draw, True)
+            self._world.net.reactor.callLater(FOLLOWS / SECOND, self._try, need, draw, True)
 
     def _waited(self, need: Need) -> int:
         return self._world.now() - self._world.zero - need.at
@@ -302,7 +301,7 @@
 
     def lose(self, manager: str, after: int) -> None:
         """The front learns that nobody takes requests there; it asks again whether the manager is ready."""
-        self._world.net.reactor.callLater(after / UNITS, self.ready.discard, manager)
+        self._world.net.reactor.callLater(after / SECOND, self.ready.discard, manager)
 
     def _forget(self, connection: Connection, one: Try) -> None:
         """Nothing came long past the limit. It stays open in the record; the client leaves."""
@@ -319,13 +318,13 @@
         """Another try, where clients make one: of repeatable batches after any failure, of others after a
         pushback; never past the limit."""
         group = need.group
-        allowed = word == "pushed back" or group.effect is Effect.REPEATABLE or not manager
+        allowed = word == "pushed back" or group.effect is Idempotency.IDEMPOTENT or not manager
         wait = cooldown or int(self._clients.backoff * 2 ** (need.tries - 1) * (0.5 + self._chance.random()))
         late = self._waited(need) + wait >= group.limit
         if need.over or not allowed or need.tries > self._clients.retries or late:
             self._over(need, manager, word)
         else:
-            self._world.net.reactor.callLater(wait / UNITS, self._try, need, self._chance.random())
+            self._world.net.reactor.callLater(wait / SECOND, self._try, need, self._chance.random())
 
     def _over(self, need: Need, manager: str, word: str) -> None:
         if not need.over:
--- a/vanerelay/lab/engine_server.py
+++ b/vanerelay/lab/engine_server.py
@@ -17,8 +17,7 @@
 from vanerelay.lab.model import Cold, Engine, Job, Machine, Put, Word
 from vanerelay.lab.record import Record, Row, What
 from vanerelay.lab.replication_model import Copies
-from vanerelay.leases.fencing import Gate
-from vanerelay.net.clock import UNITS
+from vanerelay.leases.fencing import FencingGate
 from vanerelay.net.resp_codec import command
 
 STATEMENT = re.compile(rb"-- w=(\d+) m=(\d+) n=(\d+)")
@@ -107,7 +106,7 @@
     ) -> None:
         """`refuses`: whether it refuses orders of a holder that was followed, or takes whatever comes."""
         self._world, self.name, self.kind, self.place, self._feed = world, name, kind, place, feed
-        self._gate, self._refuses = Gate(), refuses
+        self._gate, self._refuses = FencingGate(), refuses
         self._history = History(name, f"{world.histories}/{name}.jsonl" if world.histories else "")
         self.model = Engine(machine, cold, world.now(), fresh)
         self._chance, self._timer = random.Random(seed), None
@@ -273,7 +272,7 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         due = self.model.due(now)
-        self._timer = None if due is None else self._later((due - now) / UNITS, self.touch)
+        self._timer = None if due is None else self._later((due - now) / SECOND, self.touch)
 
     @property
     def _follows(self) -> bool:
@@ -316,7 +315,7 @@
         self._open_doors(False)
         self._world.net.reset_all(self.name)
         if lasting:
-            self._later(lasting / UNITS, self.rise)
+            self._later(lasting / SECOND, self.rise)
 
     def rise(self) -> None:
         self.model.rise(self._world.now())
@@ -329,7 +328,7 @@
         """Drained, then off the list, then gone."""
         self.phase = "DRAINING"
         self._feed.tell([self])
-        self._later(grace / UNITS, self._leave)
+        self._later(grace / SECOND, self._leave)
 
     def _leave(self) -> None:
         self.phase = "DELETED"
@@ -409,14 +408,14 @@
 
     def tell(self, engines: list[EngineHost]) -> None:
         rows = [(one.name, one.phase, one.started) for one in engines]
-        self._world.net.reactor.callLater(self._late / UNITS, self._tell, rows)
+        self._world.net.reactor.callLater(self._late / SECOND, self._tell, rows)
 
     def _tell(self, rows: list[tuple[str, str, int]]) -> None:
         self._events.append(rows)
         number = len(self._events)
         for session in list(self._waiting):
             self._answer(session)
-        self._world.net.reactor.callLater(TOLD_MOST / UNITS, self._count_as_told, number)
+        self._world.net.reactor.callLater(TOLD_MOST / SECOND, self._count_as_told, number)
 
     def _count_as_told(self, number: int) -> None:
         for manager in self._told:
--- a/vanerelay/lab/fault_network.py
+++ b/vanerelay/lab/fault_network.py
@@ -20,8 +20,9 @@
 from twisted.internet.protocol import Protocol as TwistedProtocol
 from twisted.python.failure import Failure
 
+from vanerelay.clock import Clock
+from vanerelay.interface import SECOND
 from vanerelay.lab.link_faults import HELD_MOST, Passage, Way, datagram
-from vanerelay.net.clock import UNITS, Clock
 
 CONNECT_S = 2.0
 GONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
@@ -106,7 +107,7 @@
             timer.cancel()
         self._timers[place] = None
         if due is not None:
-            wait = max(0, due - self._net.now()) / UNITS
+            wait = max(0, due - self._net.now()) / SECOND
             self._timers[place] = self._net.reactor.callLater(wait, self.pump)
 
     def _passage(self, side: Side) -> Passage:
@@ -344,7 +345,7 @@
             if relay._near != self._near:
                 due = datagram(self._net.now(), self._net.way(self._near, relay._near), self._net.chance)
                 if due is not None:
-                    wait = max(0, due - self._net.now()) / UNITS
+                    wait = max(0, due - self._net.now()) / SECOND
                     self._net.reactor.callLater(wait, relay.hand_on, datagram_)
 
     def hand_on(self, data: bytes) -> None:
--- a/vanerelay/lab/lease_simulation.py
+++ b/vanerelay/lab/lease_simulation.py
@@ -13,14 +13,13 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 from twisted.internet.task import Clock
 
-from vanerelay.fleet.failure_detector import Member, Standing
-from vanerelay.fleet.rpc import Refused, Unanswered
+from vanerelay.fleet.failure_detector import Member, MemberState
+from vanerelay.fleet.rpc import NoReplyError, RequestRefusedError
 from vanerelay.interface import SECOND
-from vanerelay.leases.config import Parts
-from vanerelay.leases.fencing import Deed, Gate, Hold
+from vanerelay.leases.config import LeasesConfig
+from vanerelay.leases.fencing import FencingGate, LeasedOperation, LeaseHolder
 from vanerelay.leases.service import Leases
-from vanerelay.leases.voter import Terms, Voters
-from vanerelay.net.clock import UNITS
+from vanerelay.leases.voter import LeaseTerms, Voters
 
 NOTICED_S = 1.0  # until others count one that died, or is cut off, as gone
 LOOK = SECOND // 200
@@ -50,7 +49,7 @@
     length: float = 16.0
     troubles: int = 5
     refuses: bool = True
-    terms: Terms = Terms(term=SECOND, longest=SECOND, drift=0.02, linger=SECOND // 5)
+    terms: LeaseTerms = LeaseTerms(term=SECOND, longest=SECOND, drift=0.02, linger=SECOND // 5)
 
 
 USUAL = Setting()
@@ -155,7 +154,7 @@
         for name, other in world.nodes.items():
             if other is not self._node:
                 there = world.sees(self._node, other)
-                standing = Standing.ALIVE if there else Standing.GONE
+                standing = MemberState.ALIVE if there else MemberState.GONE
                 state = "draining" if other.ending else "serving"
                 found[name] = Member(name, 1, standing=standing, state=state, program="1.0-a")
         return found
@@ -193,7 +192,7 @@
 
     def clock(self) -> int:
         """Its own, begun anew at no start: that of its machine."""
-        return int(self.world.clock.seconds() * self.rate * UNITS)
+        return int(self.world.clock.seconds() * self.rate * SECOND)
 
     def start(self) -> None:
         world = self.world
@@ -215,10 +214,10 @@
             self.leases.add(f"t{number}", self._began, lambda hold: None)
         self.leases.start()
 
-    def _began(self, hold: Hold) -> None:
+    def _began(self, hold: LeaseHolder) -> None:
         self._act(hold, hold.number)
 
-    def _act(self, hold: Hold, number: int) -> None:
+    def _act(self, hold: LeaseHolder, number: int) -> None:
         """A deed now and then. The process may freeze between its check and the deed itself."""
         leases, world = self.leases, self.world
         if leases is None or hold.number != number or hold.leaving or self.clock() >= hold.until:
@@ -228,7 +227,7 @@
             self.reactor.callLater(world.chance.uniform(0.0, 0.002), lambda: self._do(leases, hold, deed))
         self.reactor.callLater(DEED_S, self._act, hold, number)
 
-    def _do(self, leases: Leases, hold: Hold, deed: Deed) -> None:
+    def _do(self, leases: Leases, hold: LeaseHolder, deed: LeasedOperation) -> None:
         world, begun = self.world, self.world.now
         receiver = world.receivers[world.chance.randrange(len(world.receivers))]
 
@@ -264,10 +263,10 @@
     """Somebody that deeds are done to, and that refuses those of a holder that was followed."""
 
     def __init__(self, world: World, name: str) -> None:
-        self._world, self._gate = world, Gate()
+        self._world, self._gate = world, FencingGate()
         self._history = NodeHistory(world, name)
 
-    def take(self, deed: Deed, answer: Callable[[int], Any]) -> None:
+    def take(self, deed: LeasedOperation, answer: Callable[[int], Any]) -> None:
         told = deed.task, deed.number, deed.serial, deed.holder
         row: dict[str, Any] = {
             "task": deed.task,
@@ -290,7 +289,7 @@
     def __init__(self, seed: int, setting: Setting = USUAL) -> None:
         self.chance, self.setting, self.clock = random.Random(seed), setting, Clock()
         names = [f"m{number + 1}" for number in range(setting.managers)]
-        self.parts = Parts(Voters(1, tuple(names[: setting.voters])), terms=setting.terms)
+        self.parts = LeasesConfig(Voters(1, tuple(names[: setting.voters])), terms=setting.terms)
         half = setting.terms.drift / 2.1
         self.rows = list[dict[str, Any]]()
         self.nodes = {name: Node(self, name, 1.0 + self.chance.uniform(-half, half)) for name in names}
@@ -305,7 +304,7 @@
 
     @property
     def now(self) -> int:
-        return int(self.clock.seconds() * UNITS)
+        return int(self.clock.seconds() * SECOND)
 
     @property
     def sound(self) -> bool:
@@ -331,7 +330,7 @@
             if not result.called:
                 (result.callback if good else result.errback)(told)
 
-        one.reactor.callLater(patience_s, end, Unanswered(f"{name} did not answer"), False)
+        one.reactor.callLater(patience_s, end, NoReplyError(f"{name} did not answer"), False)
 
         def back(told: Any, good: bool, life: int) -> None:
             delay = self.delay(other, one)
@@ -346,7 +345,7 @@
             answer: Deferred[bytes] = maybeDeferred(handler, body)
             answer.addCallbacks(
                 lambda told: back(told, True, life),
-                lambda fault: back(Refused(fault.getErrorMessage()), False, life),
+                lambda fault: back(RequestRefusedError(fault.getErrorMessage()), False, life),
             )
 
         for _ in range(1 + (self.chance.random() < self.double)):
--- a/vanerelay/lab/model.py
+++ b/vanerelay/lab/model.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from vanerelay.interface import SECOND, Span
+from vanerelay.interface import SECOND, Duration
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,10 +18,10 @@
     `multiple` times its capacity of the moment within `window`, it falls over and is gone for `down`."""
 
     share: float = 0.3
-    warm: Span = 10 * SECOND
+    warm: Duration = 10 * SECOND
     multiple: float = 4.0
-    window: Span = 2 * SECOND
-    down: Span = 2 * SECOND
+    window: Duration = 2 * SECOND
+    down: Duration = 2 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/lab/rule_checker.py
+++ b/vanerelay/lab/rule_checker.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from vanerelay.interface import MILLISECOND, SECOND, Effect
+from vanerelay.interface import MILLISECOND, SECOND, Idempotency
 from vanerelay.lab.record import Row, What
 from vanerelay.lab.scenario import Group, Ration
 
@@ -110,7 +110,7 @@
     refused = list[Row]()
     for row in rows:
         group = site.groups.get(row.group)
-        if group is None or group.effect is Effect.REPEATABLE:
+        if group is None or group.effect is Idempotency.IDEMPOTENT:
             continue
         if row.what is What.ARRIVED:
             arrived[row.batch].append(row)
@@ -124,7 +124,7 @@
             refused.append(row)
     for batch, sends in arrived.items():
         group = site.groups[sends[0].group]
-        window = group.window + SOCKETS if group.effect is Effect.REFERENCED else -1
+        window = group.window + SOCKETS if group.effect is Idempotency.DEDUPLICATED else -1
         for place, send in enumerate(sends):
             before, to = list[Row](), Counter[str]()
             for one in sends[:place]:
@@ -140,10 +140,10 @@
                     send.manager,
                     f"sent to {send.engine} after it had gone to {before[0].engine}",
                 )
-        if group.effect is Effect.ONCE_ONLY and done[batch] > 1:
+        if group.effect is Idempotency.NON_IDEMPOTENT and done[batch] > 1:
             yield Finding(8, began[batch].at, batch, sends[0].manager, f"done {done[batch]} times")
     for row in refused:
-        if site.groups[row.group].effect is Effect.ONCE_ONLY and row.batch in began:
+        if site.groups[row.group].effect is Idempotency.NON_IDEMPOTENT and row.batch in began:
             yield Finding(
                 2,
                 row.at,
--- a/vanerelay/lab/scenario.py
+++ b/vanerelay/lab/scenario.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from vanerelay.interface import MILLISECOND, SECOND, Effect, Span
+from vanerelay.interface import MILLISECOND, SECOND, Duration, Idempotency
 from vanerelay.lab.model import Cold, Machine
 from vanerelay.operator_config import BadOptions, Block, read
 
@@ -23,13 +23,13 @@
     batches come 5 ms after each load of that group has ended, by another manager."""
 
     name: str
-    goal: Span
-    limit: Span
+    goal: Duration
+    limit: Duration
     rate: float
-    work: Span
+    work: Duration
     utility: float = 1.0
-    effect: Effect = Effect.REPEATABLE
-    window: Span = 0
+    effect: Idempotency = Idempotency.IDEMPOTENT
+    window: Duration = 0
     spread: float = 0.4
     memory: float = 100.0
     threads: int = 1
@@ -47,9 +47,9 @@
     `sessions`: that readers keep."""
 
     retries: int = 2
-    backoff: Span = 200 * MILLISECOND
+    backoff: Duration = 200 * MILLISECOND
     skew: float = 1.0
-    notice: Span = SECOND
+    notice: Duration = SECOND
     tables: int = 20
     sessions: int = 10
 
@@ -69,9 +69,9 @@
     locations: tuple[str, ...] = ("here",)
     refuses: bool = True
     copies: str = ""
-    lag: Span = 200 * MILLISECOND
+    lag: Duration = 200 * MILLISECOND
     keeps: int = 0
-    reading: Span = 0
+    reading: Duration = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
 
     name: str
     words: tuple[str, ...]
-    at: Span = 0
+    at: Duration = 0
     again: tuple[str, ...] = ()
     exits: int = -1
     files: tuple[Written, ...] = ()
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ration:
-    span: Span = 10 * SECOND
+    span: Duration = 10 * SECOND
     free: int = 10
     share: float = 0.1
 
@@ -140,21 +140,21 @@
     together is in WORDS."""
 
     name: str
-    at: Span
-    lasting: Span = 0
+    at: Duration
+    lasting: Duration = 0
     links: tuple[str, ...] = ()
     managers: str = ""
     engines: str = ""
     programs: str = ""
     do: str = ""
-    delay: Span = 0
-    jitter: Span = 0
+    delay: Duration = 0
+    jitter: Duration = 0
     rate: float = 0.0
     loss: float = 0.0
     factor: float = 1.0
     folder: str = "kept"
     release: str = ""
-    every: Span = 0
+    every: Duration = 0
     group: str = "*"
     settings: tuple[tuple[str, Any], ...] = ()
 
@@ -168,14 +168,14 @@
     name: str
     load: str
     group: str
-    at: Span
+    at: Duration
     first: int
     last: int
-    apart: Span = SECOND
-    every: Span = 0
+    apart: Duration = SECOND
+    every: Duration = 0
     rate: float = 10.0
-    half: Span = 4 * SECOND
-    noticed: Span = SECOND
+    half: Duration = 4 * SECOND
+    noticed: Duration = SECOND
     reads: bool = True
 
 
@@ -185,7 +185,7 @@
     reached within the goal, after `since`."""
 
     served: float = 0.0
-    since: Span = 0
+    since: Duration = 0
 
 
 # What `do` may say of what is named; the first word is what the block names it by.
@@ -214,7 +214,7 @@
 @dataclass(frozen=True, slots=True)
 class Script:
     name: str
-    length: Span
+    length: Duration
     groups: tuple[Group, ...]
     engines: tuple[Engines, ...]
     managers: Managers
@@ -227,8 +227,8 @@
     publications: tuple[Publication, ...]
     expected: Expected
     settings: tuple[tuple[str, Any], ...]
-    feed_late: Span  # how long after a change the feed has it to tell
-    quiet: Span  # after the load ends, until everything must have been answered
+    feed_late: Duration  # how long after a change the feed has it to tell
+    quiet: Duration  # after the load ends, until everything must have been answered
 
     def machine(self, kind: str) -> Machine:
         one = next(one for one in self.engines if one.kind == kind)
@@ -288,7 +288,7 @@
         raise document.wrong("no group, engines or managers, expected at least one of each")
     script = Script(
         name=document.take("name", str, Path(path).stem),
-        length=document.take("length", Span, 20 * SECOND),
+        length=document.take("length", Duration, 20 * SECOND),
         groups=groups,
         engines=engines,
         managers=_filled(managers, Managers, files=_files(managers)),
@@ -301,7 +301,7 @@
         publications=tuple(_filled(one, Publication, name=one.label) for one in document.all("publication")),
         expected=_one(document, "expect", Expected),
         settings=_settings(document),
-        feed_late=document.take("feed_late", Span, SECOND // 2),
+        feed_late=document.take("feed_late", Duration, SECOND // 2),
         quiet=max(group.limit for group in groups) + SECOND,
     )
     document.done()
--- a/vanerelay/lab/scenario_run.py
+++ b/vanerelay/lab/scenario_run.py
@@ -15,6 +15,7 @@
 
 from twisted.internet.defer import Deferred
 
+from vanerelay.clock import Clock
 from vanerelay.interface import SECOND
 from vanerelay.lab import rule_checker, schedule, site
 from vanerelay.lab.client_load import Load
@@ -25,7 +26,6 @@
 from vanerelay.lab.record import Record, What
 from vanerelay.lab.replication_model import Copies
 from vanerelay.lab.scenario import Fault, Program, Release, Script, repeated
-from vanerelay.net.clock import UNITS, Clock
 
 START_S = 60.0  # until all managers must be ready
 LOOK_S = 0.05  # between looks at the laboratory's own lateness
@@ -351,10 +351,10 @@
         self.slips.clear()
         self.load.begin()
         for fault in repeated(self.script):
-            self._reactor.callLater(fault.at / UNITS, self._strike, fault)
+            self._reactor.callLater(fault.at / SECOND, self._strike, fault)
         for program in self.script.programs:
-            self._reactor.callLater(program.at / UNITS, self._start_program, program, program.words)
-        self._reactor.callLater(self.script.length / UNITS, self._loaded)
+            self._reactor.callLater(program.at / SECOND, self._start_program, program, program.words)
+        self._reactor.callLater(self.script.length / SECOND, self._loaded)
         self._tell()
 
     def _start_program(self, program: Program, words: tuple[str, ...]) -> None:
@@ -381,7 +381,7 @@
     def _look(self) -> None:
         """The laboratory's own lateness, and the managers that the front does not use at the moment."""
         seconds = self._reactor.seconds()
-        late = int((seconds - self._look_at - LOOK_S) * UNITS)
+        late = int((seconds - self._look_at - LOOK_S) * SECOND)
         if late > LATE:
             self.slips.append((self.clock.now() - self.world.zero, late))
         self._look_at = seconds
@@ -406,7 +406,7 @@
     def _loaded(self) -> None:
         """No more comes; what is open may end."""
         if self.load.open:
-            self._limit = self._reactor.callLater(self.script.quiet / UNITS, self._end)
+            self._limit = self._reactor.callLater(self.script.quiet / SECOND, self._end)
             self._await_quiet()
         else:
             self._end()
@@ -474,7 +474,7 @@
             for name in self._named(fault.engines, self.engines):
                 self._strike_engine(fault, self.engines[name], True)
         if fault.lasting and fault.do != "load":
-            self._reactor.callLater(fault.lasting / UNITS, self._heal, fault)
+            self._reactor.callLater(fault.lasting / SECOND, self._heal, fault)
 
     def _heal(self, fault: Fault) -> None:
         self.world.add(What.FAULT, told=f"{fault.name} ends")
--- a/vanerelay/lab/site.py
+++ b/vanerelay/lab/site.py
@@ -5,11 +5,15 @@
 import copy
 from typing import Any
 
-from vanerelay.interface import Effect
+from vanerelay.interface import Idempotency
 from vanerelay.lab.scenario import Script
 
 MICROS = 100  # in the module's unit
-EFFECTS = {Effect.REPEATABLE: "pure", Effect.REFERENCED: "token", Effect.ONCE_ONLY: "side_effect"}
+EFFECTS = {
+    Idempotency.IDEMPOTENT: "pure",
+    Idempotency.DEDUPLICATED: "token",
+    Idempotency.NON_IDEMPOTENT: "side_effect",
+}
 
 
 def settings(script: Script, number: int, told: tuple[tuple[str, Any], ...] = ()) -> dict[str, Any]:
--- a/vanerelay/leases/assignment.py
+++ b/vanerelay/leases/assignment.py
@@ -12,8 +12,8 @@
 
 import xxhash
 
-from vanerelay.fleet.failure_detector import Member, Standing
-from vanerelay.interface import Span
+from vanerelay.fleet.failure_detector import Member, MemberState
+from vanerelay.interface import Duration
 
 SLACK = 1.25  # times its even share that a manager takes at most
 RANKS = 3  # managers that have an eye on a task: the first takes it, the others look whether it is held
@@ -73,7 +73,7 @@
     serving = [
         one
         for one in members
-        if one.standing in (Standing.ALIVE, Standing.SUSPECT)
+        if one.standing in (MemberState.ALIVE, MemberState.SUSPECT)
         and one.state == "serving"
         and (fit or one.name != own)
     ]
@@ -110,14 +110,14 @@
             if place == 0:
                 self.rests_until = now  # whom it was given up for is there no more
 
-    def wants(self, now: int, term: Span) -> bool:
+    def wants(self, now: int, term: Duration) -> bool:
         """Whether to ask for it now: the first at once, the others when their turn to look has come, as the
         first may be there and yet not reach the voters."""
         if self.place < 0 or now < self.rests_until or now < self.look_at:
             return False
         return self.place == 0 or now >= self.since + term * self.place
 
-    def asked(self, now: int, term: Span, left: int, draw: float) -> None:
+    def asked(self, now: int, term: Duration, left: int, draw: float) -> None:
         """It was asked for in vain: again when whoever holds it has let it run out. `left`: for how long it
         is held yet, 0 where a contest was lost or nothing came; `draw`: 0 to 1."""
         base = term // 10 if self.place == 0 else term * self.place // 2
@@ -130,13 +130,13 @@
     def took(self, now: int) -> None:
         self.held = now
 
-    def outlived(self, now: int, term: Span, sound: bool) -> bool:
+    def outlived(self, now: int, term: Duration, sound: bool) -> bool:
         """Whether what we hold is to be given up for one that has a better place. `sound`: whether nobody
         suspects that one to be gone."""
         since = max(self.since, self.held)
         return self.place != 0 and sound and now >= since + STEADY * self.doubts * term
 
-    def gave(self, now: int, term: Span) -> None:
+    def gave(self, now: int, term: Duration) -> None:
         """It was given back: others have the time to take it."""
         self.held, self.rests_until = -1, now + REST * term
         self.doubts = min(PATIENT, 2 * self.doubts) if self.place else 1
--- a/vanerelay/leases/config.py
+++ b/vanerelay/leases/config.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from vanerelay.interface import SECOND, Span
-from vanerelay.leases.voter import Terms, Voters
+from vanerelay.interface import SECOND, Duration
+from vanerelay.leases.voter import LeaseTerms, Voters
 from vanerelay.operator_config import Block
 
 SIZES = (3, 5, 7)
@@ -13,21 +13,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Chore:
+class MaintenanceTask:
     """A command that one manager sends to every engine. `every`: to each engine once in so long; `words`: the
     command, with @ID@, @TASK@, @NUMBER@, @SERIAL@, @HOLDER@ and @FROM@ filled in; `patience`: for an answer;
     `shards`: parts of the engines, a task each; `at_once`: orders of one shard that are out."""
 
     name: str
     words: tuple[str, ...]
-    every: Span = 60 * SECOND
-    patience: Span = 2 * SECOND
+    every: Duration = 60 * SECOND
+    patience: Duration = 2 * SECOND
     shards: int = 1
     at_once: int = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class LeasesConfig:
     """`voters` by name, `before` those that they take the place of, in a joint step; `folder`: where a voter
     remembers; `weights`: of managers, 0: one holds nothing; `history`: a file for the laboratory."""
 
@@ -35,11 +35,11 @@
     folder: str = ""
     weights: dict[str, float] = field(default_factory=dict)
     history: str = ""
-    terms: Terms = Terms()
-    chores: tuple[Chore, ...] = ()
+    terms: LeaseTerms = LeaseTerms()
+    chores: tuple[MaintenanceTask, ...] = ()
 
 
-def parts(block: Block) -> Parts:
+def read_config(block: Block) -> LeasesConfig:
     """Raises BadOptions with the line of what is wrong."""
     named = block.take("voters", tuple[str, ...], ())
     before = block.take("voters_before", tuple[str, ...], ())
@@ -49,21 +49,21 @@
             told = ", ".join(names) or "none"
             raise block.wrong(f"{word}: {told}, expected 3, 5 or 7 managers by name", word)
     pace = block.only("terms")
-    terms = pace.fill(Terms) if pace is not None else Terms()
+    terms = pace.fill(LeaseTerms) if pace is not None else LeaseTerms()
     if pace is not None and not SECOND // 10 <= terms.term <= terms.longest:
         raise pace.wrong("term: expected one of 100ms or more, and not past longest", "term")
     if pace is not None and not 0 < terms.drift < 1:
         raise pace.wrong(f"drift: {terms.drift}, expected a part between 0 and 1, such as 0.02", "drift")
     chores = tuple(_chore(one) for one in block.all("chore"))
-    found = block.fill(Parts, voters=Voters(version, named, before), terms=terms, chores=chores)
+    found = block.fill(LeasesConfig, voters=Voters(version, named, before), terms=terms, chores=chores)
     for one in (block, pace):
         if one is not None:
             one.done()
     return found
 
 
-def _chore(block: Block) -> Chore:
-    found = block.fill(Chore, name=block.label)
+def _chore(block: Block) -> MaintenanceTask:
+    found = block.fill(MaintenanceTask, name=block.label)
     block.done()
     if not found.name or "/" in found.name:
         raise block.wrong('chore: expected a name without "/", such as chore "refresh"')
--- a/vanerelay/leases/durable_store.py
+++ b/vanerelay/leases/durable_store.py
@@ -21,14 +21,14 @@
 log = structlog.get_logger()
 
 
-class Unkept(Exception):
+class StoreError(Exception):
     """It could not be kept; why, in one line."""
 
 
 Rows = dict[tuple[str, str], bytes | None]
 
 
-class Disk:
+class DurableStore:
     """Raises Unkept where the folder can't be used."""
 
     def __init__(self, reactor: Any, folder: str) -> None:
@@ -45,7 +45,7 @@
             self._base.execute(SCHEMA)
             self._base.execute("select count(*) from kept").fetchone()
         except (OSError, sqlite3.Error) as fault:
-            raise Unkept(f"{self._path}: {fault}") from None
+            raise StoreError(f"{self._path}: {fault}") from None
         self._pool = ThreadPool(0, 1, "disk")
         self._pool.start()
 
@@ -54,7 +54,7 @@
         try:
             rows = self._base.execute("select key, body from kept where space = ?", (space,)).fetchall()
         except sqlite3.Error as fault:
-            raise Unkept(f"{self._path}: {fault}") from None
+            raise StoreError(f"{self._path}: {fault}") from None
         return {str(key): bytes(body) for key, body in rows}
 
     def word(self, name: str) -> str:
@@ -73,7 +73,9 @@
         Unkept. Without records: once all put before are."""
         done: Deferred[None] = Deferred()
         if self._closed or len(self._waiting) + len(records) > WAITING_MOST:
-            done.errback(Unkept(f"{self._path}: " + ("closed" if self._closed else "too much waits for it")))
+            done.errback(
+                StoreError(f"{self._path}: " + ("closed" if self._closed else "too much waits for it"))
+            )
             return done
         self._waiting |= {(space, key): body for key, body in records.items()}
         self._calls.append(done)
@@ -88,7 +90,7 @@
         calls, self._calls = self._calls, []
         self._busy = True
 
-        def ended(fault: Unkept | None) -> None:
+        def ended(fault: StoreError | None) -> None:
             self._busy = False
             for call in calls:
                 (call.callback(None) if fault is None else call.errback(fault))
@@ -112,7 +114,7 @@
                     self._base.execute("insert or replace into kept values (?, ?, ?)", (space, key, body))
             self._base.execute("commit")
         except sqlite3.Error as wrong:
-            fault = Unkept(f"{self._path}: {wrong}")
+            fault = StoreError(f"{self._path}: {wrong}")
             try:
                 if self._base.in_transaction:
                     self._base.execute("rollback")
--- a/vanerelay/leases/fencing.py
+++ b/vanerelay/leases/fencing.py
@@ -10,14 +10,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from vanerelay.leases.voter import Claim, Terms
+from vanerelay.leases.voter import Claim, LeaseTerms
 
 MOST_DEEDS = 64  # of one task that are out at once
 MOST_GATES = 1000  # tasks whose numbers a receiver remembers
 
 
 @dataclass(frozen=True, slots=True)
-class Deed:
+class LeasedOperation:
     """What goes with whatever is done. `until`: by our own clock, when nobody may count on it any more."""
 
     task: str
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Hold:
+class LeaseHolder:
     """One task that may be ours."""
 
     task: str
@@ -40,7 +40,7 @@
     out: set[int] = field(default_factory=set)  # deeds that have not ended
     _serial: int = 0
 
-    def settle(self, now: int, claim: Claim, terms: Terms) -> bool:
+    def settle(self, now: int, claim: Claim, terms: LeaseTerms) -> bool:
         """What became of the claim; whether a new number is ours."""
         if not claim.holds(now):
             self.until = 0
@@ -56,15 +56,15 @@
     def may(self, now: int) -> bool:
         return not self.leaving and self.acts_from <= now < self.until
 
-    def begin(self, now: int, bound: int) -> Deed | None:
+    def begin(self, now: int, bound: int) -> LeasedOperation | None:
         """A deed that takes `bound` at most; None where it may not begin, as it might end after our term."""
         if not self.may(now) or now + bound >= self.until or len(self.out) >= MOST_DEEDS:
             return None
         self._serial += 1
         self.out.add(self._serial)
-        return Deed(self.task, self.number, self._serial, self.holder, self.until)
+        return LeasedOperation(self.task, self.number, self._serial, self.holder, self.until)
 
-    def end(self, deed: Deed) -> None:
+    def end(self, deed: LeasedOperation) -> None:
         if deed.number == self.number:
             self.out.discard(deed.serial)
 
@@ -86,7 +86,7 @@
     serial: int
 
 
-class Gate:
+class FencingGate:
     """A receiver's part: deeds of a holder that was followed, and late or doubled ones, are refused."""
 
     def __init__(self, kept: Mapping[str, Passed] | None = None) -> None:
--- a/vanerelay/leases/maintenance_runner.py
+++ b/vanerelay/leases/maintenance_runner.py
@@ -9,58 +9,56 @@
 
 import xxhash
 
-from vanerelay.extension import Host
-from vanerelay.interface import Condition
+from vanerelay.attempt_outcome import AttemptEnd, EndCause
+from vanerelay.extension import ExtensionHost
+from vanerelay.interface import SECOND, EngineStatus
 from vanerelay.leases import maintenance_schedule
-from vanerelay.leases.config import Chore
-from vanerelay.leases.fencing import Deed, Hold
-from vanerelay.leases.maintenance_schedule import Rounds
+from vanerelay.leases.config import MaintenanceTask
+from vanerelay.leases.fencing import LeasedOperation, LeaseHolder
+from vanerelay.leases.maintenance_schedule import MaintenanceSchedule
 from vanerelay.leases.service import Leases
-from vanerelay.net.attempt_outcome import Cause, End
-from vanerelay.net.clock import UNITS
-from vanerelay.query_table import conditions
 
 LOOK_S = 0.1
 
 
-class Chat:
+class MaintenanceDialog:
     """What a subsystem makes of the answers to its orders; all calls empty here."""
 
-    def began(self, hold: Hold) -> None:
+    def began(self, hold: LeaseHolder) -> None:
         """The shard is ours."""
 
-    def heard(self, engine: str, at: int, end: End) -> str | None:
+    def heard(self, engine: str, at: int, end: AttemptEnd) -> str | None:
         """An answer to what was begun `at`, by leases' clock; words with which it is asked on at once."""
         return None
 
 
-class Doing:
+class MaintenanceRunner:
     """One shard of one chore: sends what is due, as long as the lease is ours."""
 
     def __init__(
         self,
-        host: Host,
+        host: ExtensionHost,
         leases: Leases,
-        chore: Chore,
+        chore: MaintenanceTask,
         shard: int,
-        chat: Chat | None = None,
-        bears: Callable[[Condition], bool] = maintenance_schedule.bears,
+        chat: MaintenanceDialog | None = None,
+        bears: Callable[[EngineStatus], bool] = maintenance_schedule.bears,
     ) -> None:
         """`bears`: engines that may be sent orders of this chore."""
-        self._chat, self._bears = chat or Chat(), bears
+        self._chat, self._bears = chat or MaintenanceDialog(), bears
         self._host, self._leases, self._chore, self._shard = host, leases, chore, shard
         self.name = name = chore.name if chore.shards == 1 else f"{chore.name}/{shard}"
-        self._rounds = Rounds(chore.every, chore.at_once)
+        self._rounds = MaintenanceSchedule(chore.every, chore.at_once)
         self._timer: Any = None
         self.hold = leases.add(name, self._began, self._ended)
 
-    def _began(self, hold: Hold) -> None:
+    def _began(self, hold: LeaseHolder) -> None:
         self._rounds.begin(self._leases.clock())
         self._chat.began(hold)
         self.stop()
         self._turn()
 
-    def _ended(self, hold: Hold) -> None:
+    def _ended(self, hold: LeaseHolder) -> None:
         self.stop()
 
     def stop(self) -> None:
@@ -73,7 +71,9 @@
         if not self.hold.may(self._leases.clock()):
             return
         there = {
-            one.entry.name: one.entry.engine for one in conditions(self._host.gateway) if self._bears(one)
+            one.entry.name: one.entry.index
+            for one in self._host.gateway.engine_statuses()
+            if self._bears(one)
         }
         mine = sorted(
             name for name in there if maintenance_schedule.shard(name, self._chore.shards) == self._shard
@@ -102,17 +102,23 @@
                 word = word.replace(sign, value)
             told.append(word.encode())
         begun = self._leases.history.now()
-        sent = self._host.order(engine, told, ident.encode(), self._chore.patience / UNITS)
+        sent = self._host.send_command(engine, told, ident.encode(), self._chore.patience / SECOND)
         sent.addCallback(self._answered, name, deed, begun, at, partial(self._send, name, engine))
         return True
 
     def _answered(
-        self, end: End, name: str, deed: Deed, begun: int, at: int, again: Callable[[str, int], bool]
+        self,
+        end: AttemptEnd,
+        name: str,
+        deed: LeasedOperation,
+        begun: int,
+        at: int,
+        again: Callable[[str, int], bool],
     ) -> None:
         self.hold.end(deed)
         more = self._chat.heard(name, at, end)
         if more is None or not again(more, at):
-            good = end.cause is Cause.OK and more is None
+            good = end.cause is EndCause.OK and more is None
             self._rounds.ended(self._leases.clock(), name, good)
         self._leases.history.add(
             "deed",
@@ -124,6 +130,6 @@
             receiver=name,
             result=end.cause.name.lower(),
         )
-        later = end.told.get("number", "")
-        if end.cause is Cause.ERR and later.isdecimal() and len(later) < 20:
+        later = end.fields.get("number", "")
+        if end.cause is EndCause.ERROR and later.isdecimal() and len(later) < 20:
             self._leases.behind(deed, int(later))
--- a/vanerelay/leases/maintenance_schedule.py
+++ b/vanerelay/leases/maintenance_schedule.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from vanerelay.interface import Condition, EngineState, Span
+from vanerelay.interface import Duration, EngineState, EngineStatus
 
 AGAIN = 4  # a part of the interval after which an engine that did not answer is told once more
 SPARE = 1.5  # times the even pace at which orders leave: after a change of holder all are due at once
@@ -18,16 +18,16 @@
     return int(xxhash.xxh3_64_intdigest(engine.encode()) % shards)
 
 
-def bears(condition: Condition) -> bool:
+def bears(condition: EngineStatus) -> bool:
     """Whether an engine may be sent orders: listed and serving (rule 3), sound, not cold (rule 4)."""
-    return condition.entry.state is EngineState.UP and condition.sound and condition.warm
+    return condition.entry.state is EngineState.UP and condition.usable and condition.warmed_up
 
 
 @dataclass(slots=True)
-class Rounds:
+class MaintenanceSchedule:
     """One shard of one chore at the manager that holds it."""
 
-    every: Span
+    every: Duration
     at_once: int
     due: dict[str, int] = field(default_factory=dict)  # when each engine is to be told next
     out: set[str] = field(default_factory=set)
--- a/vanerelay/leases/messages.py
+++ b/vanerelay/leases/messages.py
@@ -4,10 +4,21 @@
 
 import msgspec
 
-from vanerelay.fleet.messages import LONGEST, pack, unpack
-from vanerelay.leases.voter import Ballot, Grant, Reply, Said, Slot
-
-__all__ = ["AT_ONCE", "LONGEST", "Answer", "Ask", "Replied", "Row", "Told", "View", "pack", "unpack"]
+from vanerelay.fleet.messages import MAX_MESSAGE_BYTES, decode, encode
+from vanerelay.leases.voter import Ballot, Grant, Reply, VoterAnswer, VoterRecord
+
+__all__ = [
+    "AT_ONCE",
+    "MAX_MESSAGE_BYTES",
+    "Answer",
+    "Ask",
+    "Replied",
+    "Row",
+    "Told",
+    "View",
+    "encode",
+    "decode",
+]
 
 AT_ONCE = 200  # tasks asked for in one message: its answer stays under what a message may be
 
@@ -24,7 +35,7 @@
 
 
 class Replied(msgspec.Struct, frozen=True, array_like=True):
-    said: Said
+    said: VoterAnswer
     grant: Grant
     left: int
     promised: Ballot
@@ -40,8 +51,8 @@
     promised: Ballot
     grant: Grant
 
-    def slot(self) -> Slot:
-        return Slot(self.promised, self.grant)
+    def slot(self) -> VoterRecord:
+        return VoterRecord(self.promised, self.grant)
 
 
 class Answer(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/vanerelay/leases/service.py
+++ b/vanerelay/leases/service.py
@@ -12,19 +12,18 @@
 import structlog
 from twisted.internet.defer import Deferred, fail
 
-from vanerelay.fleet.failure_detector import Standing
-from vanerelay.fleet.rpc import Refused, Unanswered, Unknown
+from vanerelay.fleet.failure_detector import MemberState
+from vanerelay.fleet.rpc import NoReplyError, RequestRefusedError, UnknownKindError
 from vanerelay.fleet.service import Fleet
 from vanerelay.history import History
-from vanerelay.interface import MILLISECOND
+from vanerelay.interface import MILLISECOND, SECOND
 from vanerelay.leases import assignment, messages
 from vanerelay.leases.assignment import Watch
-from vanerelay.leases.config import Parts
-from vanerelay.leases.durable_store import Disk
-from vanerelay.leases.fencing import Deed, Hold
-from vanerelay.leases.voter import ERA, Claim, Said, Stage
-from vanerelay.leases.voter_service import Voting
-from vanerelay.net.clock import UNITS
+from vanerelay.leases.config import LeasesConfig
+from vanerelay.leases.durable_store import DurableStore
+from vanerelay.leases.fencing import LeasedOperation, LeaseHolder
+from vanerelay.leases.voter import ERA, Claim, Stage, VoterAnswer
+from vanerelay.leases.voter_service import VoterService
 
 RENEWALS = 3  # in a term
 TURNS = 20  # in a term
@@ -45,9 +44,9 @@
     """`began` and `ended` are told that deeds may begin, and that they may not any more."""
 
     name: str
-    hold: Hold
-    began: Callable[[Hold], None]
-    ended: Callable[[Hold], None]
+    hold: LeaseHolder
+    began: Callable[[LeaseHolder], None]
+    ended: Callable[[LeaseHolder], None]
     watch: Watch = field(default_factory=Watch)
     claim: Claim = field(default_factory=Claim)
     renewed: int = 0
@@ -62,10 +61,10 @@
         self,
         reactor: Any,
         fleet: Fleet,
-        parts: Parts,
+        parts: LeasesConfig,
         chance: random.Random,
         process: int,
-        disk: Disk | None,
+        disk: DurableStore | None,
         clock: Callable[[], int] = boottime,
     ) -> None:
         """`process`: drawn for this process alone; `disk`: where it votes, what it remembers by. Raises
@@ -79,14 +78,16 @@
         self._firsts = dict[str, str]()  # who has the first claim on each task
         self._seen: tuple[Any, ...] = ()
         self._leaving = self._stopped = False
-        self.voting: Voting | None = None
+        self.voting: VoterService | None = None
         if disk is not None:
-            self.voting = Voting(reactor, self.name, parts.terms, parts.voters, disk, clock, self._ask)
+            self.voting = VoterService(reactor, self.name, parts.terms, parts.voters, disk, clock, self._ask)
         fleet.links.handlers |= {"lease": self._asked, "lease-free": self._freed, "leases": self._viewed}
 
-    def add(self, name: str, began: Callable[[Hold], None], ended: Callable[[Hold], None]) -> Hold:
+    def add(
+        self, name: str, began: Callable[[LeaseHolder], None], ended: Callable[[LeaseHolder], None]
+    ) -> LeaseHolder:
         """A task of the fleet; every manager adds the same ones."""
-        hold = Hold(name, f"{self.name}/{self._process:x}")
+        hold = LeaseHolder(name, f"{self.name}/{self._process:x}")
         self.tasks[name] = Task(name, hold, began, ended)
         return hold
 
@@ -98,7 +99,7 @@
     def _turn(self) -> None:
         if self._stopped:
             return
-        self._reactor.callLater(self.parts.terms.term / TURNS / UNITS, self._turn)
+        self._reactor.callLater(self.parts.terms.term / TURNS / SECOND, self._turn)
         now, term = self.clock(), self.parts.terms.term
         self._place(now)
         prepares, accepts = list[Task](), list[tuple[Task, int]]()
@@ -133,7 +134,7 @@
 
     def _leaves(self, task: Task, now: int) -> bool:
         first = self._fleet.alive.members.get(self._firsts.get(task.name, ""))
-        sound = first is not None and first.standing is Standing.ALIVE
+        sound = first is not None and first.standing is MemberState.ALIVE
         return (
             task.hold.leaving or not self._fit(now) or task.watch.outlived(now, self.parts.terms.term, sound)
         )
@@ -159,17 +160,17 @@
         if voter == self.name and self.voting is not None:
             try:
                 return self.voting.answer(ask)
-            except Refused as fault:
+            except RequestRefusedError as fault:
                 return fail(fault)
-        patience_s = self.parts.terms.term / RENEWALS / UNITS
+        patience_s = self.parts.terms.term / RENEWALS / SECOND
 
         def read(body: bytes) -> messages.Answer:
-            told = messages.unpack(body, messages.Answer)
+            told = messages.decode(body, messages.Answer)
             if told is None:
-                raise Refused("unreadable")
+                raise RequestRefusedError("unreadable")
             return told
 
-        return self._fleet.ask(voter, "lease", messages.pack(ask), patience_s).addCallback(read)
+        return self._fleet.ask(voter, "lease", messages.encode(ask), patience_s).addCallback(read)
 
     def _send(self, ask: messages.Ask, heard: Callable[[str, messages.Answer], None]) -> None:
         for voter in self.parts.voters.all:
@@ -187,7 +188,7 @@
     @staticmethod
     def _unheard(failure: Any) -> None:
         """Nothing came, or the voter will not: a majority of the others may do."""
-        failure.trap(Unknown, Refused, Unanswered)
+        failure.trap(UnknownKindError, RequestRefusedError, NoReplyError)
 
     def _prepare(self, asking: list[Task]) -> None:
         for first in range(0, len(asking), messages.AT_ONCE):
@@ -206,7 +207,7 @@
                         ready.append((task, 0))
                     elif task.claim.vain(voters) and not task.claim.holds(now):
                         # Another holds it, or asks at the same time: one of us has to come again later.
-                        left = one.left if one.said is Said.HELD else 0
+                        left = one.left if one.said is VoterAnswer.HELD else 0
                         task.watch.asked(now, terms.term, left, self._chance.random())
                         task.claim = task.claim.ended(now)
                 self._accept(ready)
@@ -294,7 +295,7 @@
 
         self._send(messages.Ask(self.parts.voters.version, accepts=[(task.name, grant)]), heard)
 
-    def behind(self, deed: Deed, number: int) -> None:
+    def behind(self, deed: LeasedOperation, number: int) -> None:
         """A receiver has seen a higher number than ours: another acts, and what we hold is worth nothing."""
         task = self.tasks[deed.task]
         self._floors[deed.task] = max(self._floors.get(deed.task, 0), number)
@@ -317,7 +318,7 @@
                 if task.claim.stage is Stage.HOLDING:
                     self._give_back(task, now)
             left = [task for task in held if task.claim.holds(now)]
-            if left and now - since < LEAVE_S * UNITS:
+            if left and now - since < LEAVE_S * SECOND:
                 self._reactor.callLater(LEAVE_S / TURNS, look)
             elif held and self.parts.voters.all:
                 self._reactor.callLater(LEAVE_S / TURNS, done.callback, None)  # what was written leaves
@@ -335,10 +336,10 @@
     # What others ask.
 
     def _asked(self, body: bytes) -> Deferred[bytes]:
-        ask = messages.unpack(body, messages.Ask)
+        ask = messages.decode(body, messages.Ask)
         if ask is None or self.voting is None or self._stopped:
-            raise Refused("unreadable" if ask is None else "this manager does not vote")
-        return self.voting.answer(ask).addCallback(messages.pack)
+            raise RequestRefusedError("unreadable" if ask is None else "this manager does not vote")
+        return self.voting.answer(ask).addCallback(messages.encode)
 
     def _freed(self, body: bytes) -> bytes:
         task = self.tasks.get(body.decode(errors="replace"))
@@ -362,7 +363,7 @@
         ]
         voting = self.voting
         memory, why = (voting.voter.memory.value, voting.why) if voting is not None else ("", "")
-        return messages.pack(
+        return messages.encode(
             messages.View(
                 self.name,
                 list(voters.now),
--- a/vanerelay/leases/voter.py
+++ b/vanerelay/leases/voter.py
@@ -20,7 +20,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from vanerelay.interface import SECOND, Span
+from vanerelay.interface import SECOND, Duration
 
 ERA = 2**32  # numbers of one era; a later era is past all numbers of those before
 MOST_TASKS = 500  # that a voter remembers; one more is refused
@@ -46,15 +46,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTerms:
     """`term`: how long a lease lasts unless renewed; `longest`: that any manager may ask for, and how long a
     voter without memory keeps silent; `drift`: how much faster one clock may run than another, at most;
     `linger`: for how long a deed may still arrive after its holder's term, at receivers that can't refuse."""
 
-    term: Span = 10 * SECOND
-    longest: Span = 30 * SECOND
+    term: Duration = 10 * SECOND
+    longest: Duration = 30 * SECOND
     drift: float = 0.02
-    linger: Span = 2 * SECOND
+    linger: Duration = 2 * SECOND
 
     def held(self, term: int) -> int:
         """For how long a holder may act, by its own clock, counted from the asking."""
@@ -84,7 +84,7 @@
         return 2 * len(set(names) & set(one)) > len(one)
 
 
-class Said(Enum):
+class VoterAnswer(Enum):
     """What a voter answers."""
 
     YES = "yes"
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Slot:
+class VoterRecord:
     """What a voter remembers of one task. `until`: by its own clock; it is not kept, the rest is."""
 
     promised: Ballot = Ballot()
@@ -106,30 +106,32 @@
 class Reply:
     """`grant`: the last that was accepted; `left`: how long it still holds; `promised`: the highest."""
 
-    said: Said
+    said: VoterAnswer
     grant: Grant = Grant()
     left: int = 0
     promised: Ballot = Ballot()
 
 
-def prepare(slot: Slot, now: int, ballot: Ballot) -> tuple[Slot, Reply]:
+def prepare(slot: VoterRecord, now: int, ballot: Ballot) -> tuple[VoterRecord, Reply]:
     """The answer to one that wants the lease under a ballot; what it changes is kept before it is said."""
     grant, left = slot.grant, max(0, slot.until - now)
     if left and grant.holder and (grant.holder, grant.process) != (ballot.name, ballot.process):
-        return slot, Reply(Said.HELD, grant, left, slot.promised)
+        return slot, Reply(VoterAnswer.HELD, grant, left, slot.promised)
     if ballot <= slot.promised:
-        return slot, Reply(Said.LATER, grant, left, slot.promised)
-    return replace(slot, promised=ballot), Reply(Said.YES, grant, left, ballot)
+        return slot, Reply(VoterAnswer.LATER, grant, left, slot.promised)
+    return replace(slot, promised=ballot), Reply(VoterAnswer.YES, grant, left, ballot)
 
 
-def accept(slot: Slot, now: int, grant: Grant) -> tuple[Slot, Reply]:
+def accept(slot: VoterRecord, now: int, grant: Grant) -> tuple[VoterRecord, Reply]:
     """The answer to one that has a majority's promises, renews or gives back; kept before it is said."""
     if grant.ballot < slot.promised:
-        return slot, Reply(Said.LATER, slot.grant, max(0, slot.until - now), slot.promised)
-    return Slot(grant.ballot, grant, now + grant.term if grant.holder else 0), Reply(Said.YES, grant)
+        return slot, Reply(VoterAnswer.LATER, slot.grant, max(0, slot.until - now), slot.promised)
+    return VoterRecord(grant.ballot, grant, now + grant.term if grant.holder else 0), Reply(
+        VoterAnswer.YES, grant
+    )
 
 
-class Memory(Enum):
+class VoterMemory(Enum):
     """How it stands with what a voter remembers."""
 
     SILENT = "silent"  # it lost its memory: it waits until whatever it said is over
@@ -143,16 +145,16 @@
 
     era: int = 0
     version: int = 0
-    slots: Mapping[str, Slot] = field(default_factory=dict)
+    slots: Mapping[str, VoterRecord] = field(default_factory=dict)
 
 
 class Voter:
     """One voter's part in all leases. `fresh` names what has to be on disk before the answer leaves."""
 
-    def __init__(self, name: str, terms: Terms, voters: Voters, kept: Kept | None, now: int) -> None:
+    def __init__(self, name: str, terms: LeaseTerms, voters: Voters, kept: Kept | None, now: int) -> None:
         """`kept`: of before; None where there is nothing, and it keeps silent first."""
         self.name, self.terms, self.voters = name, terms, voters
-        self.memory = Memory.KNOWS if kept is not None else Memory.SILENT
+        self.memory = VoterMemory.KNOWS if kept is not None else VoterMemory.SILENT
         self.era, self.version = (kept.era, kept.version) if kept is not None else (0, 0)
         self._silent_until = now + terms.longest
         # A clock that began anew says nothing of terms that ran: they begin again.
@@ -168,19 +170,21 @@
 
     def read(self, now: int, task: str) -> Reply:
         """What it knows, for those who only look."""
-        slot = self.slots.get(task, Slot())
-        return Reply(Said.YES, slot.grant, max(0, slot.until - now), slot.promised)
+        slot = self.slots.get(task, VoterRecord())
+        return Reply(VoterAnswer.YES, slot.grant, max(0, slot.until - now), slot.promised)
 
-    def _ask(self, version: int, task: str, of: Callable[[Slot], tuple[Slot, Reply]], term: int) -> Reply:
+    def _ask(
+        self, version: int, task: str, of: Callable[[VoterRecord], tuple[VoterRecord, Reply]], term: int
+    ) -> Reply:
         if (
-            self.memory is not Memory.KNOWS
+            self.memory is not VoterMemory.KNOWS
             or version < self.version
             or term > self.terms.longest
             or task not in self.slots
             and len(self.slots) >= MOST_TASKS
         ):
-            return Reply(Said.REFUSED)
-        slot, reply = of(self.slots.get(task, Slot()))
+            return Reply(VoterAnswer.REFUSED)
+        slot, reply = of(self.slots.get(task, VoterRecord()))
         if slot != self.slots.get(task):
             self.slots[task] = slot
             self.fresh.add(task)
@@ -196,27 +200,27 @@
 
     def wakes(self, now: int) -> bool:
         """Whether it is time to ask the others."""
-        if self.memory is Memory.SILENT and now >= self._silent_until:
-            self.memory = Memory.BLANK
-        return self.memory is Memory.BLANK
+        if self.memory is VoterMemory.SILENT and now >= self._silent_until:
+            self.memory = VoterMemory.BLANK
+        return self.memory is VoterMemory.BLANK
 
     def learns(self, now: int, told: Mapping[str, Kept]) -> bool:
         """What others that know remember, by their names; whether it is enough to vote again."""
         others = {name: kept for name, kept in told.items() if name != self.name}
-        if self.memory is not Memory.BLANK or not self.voters.remembers(others):
+        if self.memory is not VoterMemory.BLANK or not self.voters.remembers(others):
             return False
         for kept in others.values():
             self.era, self.version = max(self.era, kept.era), max(self.version, kept.version)
             for task, slot in kept.slots.items():
-                self.slots[task] = _later(self.slots.get(task, Slot()), slot, now)
+                self.slots[task] = _later(self.slots.get(task, VoterRecord()), slot, now)
         self._know()
         return True
 
     def found(self, era: int, heard: int) -> str | None:
         """An operator says that nobody remembers, and numbers go on in a later era; why not. `heard`: the
         latest era that anybody tells of."""
-        if self.memory is not Memory.BLANK:
-            return "it is silent yet" if self.memory is Memory.SILENT else "it knows"
+        if self.memory is not VoterMemory.BLANK:
+            return "it is silent yet" if self.memory is VoterMemory.SILENT else "it knows"
         if era <= max(heard, self.era):
             return f"era {era}, expected one after {max(heard, self.era)}"
         self.era = era
@@ -224,15 +228,15 @@
         return None
 
     def _know(self) -> None:
-        self.memory = Memory.KNOWS
+        self.memory = VoterMemory.KNOWS
         self.version = max(self.version, self.voters.version)
         self.fresh |= set(self.slots)
 
 
-def _later(mine: Slot, theirs: Slot, now: int) -> Slot:
+def _later(mine: VoterRecord, theirs: VoterRecord, now: int) -> VoterRecord:
     """The later of what two remember; held, as far as is known, from now on."""
     grant = max(mine.grant, theirs.grant, key=lambda one: one.ballot)
-    return Slot(max(mine.promised, theirs.promised), grant, now + grant.term if grant.holder else 0)
+    return VoterRecord(max(mine.promised, theirs.promised), grant, now + grant.term if grant.holder else 0)
 
 
 class Stage(Enum):
@@ -288,14 +292,21 @@
         )
 
     def promised(
-        self, now: int, voter: str, ballot: Ballot, reply: Reply, voters: Voters, terms: Terms, floor: int
+        self,
+        now: int,
+        voter: str,
+        ballot: Ballot,
+        reply: Reply,
+        voters: Voters,
+        terms: LeaseTerms,
+        floor: int,
     ) -> Claim:
         """A voter's answer. With the last that is wanted `grant` is to be accepted by all. `floor`: a number
         that a new one has to be past, of the era and of what receivers are known to have seen."""
         claim = replace(self, seen=max(self.seen, reply.promised.round))
         if self.stage is not Stage.ASKING or ballot != self.ballot:
             return claim
-        if reply.said is not Said.YES:
+        if reply.said is not VoterAnswer.YES:
             return replace(claim, no=self.no | {voter})
         if now >= self.asked + terms.held(terms.term):
             return claim.ended(now)
@@ -328,15 +339,15 @@
         return replace(self, rounds=(*self.rounds, Round(serial, now))[-ROUNDS:]), serial
 
     def taken(
-        self, voter: str, ballot: Ballot, serial: int, reply: Reply, voters: Voters, terms: Terms
+        self, voter: str, ballot: Ballot, serial: int, reply: Reply, voters: Voters, terms: LeaseTerms
     ) -> Claim:
         """A voter's answer to an acceptance: the first, or a renewal."""
         claim = replace(self, seen=max(self.seen, reply.promised.round))
         if ballot != self.ballot or self.stage not in (Stage.TAKING, Stage.HOLDING):
             return claim
-        if reply.said is Said.LATER:
+        if reply.said is VoterAnswer.LATER:
             return replace(claim, over=True)
-        if reply.said is not Said.YES:
+        if reply.said is not VoterAnswer.YES:
             return claim
         rounds, until, stage = list(self.rounds), self.until, self.stage
         for place, one in enumerate(rounds):
--- a/vanerelay/leases/voter_service.py
+++ b/vanerelay/leases/voter_service.py
@@ -10,10 +10,10 @@
 import structlog
 from twisted.internet.defer import Deferred, DeferredList
 
-from vanerelay.fleet.rpc import Refused
+from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.leases import messages
-from vanerelay.leases.durable_store import Disk, Unkept
-from vanerelay.leases.voter import Kept, Memory, Slot, Terms, Voter, Voters
+from vanerelay.leases.durable_store import DurableStore, StoreError
+from vanerelay.leases.voter import Kept, LeaseTerms, Voter, VoterMemory, VoterRecord, Voters
 
 SPACE, META = "votes", "meta"
 FOUND = "found"  # a file in the folder, an operator's word: the era in which numbers go on from nothing
@@ -22,16 +22,16 @@
 log = structlog.get_logger()
 
 
-class Voting:
+class VoterService:
     """`ask` puts a question to another voter by name; `clock` is the one that leases count by."""
 
     def __init__(
         self,
         reactor: Any,
         name: str,
-        terms: Terms,
+        terms: LeaseTerms,
         voters: Voters,
-        disk: Disk,
+        disk: DurableStore,
         clock: Callable[[], int],
         ask: Callable[[str, messages.Ask], Deferred[messages.Answer]],
     ) -> None:
@@ -40,7 +40,7 @@
         self.voter = Voter(name, terms, voters, self._kept(), clock())
         self._stopped, self.why = False, ""
         self._meta = False  # era and version are to be kept with the next answer
-        if self.voter.memory is Memory.SILENT:
+        if self.voter.memory is VoterMemory.SILENT:
             log.warning("nothing is remembered of leases: silent first", for_s=terms.longest / 10_000)
             self._look()
         else:
@@ -48,12 +48,12 @@
 
     def _kept(self) -> Kept | None:
         told = self._disk.load(SPACE)
-        meta = messages.unpack(told.pop(META, b""), tuple[int, int])
+        meta = messages.decode(told.pop(META, b""), tuple[int, int])
         if meta is None:
             return None
-        slots = dict[str, Slot]()
+        slots = dict[str, VoterRecord]()
         for task, body in told.items():
-            found = messages.unpack(body, messages.Told)
+            found = messages.decode(body, messages.Told)
             if found is None:
                 return None  # what can't be read was promised to somebody all the same
             slots[task] = found.slot()
@@ -63,16 +63,16 @@
         """Fails with Refused where it can't be kept."""
         voter, now = self.voter, self._clock()
         if len(ask.prepares) + len(ask.accepts) > messages.AT_ONCE:
-            raise Refused("too many tasks at once")
+            raise RequestRefusedError("too many tasks at once")
         slots, more = list[messages.Told](), False
-        news = ask.memory and voter.memory is Memory.KNOWS and voter.fence(ask.version)
+        news = ask.memory and voter.memory is VoterMemory.KNOWS and voter.fence(ask.version)
         prepares = [
             messages.replied(voter.prepare(now, ask.version, task, ballot)) for task, ballot in ask.prepares
         ]
         accepts = [
             messages.replied(voter.accept(now, ask.version, task, grant)) for task, grant in ask.accepts
         ]
-        if ask.memory and voter.memory is Memory.KNOWS:
+        if ask.memory and voter.memory is VoterMemory.KNOWS:
             named = sorted(task for task in voter.slots if task > ask.after)
             more = len(named) > messages.AT_ONCE
             slots = [
@@ -89,20 +89,20 @@
         meta = self._meta
         for task in fresh:
             slot = voter.slots[task]
-            records[task] = messages.pack(messages.Told(task, slot.promised, slot.grant))
+            records[task] = messages.encode(messages.Told(task, slot.promised, slot.grant))
         voter.fresh.clear()
         self._meta = False
         if meta:
             records[META] = msgspec.msgpack.encode((voter.era, voter.version))
 
         def unkept(fault: Any) -> Any:
-            fault.trap(Unkept)
+            fault.trap(StoreError)
             voter.fresh |= fresh  # to be kept before anything else is said
             self._meta = self._meta or meta
             if str(fault.value) != self.why:
                 self.why = str(fault.value)
                 log.error("votes can't be kept, and are not given", why=self.why)
-            raise Refused(self.why)
+            raise RequestRefusedError(self.why)
 
         def kept(_: Any) -> None:
             self.why = ""
@@ -112,7 +112,7 @@
     # After its memory was lost.
 
     def _look(self) -> None:
-        if self._stopped or self.voter.memory is Memory.KNOWS:
+        if self._stopped or self.voter.memory is VoterMemory.KNOWS:
             return
         if not self.voter.wakes(self._clock()):
             self._reactor.callLater(LOOK_S, self._look)
@@ -122,7 +122,7 @@
 
     def _whole(self, name: str) -> Deferred[tuple[int, Kept | None]]:
         """All that another remembers, page by page: the era it tells of, and None where it remembers none."""
-        slots = dict[str, Slot]()
+        slots = dict[str, VoterRecord]()
         done: Deferred[tuple[int, Kept | None]] = Deferred()
 
         def page(after: str) -> None:
@@ -133,7 +133,7 @@
             slots.update((one.task, one.slot()) for one in told.slots)
             if told.more and told.slots:
                 page(told.slots[-1].task)
-            elif told.memory == Memory.KNOWS.value:
+            elif told.memory == VoterMemory.KNOWS.value:
                 done.callback((told.era, Kept(told.era, told.version, slots)))
             else:
                 done.callback((told.era, None))
--- a/vanerelay/membership/commands.py
+++ b/vanerelay/membership/commands.py
@@ -9,8 +9,8 @@
 
 import click
 
+from vanerelay.engine_list import ListedEngine
 from vanerelay.membership import control_socket, list_codec
-from vanerelay.net.discovery_codec import Member
 
 SOCKET = click.option(
     "--socket",
@@ -127,16 +127,25 @@
     sys.exit(1 if rows else 0)
 
 
-def _differences(old: Mapping[str, Member], new: Mapping[str, Member]) -> Iterable[dict[str, Any]]:
+FIELD_LABELS = {"zone": "location", "machine_kind": "kind", "started_at": "started"}
+"""How the output of `members diff` names fields whose names in the code are others."""
+
+
+def _differences(
+    old: Mapping[str, ListedEngine], new: Mapping[str, ListedEngine]
+) -> Iterable[dict[str, Any]]:
     for name in sorted(old.keys() | new.keys()):
         if name not in new:
             yield {"change": "-", "id": name, "what": old[name].address}
         elif name not in old:
             yield {"change": "+", "id": name, "what": new[name].address}
         elif old[name] != new[name]:
-            fields = [f for f in Member.__slots__ if getattr(old[name], f) != getattr(new[name], f)]
-            told = (f"{f} {_plain(getattr(old[name], f))} to {_plain(getattr(new[name], f))}" for f in fields)
-            yield {"change": "~", "id": name, "what": ", ".join(told)}
+            fields = [f for f in ListedEngine.__slots__ if getattr(old[name], f) != getattr(new[name], f)]
+            changes = (
+                f"{FIELD_LABELS.get(f, f)} {_plain(getattr(old[name], f))} to {_plain(getattr(new[name], f))}"
+                for f in fields
+            )
+            yield {"change": "~", "id": name, "what": ", ".join(changes)}
 
 
 def _plain(value: Any) -> Any:
--- a/vanerelay/membership/config.py
+++ b/vanerelay/membership/config.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class MembershipConfig:
     """What of the subsystem is switched on."""
 
     feed: Standing
@@ -39,13 +39,13 @@
     console: str = ""
 
 
-def parts(block: Block) -> Parts:
+def read_config(block: Block) -> MembershipConfig:
     """Raises BadOptions with the line of what is wrong."""
     feed = block.only("feed")
     standing = feed.fill(Standing, name="feed", **_precedence(feed, FEED)) if feed else Standing("feed", FEED)
     watched = tuple(_watched(one) for one in block.all("files"))
     flapping, kept, console = block.only("flapping"), block.only("store"), block.only("console")
-    found = Parts(
+    found = MembershipConfig(
         feed=standing,
         watched=watched,
         flapping=flapping.fill(Flapping) if flapping else Flapping(),
--- a/vanerelay/membership/extension.py
+++ b/vanerelay/membership/extension.py
@@ -2,23 +2,31 @@
 
 from __future__ import annotations
 
-from vanerelay.extension import Answered, BadStart, Host, Listed, Part
-from vanerelay.membership.config import Parts
+from vanerelay.extension import DiscoveryAnswerListener, Extension, ExtensionHost, ListListener, StartupError
+from vanerelay.membership.config import MembershipConfig
 from vanerelay.membership.service import Membership
 
 
-class MembersPart(Part):
+class MembershipExtension(Extension):
     """Stands between the control feed and the list in force."""
 
     membership: Membership
 
-    def __init__(self, host: Host, parts: Parts) -> None:
+    def __init__(self, host: ExtensionHost, parts: MembershipConfig) -> None:
         self._host, self._parts = host, parts
 
-    def between(self, listed: Listed, answered: Answered | None) -> tuple[Listed, Answered | None]:
+    def wrap_discovery(
+        self, listed: ListListener, answered: DiscoveryAnswerListener | None
+    ) -> tuple[ListListener, DiscoveryAnswerListener | None]:
         host = self._host
         self.membership = Membership(
-            host.reactor, host.clock, self._parts, host.places, host.kinds, listed, host.large
+            host.reactor,
+            host.clock,
+            self._parts,
+            host.zones,
+            host.machine_kinds,
+            listed,
+            host.large_list_applied,
         )
         return self.membership.fed, self.membership.feed_answers
 
@@ -26,10 +34,10 @@
     def busy(self) -> bool:  # type: ignore[override]
         return self.membership.busy
 
-    def begin(self) -> None:
+    def start(self) -> None:
         wrong = self.membership.start()
         if wrong is not None:
-            raise BadStart(f"the console: {wrong}")
+            raise StartupError(f"the console: {wrong}")
 
     def stop(self) -> None:
         self.membership.stop()
--- a/vanerelay/membership/file_stability.py
+++ b/vanerelay/membership/file_stability.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from vanerelay.interface import MILLISECOND, SECOND, Span
+from vanerelay.interface import MILLISECOND, SECOND, Duration
 
 GATHERED = 20 * MILLISECOND  # events of one write are gathered for so long before the files are looked at
 # a thread that reads gives way to the loop as often: a pass may wait for several turns
@@ -22,9 +22,9 @@
     removal is in force within `poll` + the longer of the two + the time of reading, however many events were
     lost."""
 
-    still: Span = 150 * MILLISECOND
-    writer: Span = SECOND
-    poll: Span = SECOND // 2
+    still: Duration = 150 * MILLISECOND
+    writer: Duration = SECOND
+    poll: Duration = SECOND // 2
 
 
 @dataclass(frozen=True, slots=True)
--- a/vanerelay/membership/files.py
+++ b/vanerelay/membership/files.py
@@ -9,13 +9,14 @@
 from twisted.internet.defer import Deferred, DeferredLock, inlineCallbacks
 from twisted.internet.threads import deferToThread
 
+from vanerelay.clock import Clock
+from vanerelay.interface import SECOND
 from vanerelay.membership import file_reader, list_codec
 from vanerelay.membership.file_stability import GATHERED, RENEWED, Mark, Settling, Stillness
 from vanerelay.membership.inotify_watch import Watch
 from vanerelay.membership.list_acceptance import Checks, Delta, Kind, Lists, Verdict
 from vanerelay.membership.list_codec import EngineList, Unusable
-from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.rate_limited_log import Sparing
+from vanerelay.net.rate_limited_log import RateLimitedLog
 
 log = structlog.get_logger()
 
@@ -50,7 +51,7 @@
         self._going = self._again = self._stopped = False
         self._watched_at = 0
         self._said: dict[str, str] = {}  # the trouble that the log was told of, by path
-        self._warnings: dict[str, Sparing] = {}
+        self._warnings: dict[str, RateLimitedLog] = {}
         self.counts = {kind: 0 for kind in Kind}
 
     def start(self) -> None:
@@ -77,7 +78,7 @@
         if self._going:
             self._again = True
             return
-        seconds = delay / UNITS
+        seconds = delay / SECOND
         if self._timer is not None and self._timer.active():
             if self._timer.getTime() <= self._reactor.seconds() + seconds:
                 return
@@ -175,7 +176,7 @@
         else:
             self._said[path] = why
             if path not in self._warnings:
-                self._warnings[path] = Sparing(self._reactor, "list file not taken")
+                self._warnings[path] = RateLimitedLog(self._reactor, "list file not taken")
             self._warnings[path].warn(source=self.name, path=path, why=why)
 
     # The operator's word, from the console.
--- a/vanerelay/membership/list_acceptance.py
+++ b/vanerelay/membership/list_acceptance.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from vanerelay.interface import SECOND, EngineState, Span
+from vanerelay.engine_list import ListedEngine
+from vanerelay.interface import SECOND, Duration, EngineState
 from vanerelay.membership.list_codec import EngineList, Unusable
-from vanerelay.net.discovery_codec import Member
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,8 +27,8 @@
 
     most_lost: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.3
     least_lost: int = 1
-    confirm_after: Span = 60 * SECOND
-    missing_after: Span = 10 * SECOND
+    confirm_after: Duration = 60 * SECOND
+    missing_after: Duration = 10 * SECOND
     most_members: int = 100_000
     most_files: int = 100
     most_bytes: int = 64 * 2**20
@@ -45,7 +45,7 @@
 class Delta:
     """From one list to the next: engines that are new or told otherwise, and names told no more."""
 
-    changed: dict[str, Member]
+    changed: dict[str, ListedEngine]
     withdrawn: frozenset[str]
 
 
@@ -63,19 +63,19 @@
     delta: Delta = NOTHING
 
 
-def delta(before: Mapping[str, Member], after: Mapping[str, Member]) -> Delta:
+def delta(before: Mapping[str, ListedEngine], after: Mapping[str, ListedEngine]) -> Delta:
     changed = {name: member for name, member in after.items() if before.get(name) != member}
     return Delta(changed, frozenset(before.keys() - after.keys()))
 
 
-def lost(before: Mapping[str, Member], after: Mapping[str, Member]) -> int:
+def lost(before: Mapping[str, ListedEngine], after: Mapping[str, ListedEngine]) -> int:
     """Engines in service before that are not after: gone, told gone or draining, or with nothing new to be
     sent."""
     serving = (n for n, m in before.items() if _serves(m))
     return sum(1 for name in serving if name not in after or not _serves(after[name]))
 
 
-def _serves(member: Member) -> bool:
+def _serves(member: ListedEngine) -> bool:
     return member.state is EngineState.UP and member.weight != 0
 
 
@@ -86,8 +86,8 @@
         """`single`: one file by its path, whose revision is the source's; else the source counts its own."""
         self._checks, self._single = checks, single
         self.files: dict[str, EngineList] = {}
-        self.accepted: dict[str, Member] = {}
-        self.in_force: dict[str, Member] = {}
+        self.accepted: dict[str, ListedEngine] = {}
+        self.in_force: dict[str, ListedEngine] = {}
         self.revision, self.pinned = 0, None  # type: int, int | None
         self._waiting: dict[str, EngineList | None] = {}  # refused or held, by path; None: missing
         # since, the files as they would be, lost
@@ -254,7 +254,7 @@
     def _say(self, kind: Kind, why: str) -> Verdict:
         return Verdict(kind, why, self.revision)
 
-    def _show(self, pinned: dict[str, Member] | None = None) -> Delta:
+    def _show(self, pinned: dict[str, ListedEngine] | None = None) -> Delta:
         """What is in force from now on, against what was."""
         before = self.in_force
         if pinned is not None:
@@ -264,5 +264,5 @@
         return delta(before, self.in_force)
 
 
-def _joined(files: Iterable[EngineList]) -> dict[str, Member]:
+def _joined(files: Iterable[EngineList]) -> dict[str, ListedEngine]:
     return {name: member for one in files for name, member in one.members.items()}
--- a/vanerelay/membership/list_codec.py
+++ b/vanerelay/membership/list_codec.py
@@ -14,8 +14,9 @@
 
 import msgspec
 
+from vanerelay.engine_list import ListedEngine
 from vanerelay.interface import EngineState
-from vanerelay.net.discovery_codec import STATES, Member
+from vanerelay.net.discovery_codec import STATES
 
 WHOLE = 100.0  # the weight of an engine that may be filled as a whole
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
@@ -65,7 +66,7 @@
     """One file as read. `digest` names its content: blake2b over the bytes, hex."""
 
     revision: int
-    members: dict[str, Member]
+    members: dict[str, ListedEngine]
     digest: str
 
 
@@ -93,7 +94,7 @@
         return Unusable(
             f"$.count: {written.count} members told, {len(written.members)} there: rows are missing"
         )
-    members, addresses = dict[str, Member](), dict[str, str]()
+    members, addresses = dict[str, ListedEngine](), dict[str, str]()
     for place, row in enumerate(written.members):
         wrong = _check(row, locations, kinds)
         if wrong is None and row.id in members:
@@ -108,21 +109,21 @@
     return EngineList(written.revision, members, digest(data))
 
 
-def member(row: Row, locations: Mapping[str, int], kinds: Mapping[str, int]) -> Member:
-    return Member(
+def member(row: Row, locations: Mapping[str, int], kinds: Mapping[str, int]) -> ListedEngine:
+    return ListedEngine(
         name=row.id,
         address=row.host_port,
         state=STATES[row.phase],
-        location=locations.get(row.locality, len(locations)),
-        kind=kinds.get(row.flavor, len(kinds)),
+        zone=locations.get(row.locality, len(locations)),
+        machine_kind=kinds.get(row.flavor, len(kinds)),
         cell=row.cell,
         size=row.size,
-        started=int(row.up_since_ms * 10),
+        started_at=int(row.up_since_ms * 10),
         weight=row.weight / WHOLE,
     )
 
 
-def told(one: Member, locations: list[str], kinds: list[str]) -> dict[str, object]:
+def told(one: ListedEngine, locations: list[str], kinds: list[str]) -> dict[str, object]:
     """A member in the form of the files, to be read by people and programs."""
 
     def name(names: list[str], index: int) -> str:
@@ -131,12 +132,12 @@
     return {
         "id": one.name,
         "host_port": one.address,
-        "locality": name(locations, one.location),
-        "flavor": name(kinds, one.kind),
+        "locality": name(locations, one.zone),
+        "flavor": name(kinds, one.machine_kind),
         "cell": one.cell,
         "phase": PHASES[one.state],
         "size": one.size,
-        "up_since_ms": one.started // 10,
+        "up_since_ms": one.started_at // 10,
         "weight": WHOLE if one.weight is None else one.weight * WHOLE,
     }
 
@@ -211,16 +212,16 @@
     return files
 
 
-def removed(one: Member) -> Member:
+def removed(one: ListedEngine) -> ListedEngine:
     """The word that an engine is gone."""
-    return Member(
+    return ListedEngine(
         one.name,
         one.address,
         EngineState.GONE,
-        one.location,
-        one.kind,
+        one.zone,
+        one.machine_kind,
         one.cell,
         one.size,
-        one.started,
+        one.started_at,
         one.weight,
     )
--- a/vanerelay/membership/merged_view.py
+++ b/vanerelay/membership/merged_view.py
@@ -21,8 +21,8 @@
 from dataclasses import dataclass, replace
 from itertools import chain, islice
 
-from vanerelay.interface import SECOND, EngineState, Span
-from vanerelay.net.discovery_codec import Member
+from vanerelay.engine_list import ListedEngine
+from vanerelay.interface import SECOND, Duration, EngineState
 
 PORTION = 150  # engines handed on at a time: a few milliseconds of one pass of the loop
 NOTED = 4  # times as many pieces of news noted at a time, which cost less
@@ -42,7 +42,7 @@
     precedence: int
     authoritative: bool = True
     complete: bool = False
-    stale_after: Span = 0
+    stale_after: Duration = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,8 +51,8 @@
     removal; `returns` 0: never."""
 
     returns: int = 3
-    span: Span = 60 * SECOND
-    hold: Span = 30 * SECOND
+    span: Duration = 60 * SECOND
+    hold: Duration = 30 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
 class Shown:
     """One engine of a portion, as it is from now on; gone where its state says so."""
 
-    member: Member
+    member: ListedEngine
     reason: Reason
     at: int
 
@@ -78,7 +78,7 @@
 
     def __init__(self, standing: Standing, rank: int) -> None:
         self.standing, self.rank = standing, rank
-        self.members: Mapping[str, Member] = {}
+        self.members: Mapping[str, ListedEngine] = {}
         self.gone: OrderedDict[str, int] = OrderedDict()  # names taken off, and until when that binds
         self.revision, self.heard_at, self.told, self.stale = 0, 0, False, False
 
@@ -103,7 +103,7 @@
         self._flapping, self._born, self._open = flapping, now, False
         self.shown: dict[str, Shown] = {}
         # told, not yet noted: names, as they were before
-        self._news = deque[tuple[Source, Mapping[str, Member], Iterator[str]]]()
+        self._news = deque[tuple[Source, Mapping[str, ListedEngine], Iterator[str]]]()
         self._at: dict[str, dict[str, None]] = {}  # addresses, and the names that any source lists there
         self._strict: OrderedDict[str, None] = OrderedDict()  # to be merged anew: may be a removal
         self._other: OrderedDict[str, None] = OrderedDict()
@@ -120,7 +120,7 @@
         name: str,
         now: int,
         revision: int,
-        members: Mapping[str, Member],
+        members: Mapping[str, ListedEngine],
         changed: Iterable[str],
         withdrawn: Iterable[str],
     ) -> None:
@@ -143,7 +143,7 @@
             source.stale = False
             self._all_anew()
 
-    def _note(self, now: int, source: Source, name: str, old: Member | None) -> None:
+    def _note(self, now: int, source: Source, name: str, old: ListedEngine | None) -> None:
         """Enters one piece of news: who is to be merged anew because of it."""
         member = source.members.get(name)
         if old is not None and (
@@ -303,7 +303,7 @@
         returns.times.append(now)
         return 0
 
-    def merge(self, now: int, name: str) -> tuple[Member | None, Reason]:
+    def merge(self, now: int, name: str) -> tuple[ListedEngine | None, Reason]:
         """What all sources together make of one engine, whoever is shown at its address; and why."""
         for source in self._ranked:
             if source.standing.authoritative and name in source.gone:
@@ -320,7 +320,7 @@
             reason = Reason(drains.standing.name, drains.revision, "drained by this source")
         return member, reason
 
-    def _base(self, name: str) -> tuple[Member | None, Reason]:
+    def _base(self, name: str) -> tuple[ListedEngine | None, Reason]:
         """Presence by precedence, with the latest start and the first weight that is told."""
         said = None
         for source in self._order():
@@ -336,10 +336,10 @@
             return None, Reason("", 0, "on no source's list")
         member = said.members[name]
         others = [m for s in self._order() if (m := s.members.get(name)) is not None and m is not member]
-        started = max([m.started for m in others if m.address == member.address] + [member.started])
+        started = max([m.started_at for m in others if m.address == member.address] + [member.started_at])
         weight = next((m.weight for m in [member, *others] if m.weight is not None), None)
-        if (started, weight) != (member.started, member.weight):
-            member = replace(member, started=started, weight=weight)
+        if (started, weight) != (member.started_at, member.weight):
+            member = replace(member, started_at=started, weight=weight)
         return member, Reason(said.standing.name, said.revision, "listed by this source")
 
     def _order(self) -> list[Source]:
@@ -353,7 +353,7 @@
                 return source
         return None
 
-    def _rival(self, name: str, member: Member) -> str | None:
+    def _rival(self, name: str, member: ListedEngine) -> str | None:
         """Who has the better claim on its address."""
         names = self._at.get(member.address, {})
         if len(names) < 2:
@@ -364,13 +364,13 @@
                 continue
             listed, reason = self._base(one)
             if listed is not None and listed.address == member.address:
-                claims.append((-listed.started, self.sources[reason.source].rank, one))
+                claims.append((-listed.started_at, self.sources[reason.source].rank, one))
         best = min(claims, default=(0, 0, name))[2]
         return best if best != name else None
 
     # For the operators.
 
-    def explain(self, now: int, name: str) -> tuple[Member | None, Reason, dict[str, str]]:
+    def explain(self, now: int, name: str) -> tuple[ListedEngine | None, Reason, dict[str, str]]:
         """An engine as it is merged, why, and what each source says of it."""
         words = {}
         for source in self._ranked:
@@ -387,12 +387,12 @@
         return member, reason, words
 
 
-def _tightens(before: Member, after: Member) -> bool:
+def _tightens(before: ListedEngine, after: ListedEngine) -> bool:
     """Whether a batch that depends on what an engine may be sent could be harmed by learning of it late."""
     return (
         after.state is not before.state
         or after.address != before.address
         or after.weight == 0
-        or (after.location, after.kind, after.cell) != (before.location, before.kind, before.cell)
-        or after.started > before.started
+        or (after.zone, after.machine_kind, after.cell) != (before.zone, before.machine_kind, before.cell)
+        or after.started_at > before.started_at
     )
--- a/vanerelay/membership/service.py
+++ b/vanerelay/membership/service.py
@@ -13,9 +13,11 @@
 from twisted.internet.defer import Deferred, DeferredLock, inlineCallbacks
 from twisted.internet.threads import deferToThread
 
-from vanerelay.interface import EngineState
+from vanerelay.clock import Clock
+from vanerelay.engine_list import EngineListChange, ListedEngine
+from vanerelay.interface import SECOND, EngineState
 from vanerelay.membership import control_socket, list_codec
-from vanerelay.membership.config import Parts
+from vanerelay.membership.config import MembershipConfig
 from vanerelay.membership.control_protocol import Request, Wrong
 from vanerelay.membership.control_socket import Answer
 from vanerelay.membership.file_stability import TURNS_S
@@ -24,8 +26,6 @@
 from vanerelay.membership.list_codec import EngineList, Unusable
 from vanerelay.membership.merged_view import Shown, View
 from vanerelay.membership.store import Loaded, Store, open_store
-from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.discovery_codec import Change, Member
 
 log = structlog.get_logger()
 
@@ -37,10 +37,10 @@
         self,
         reactor: Any,
         clock: Clock,
-        parts: Parts,
+        parts: MembershipConfig,
         locations: Mapping[str, int],
         kinds: Mapping[str, int],
-        listed: Callable[[Change], None],
+        listed: Callable[[EngineListChange], None],
         large: Callable[[], None],
     ) -> None:
         """`large`: called once a change that took more than one portion is in force."""
@@ -50,7 +50,7 @@
         self._names = list(locations), list(kinds)
         standings = [parts.feed, *(one.standing for one in parts.watched)]
         self.view = View(clock.now(), standings, parts.flapping)
-        self._feed: dict[str, Member] = {}
+        self._feed: dict[str, ListedEngine] = {}
         self._portions, self._going, self._timer = 0, False, None  # type: int, bool, Any
         self._store: Store | None = None
         self._storing = DeferredLock()
@@ -137,11 +137,11 @@
 
     # What sources bring.
 
-    def fed(self, change: Change) -> None:
+    def fed(self, change: EngineListChange) -> None:
         """A change out of the control feed."""
-        feed, names = dict() if change.whole else self._feed.copy(), dict[str, None]()
-        withdrawn = set(self._feed) - {m.name for m in change.members} if change.whole else set()
-        for member in change.members:
+        feed, names = dict() if change.complete else self._feed.copy(), dict[str, None]()
+        withdrawn = set(self._feed) - {m.name for m in change.engines} if change.complete else set()
+        for member in change.engines:
             known = self._feed.get(member.name)
             if member.state is EngineState.GONE:
                 feed.pop(member.name, None)
@@ -195,10 +195,10 @@
         if self._going:  # before anything that may fail
             self._timer = self._reactor.callLater(0, self._step)
         elif due is not None:
-            self._timer = self._reactor.callLater(max(10, due - now) / UNITS, self._step)
+            self._timer = self._reactor.callLater(max(10, due - now) / SECOND, self._step)
         if portion or shown and not self._portions:
             self._portions += 1
-            self._listed(Change(self._portions, False, [one.member for one in portion]))
+            self._listed(EngineListChange(self._portions, False, [one.member for one in portion]))
         self._in_a_row += 1 if portion else 0
         if not self._going:
             if self._in_a_row > 1:
@@ -289,14 +289,14 @@
                 "taken_off": len(source.gone),
                 "told": source.told,
                 "stale": source.stale,
-                "heard_s": round((now - source.heard_at) / UNITS, 1),
+                "heard_s": round((now - source.heard_at) / SECOND, 1),
             }
             if files is not None:
                 held = files.lists.held()
                 row |= {
                     "trouble": files.lists.trouble,
                     "pinned": files.lists.pinned,
-                    "held_s": None if held is None else round((now - held[0]) / UNITS, 1),
+                    "held_s": None if held is None else round((now - held[0]) / SECOND, 1),
                     "held_lost": None if held is None else held[1],
                     "counts": {kind.value: count for kind, count in files.counts.items()},
                 }
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -16,12 +16,12 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
+from vanerelay.clock import Clock
 from vanerelay.net import frames
 from vanerelay.net.buffers import Pool
-from vanerelay.net.clock import Clock
 from vanerelay.net.events import EventLog, Kind
 from vanerelay.net.listener import Listener
-from vanerelay.net.rate_limited_log import Sparing
+from vanerelay.net.rate_limited_log import RateLimitedLog
 
 IDLE_S = 4.0  # clients close connections idle for this long; one that takes nothing for as long is given up
 KEPT_S = 2 * IDLE_S  # who keeps one longer without a request has forgotten it
@@ -65,7 +65,7 @@
 
     transport: Any
 
-    def __init__(self, clients: Clients) -> None:
+    def __init__(self, clients: ClientListener) -> None:
         self._clients = clients
         self._reader = frames.FrameReader(clients.pool)
         self.open: dict[int, Asked] = {}
@@ -123,12 +123,12 @@
             except Exception:
                 log.exception("a client's frame met a fault")
                 if frame.kind == frames.REQUEST:
-                    self.answer(frame.stream, frames.ERRORED, {}, b"")
+                    self.answer(frame.stream, frames.FAILED, {}, b"")
 
     def _frame(self, frame: frames.Frame, since: int) -> None:
         self._clients.used(self)
         if frame.kind == frames.READY:
-            code = frames.RETURNED if self._clients.service.ready() else frames.PUSHED_BACK
+            code = frames.COMPLETED if self._clients.service.ready() else frames.REJECTED
             self._write(frames.answer(frames.READINESS, frame.stream, code, {}))
         elif frame.kind == frames.LEAVE:
             asked = self.open.pop(frame.stream, None)
@@ -136,9 +136,9 @@
                 asked.left()
             self._rest()
         elif self._closing or self._clogged and self._unsent > CLOGGED_BYTES:
-            self._write(frames.answer(frames.ANSWER, frame.stream, frames.PUSHED_BACK, {}))
+            self._write(frames.answer(frames.ANSWER, frame.stream, frames.REJECTED, {}))
         elif len(self.open) >= frames.OPEN_MOST:
-            self._write(frames.answer(frames.ANSWER, frame.stream, frames.PUSHED_BACK, {}))
+            self._write(frames.answer(frames.ANSWER, frame.stream, frames.REJECTED, {}))
             self.refuse("more requests open than there may be")
         else:
             taken = self._clients.service.request(self, frame, since)
@@ -156,14 +156,14 @@
         self._deaf = True
         self._clients.refused.warn(why=why)
         self._fail_open()
-        self._write(frames.answer(frames.ANSWER, 0, frames.ERRORED, {}))
+        self._write(frames.answer(frames.ANSWER, 0, frames.FAILED, {}))
         self.end("it does not keep to the protocol", why)
 
     def _fail_open(self) -> None:
         """The final answer of each query that is open here, for which nothing is done any more."""
         opened, self.open = self.open, {}
         for stream, asked in opened.items():
-            self._write(frames.answer(frames.ANSWER, stream, frames.ERRORED, {}))
+            self._write(frames.answer(frames.ANSWER, stream, frames.FAILED, {}))
             self._leave(asked)
 
     def _leave(self, asked: Asked) -> None:
@@ -272,7 +272,7 @@
             self._leave(asked)
 
 
-class Clients(Factory):
+class ClientListener(Factory):
     """All client connections, and the port they come through."""
 
     noisy = False
@@ -299,8 +299,8 @@
         self._kept_waiting_since: int | None = None
         # Those that owe something whole, the first to be overdue first.
         self._owing: OrderedDict[ClientConnection, float] = OrderedDict()
-        self.refused = Sparing(reactor, "client does not keep to the protocol")
-        self._crowded = Sparing(reactor, "clients hold their share of the descriptors")
+        self.refused = RateLimitedLog(reactor, "client does not keep to the protocol")
+        self._crowded = RateLimitedLog(reactor, "clients hold their share of the descriptors")
         reactor.callLater(SWEEP_S, self._sweep)
 
     def buildProtocol(self, addr: object) -> ClientConnection:
--- a/vanerelay/net/deadlines.py
+++ b/vanerelay/net/deadlines.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.held_queries import Request
+from vanerelay.clock import Clock
+from vanerelay.interface import SECOND
+from vanerelay.net.held_queries import ClientQuery
 
 SPARE = 100  # of queries answered, that are let lie before they are swept out
 
@@ -20,10 +21,10 @@
     70 ms, while the timers that had fallen due waited for the pass to end.
     """
 
-    def __init__(self, reactor: Any, clock: Clock, expired: Callable[[Request], None]) -> None:
+    def __init__(self, reactor: Any, clock: Clock, expired: Callable[[ClientQuery], None]) -> None:
         """`expired` is called for each query whose deadline has come."""
         self._reactor, self._clock, self._expired = reactor, clock, expired
-        self._heap: list[tuple[int, int, Request]] = []  # the first first
+        self._heap: list[tuple[int, int, ClientQuery]] = []  # the first first
         self._serial = itertools.count()
         self._due_at: int | None = None
         self._timer: Any = None
@@ -31,7 +32,7 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def add(self, held: Request) -> None:
+    def add(self, held: ClientQuery) -> None:
         heapq.heappush(self._heap, (held.limit, next(self._serial), held))
 
     def look(self, still_open: int) -> None:
@@ -51,7 +52,7 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._due_at = self._heap[0][0]
-        self._timer = self._reactor.callLater(max(1, self._due_at - now) / UNITS, self._due)
+        self._timer = self._reactor.callLater(max(1, self._due_at - now) / SECOND, self._due)
 
     def _due(self) -> None:
         self._due_at = None
--- a/vanerelay/net/discovery_client.py
+++ b/vanerelay/net/discovery_client.py
@@ -15,6 +15,7 @@
 from twisted.internet.task import deferLater
 from twisted.python.failure import Failure
 
+from vanerelay.engine_list import EngineListChange
 from vanerelay.net import discovery_codec
 from vanerelay.net.buffers import Pool
 
@@ -91,7 +92,7 @@
             asked.callback(result)
 
 
-class Roster:
+class DiscoveryClient:
     """Follows the feed, and hands on each change once."""
 
     def __init__(
@@ -103,7 +104,7 @@
         kinds: Mapping[str, int],
         connect_s: float,
         chance: random.Random,
-        changed: Callable[[discovery_codec.Change], None],
+        changed: Callable[[EngineListChange], None],
         answered: Callable[[], None] | None = None,
     ) -> None:
         """`answered`: called for each answer of the feed that could be used, with news or without. `chance`
@@ -133,7 +134,7 @@
         faults = list[Exception]()
         for change in new:
             try:
-                self._changed(change if change.whole else replace(change, within_s=within_s))
+                self._changed(change if change.complete else replace(change, within_s=within_s))
             except Exception as fault:  # the next ones count all the same: they won't come again
                 faults.append(fault)
         if faults:
--- a/vanerelay/net/discovery_codec.py
+++ b/vanerelay/net/discovery_codec.py
@@ -8,7 +8,8 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from vanerelay.interface import EngineEntry, EngineState
+from vanerelay.engine_list import EngineListChange, ListedEngine
+from vanerelay.interface import EngineState
 from vanerelay.net.buffers import Gather, Pool, number
 
 _LINE_MOST, _HEADERS_MOST = 8_192, 100
@@ -138,46 +139,9 @@
         return Reply(self._status, b"".join(self._body), keep)
 
 
-@dataclass(frozen=True, slots=True)
-class Member:
-    """One line of the list as told. `size`: units of the machine, of which nothing decides. `weight`: the
-    operators' word, 1 for the whole engine; None from a source that has none, such as the feed."""
-
-    name: str
-    address: str
-    state: EngineState
-    location: int
-    kind: int
-    cell: int
-    size: float
-    started: int  # module time; 0 when long ago
-    weight: float | None = None
-
-    def entry(self, engine: int) -> EngineEntry:
-        return EngineEntry(
-            engine,
-            self.name,
-            self.location,
-            self.kind,
-            self.cell,
-            self.state,
-            1.0 if self.weight is None else self.weight,
-            self.started,
-        )
-
-
-@dataclass(frozen=True, slots=True)
-class Change:
-    """One event of the list. `within_s`: the span before now in which all that it tells has happened, as its
-    source did not know of it earlier; None where nothing is known of that."""
-
-    number: int
-    whole: bool
-    members: list[Member]
-    within_s: float | None = None
-
-
-def parse(data: Any, locations: Mapping[str, int], kinds: Mapping[str, int]) -> list[Change] | Unreadable:
+def parse(
+    data: Any, locations: Mapping[str, int], kinds: Mapping[str, int]
+) -> list[EngineListChange] | Unreadable:
     """The events of `{"n":..,"events":[..]}`, in order."""
     try:
         told = json.loads(data) if isinstance(data, bytes) else data
@@ -186,24 +150,26 @@
         return Unreadable(f"{type(fault).__name__}: {fault}")
 
 
-def _change(event: dict[str, Any], locations: Mapping[str, int], kinds: Mapping[str, int]) -> Change:
+def _change(
+    event: dict[str, Any], locations: Mapping[str, int], kinds: Mapping[str, int]
+) -> EngineListChange:
     body = event.get("members")
     if body is None:
-        return Change(int(event["n"]), False, [])  # of another kind; its number counts all the same
-    return Change(
+        return EngineListChange(int(event["n"]), False, [])  # of another kind; its number counts all the same
+    return EngineListChange(
         int(event["n"]),
         bool(body.get("complete")),
         [
-            Member(
+            ListedEngine(
                 name=str(row["id"]),
                 address=_address(row["host_port"]),
                 state=STATES[row["phase"]],
                 # One that the settings do not name is none of those that a service group may be bound to.
-                location=locations.get(row.get("locality"), len(locations)),
-                kind=kinds.get(row.get("flavor"), len(kinds)),
+                zone=locations.get(row.get("locality"), len(locations)),
+                machine_kind=kinds.get(row.get("flavor"), len(kinds)),
                 cell=int(row.get("cell") or 0),
                 size=float(row.get("size") or 1.0),
-                started=int(float(row.get("up_since_ms") or 0) * 10),
+                started_at=int(float(row.get("up_since_ms") or 0) * 10),
             )
             for row in body["members"]
         ],
@@ -230,13 +196,13 @@
     def __init__(self) -> None:
         self.held = 0
 
-    def fresh(self, changes: list[Change]) -> tuple[list[Change], bool]:
+    def fresh(self, changes: list[EngineListChange]) -> tuple[list[EngineListChange], bool]:
         """The changes to apply now, and whether something is missing before the rest."""
-        new, gap = list[Change](), False
+        new, gap = list[EngineListChange](), False
         for change in sorted(changes, key=lambda change: change.number):
             if change.number <= self.held:
                 continue
-            if change.number > self.held + 1 and not change.whole:
+            if change.number > self.held + 1 and not change.complete:
                 gap = True
                 break
             self.held = change.number
