--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -18,10 +18,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from vanerelay.net.attempt_outcome import Cause, End, Stage
+from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.net.buffers import Pool
 from vanerelay.net.events import EventLog, Kind
-from vanerelay.net.resp_codec import Exchange, Note, Query
+from vanerelay.net.resp_codec import Exchange, Note, QueryCommand
 
 GONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 NAMED_MOST = 5  # attempts named in one line of the log
@@ -91,12 +91,16 @@
     )
 
     def __init__(
-        self, ident: bytes, query: Query | None, used: list[EngineConnection], words: Sequence[bytes] = ()
+        self,
+        ident: bytes,
+        query: QueryCommand | None,
+        used: list[EngineConnection],
+        words: Sequence[bytes] = (),
     ) -> None:
         """`used`: the connections that the query's attempts went over; each takes one of them only.
         `words`: the whole command, where it is an order and no query."""
         self.ident, self.query, self.used, self.words = ident, query, used, words
-        self.done: Deferred[End] = Deferred()
+        self.done: Deferred[AttemptEnd] = Deferred()
         self.noted: Callable[[Note], None] = lambda note: None
         # Asked once, when it is about to be written, which may be long after it was planned.
         self.may_begin: Callable[[], bool] = lambda: True
@@ -105,7 +109,7 @@
         self.sent_at = 0.0
         self.begun = self.over = False  # begun: it has a connection, or waits for one
 
-    def end(self, end: End) -> None:
+    def end(self, end: AttemptEnd) -> None:
         if self.over:
             return
         self.over = True
@@ -114,18 +118,18 @@
         self.timer = self.connection = None
         self.done.callback(end)
 
-    def give_up(self, cause: Cause) -> None:
+    def give_up(self, cause: EndCause) -> None:
         if self.connection is not None:
             self.connection.give_up(self, cause)
         elif not self.begun:
-            self.end(End(cause, Stage.NOT_CONNECTED))
+            self.end(AttemptEnd(cause, AttemptStage.NOT_CONNECTED))
 
     def withdraw(self) -> None:
         """Nobody waits for it: it is not begun, where it has not been."""
         if self.connection is not None:
             self.connection.withdraw(self)
         elif not self.begun:
-            self.end(End(Cause.CANCELLED, Stage.NOT_CONNECTED))
+            self.end(AttemptEnd(EndCause.CANCELLED, AttemptStage.NOT_CONNECTED))
 
 
 @implementer(IPullProducer)
@@ -146,7 +150,7 @@
         self.connection.received(data)
 
     def connectionLost(self, reason: Failure = GONE) -> None:
-        self.connection.lost(Cause.LOST)
+        self.connection.lost(EndCause.CONNECTION_LOST)
 
     def resumeProducing(self) -> None:
         self.connection.drained()
@@ -181,7 +185,9 @@
         self.waiting: deque[Attempt] = deque()
         self.attempts: dict[bytes, Attempt] = {}
         self._last: bytes | None = None  # its attempt was handed over last and is not known to have left
-        self._leaving: list[tuple[Attempt, End]] = []  # given up, and the word of it not known to have left
+        self._leaving: list[
+            tuple[Attempt, AttemptEnd]
+        ] = []  # given up, and the word of it not known to have left
         self._awaited: tuple[int, int] | None = None  # what was begun when the patience with it began
         self._patience: Any = None
         self._called_at = self.used_at = process.reactor.seconds()
@@ -220,7 +226,9 @@
             return
         if not attempt.may_begin():
             attempt.connection = None
-            self._process.reactor.callLater(0, attempt.end, End(Cause.OVER, Stage.NOT_CONNECTED))
+            self._process.reactor.callLater(
+                0, attempt.end, AttemptEnd(EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED)
+            )
             return
         attempt.used.append(self)
         attempt.sent_at = self.used_at
@@ -231,7 +239,7 @@
             self.exchange.serve(attempt.ident, self._in_time(attempt, attempt.query))
         self._flush(attempt.ident)
 
-    def _in_time(self, attempt: Attempt, query: Query) -> Query:
+    def _in_time(self, attempt: Attempt, query: QueryCommand) -> QueryCommand:
         """The query with the time that is left for the attempt, which may have waited for the connection."""
         if attempt.timer is None:
             return query
@@ -250,25 +258,25 @@
         """Ends an attempt that waits for the connection; one that was begun goes on."""
         if attempt in self.waiting:
             self.waiting.remove(attempt)
-            attempt.end(End(Cause.CANCELLED, Stage.NOT_CONNECTED))
+            attempt.end(AttemptEnd(EndCause.CANCELLED, AttemptStage.NOT_CONNECTED))
 
-    def give_up(self, attempt: Attempt, cause: Cause) -> None:
+    def give_up(self, attempt: Attempt, cause: EndCause) -> None:
         if attempt in self.waiting:
             self.waiting.remove(attempt)
             # An attempt with little time says nothing of an engine that may be about to take the connection.
             early = self._process.reactor.seconds() - self._called_at < self._process.settings.connect_s / 2
-            cause = Cause.OVER if early and cause is Cause.TIME_OUT else cause
-            attempt.end(End(cause, Stage.NOT_CONNECTED))
+            cause = EndCause.NOT_SENT if early and cause is EndCause.TIMEOUT else cause
+            attempt.end(AttemptEnd(cause, AttemptStage.NOT_CONNECTED))
             return
         stage = self.exchange.give_up(attempt.ident)
         del self.attempts[attempt.ident]
         attempt.connection = None
         # Where nothing at all came meanwhile, nothing may come any more: nothing new goes here.
-        self._closing = self._closing or cause is Cause.TIME_OUT and self._heard_at <= attempt.sent_at
-        self._abandon(attempt, End(cause, stage))
+        self._closing = self._closing or cause is EndCause.TIMEOUT and self._heard_at <= attempt.sent_at
+        self._abandon(attempt, AttemptEnd(cause, stage))
 
-    def _abandon(self, attempt: Attempt, end: End) -> None:
-        if self._process.settings.alone and end.stage is Stage.WRITTEN:
+    def _abandon(self, attempt: Attempt, end: AttemptEnd) -> None:
+        if self._process.settings.alone and end.stage is AttemptStage.WRITTEN:
             self._leaving.append((attempt, end))
             self._abort("an attempt on it was given up")
         elif self.exchange.out:
@@ -309,7 +317,7 @@
             self.used_at = self._process.reactor.seconds()
             if isinstance(end, Note):
                 self.attempts[ident].noted(end)
-            elif end.cause is Cause.UNREADABLE:
+            elif end.cause is EndCause.MALFORMED:
                 self._spoilt(ident, end)
             else:
                 self.attempts.pop(ident).end(end)
@@ -320,11 +328,11 @@
             self._await()
             self._retire()
 
-    def _spoilt(self, ident: bytes, end: End) -> None:
+    def _spoilt(self, ident: bytes, end: AttemptEnd) -> None:
         """It may run on until the connection has ended: only then is its end told."""
         if not self._process.warned:
             self._process.warned = True
-            log.warning("engine answered what cannot be read", host=self._process.host, why=end.why)
+            log.warning("engine answered what cannot be read", host=self._process.host, why=end.detail)
         attempt = self.attempts.pop(ident)
         attempt.connection = None  # its end is on its way: nothing can be given up here any more
         self._leaving.append((attempt, end))
@@ -348,7 +356,7 @@
                 self._spoilt(ident, end)
             self._abort("an answer stopped short")
 
-    def lost(self, cause: Cause) -> None:
+    def lost(self, cause: EndCause) -> None:
         if self.over:
             return
         self._note_close(cause.value)
@@ -356,8 +364,8 @@
         for ident, stage in self.exchange.lost().items():
             # The transport did not report that all had left, so its last command did not leave whole. One
             # with a cancel or a read behind it may have: what is missing may be of those.
-            partly = ident == self._last and stage is Stage.WRITTEN
-            self.attempts.pop(ident).end(End(cause, Stage.PARTLY_WRITTEN if partly else stage))
+            partly = ident == self._last and stage is AttemptStage.WRITTEN
+            self.attempts.pop(ident).end(AttemptEnd(cause, AttemptStage.PARTLY_WRITTEN if partly else stage))
         self.drained()
         self._fail_waiting(cause)
 
@@ -366,10 +374,10 @@
         self._closing = True
         if self._protocol is None:
             if at_once:
-                self.lost(Cause.LOST)
+                self.lost(EndCause.CONNECTION_LOST)
         elif at_once:
             self._protocol.abort()
-            self.lost(Cause.LOST)
+            self.lost(EndCause.CONNECTION_LOST)
         else:
             self._retire()
 
@@ -401,7 +409,7 @@
         waiting, self.waiting = self.waiting, deque()
         for attempt in waiting:
             if self.over:
-                attempt.end(End(Cause.OVER, Stage.NOT_CONNECTED))
+                attempt.end(AttemptEnd(EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED))
             else:
                 self.send(attempt)
         self._retire()
@@ -410,7 +418,7 @@
         if not self.over:
             self._end()
             timed_out = isinstance(fault.value, ConnectTimeOut)
-            cause = Cause.CONNECT_TIME_OUT if timed_out else Cause.REFUSED
+            cause = EndCause.CONNECT_TIMEOUT if timed_out else EndCause.CONNECTION_REFUSED
             self._process.events.note(
                 Kind.CLOSE,
                 f"engine, {cause.value}",
@@ -419,10 +427,10 @@
             )
             self._fail_waiting(cause)
 
-    def _fail_waiting(self, cause: Cause) -> None:
+    def _fail_waiting(self, cause: EndCause) -> None:
         waiting, self.waiting = self.waiting, deque()
         for attempt in waiting:
-            attempt.end(End(cause, Stage.NOT_CONNECTED))
+            attempt.end(AttemptEnd(cause, AttemptStage.NOT_CONNECTED))
 
     def _flush(self, last: bytes | None = None) -> None:
         if self._protocol is not None and self.exchange.out and not self.over:
--- a/vanerelay/net/engine_pool.py
+++ b/vanerelay/net/engine_pool.py
@@ -9,7 +9,7 @@
 import structlog
 from twisted.internet.defer import Deferred
 
-from vanerelay.net.attempt_outcome import Cause, End, Stage
+from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.net.buffers import Pool
 from vanerelay.net.engine_connection import Attempt, ConnectionSettings, EngineConnection
 from vanerelay.net.events import EventLog
@@ -80,7 +80,7 @@
             connection.close(at_once)
 
 
-class Engines:
+class EnginePool:
     """All engines by the module's indices."""
 
     def __init__(
@@ -142,7 +142,9 @@
     def send(self, engine: int, attempt: Attempt, time_out_s: float) -> None:
         process = self._processes.get(engine)
         if process is None:
-            self._reactor.callLater(0, attempt.end, End(Cause.REFUSED, Stage.NOT_CONNECTED))
+            self._reactor.callLater(
+                0, attempt.end, AttemptEnd(EndCause.CONNECTION_REFUSED, AttemptStage.NOT_CONNECTED)
+            )
             return
         connection = process.connection_for(attempt, self._connections // len(self._processes))
         if connection is None and self.connections() >= self._connections:
@@ -150,15 +152,17 @@
             if not self._full:
                 log.warning("engines hold their share of the descriptors", connections=self._connections)
             self._full = True
-            self._reactor.callLater(0, attempt.end, End(Cause.OVER, Stage.NOT_CONNECTED))
+            self._reactor.callLater(0, attempt.end, AttemptEnd(EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED))
             return
         self._full = False
-        attempt.timer = self._reactor.callLater(time_out_s, attempt.give_up, Cause.TIME_OUT)
+        attempt.timer = self._reactor.callLater(time_out_s, attempt.give_up, EndCause.TIMEOUT)
         if connection is None:
             connection, self._called[process] = process.call(), None
         connection.send(attempt)
 
-    def order(self, engine: int, words: Sequence[bytes], ident: bytes, patience_s: float) -> Deferred[End]:
+    def order(
+        self, engine: int, words: Sequence[bytes], ident: bytes, patience_s: float
+    ) -> Deferred[AttemptEnd]:
         """A command that is no query, answered under `ident`. The Deferred never fails."""
         attempt = Attempt(ident, None, [], words)
         self.send(engine, attempt, patience_s)
--- a/vanerelay/net/engine_start_times.py
+++ b/vanerelay/net/engine_start_times.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from vanerelay.net.clock import UNITS, Clock
+from vanerelay.clock import Clock
+from vanerelay.interface import SECOND
 
 LEARNED_S = 3.0  # from an engine's start until its source knows of it; one second is usual
 
@@ -27,7 +28,7 @@
         before, moment = self._moments.get(engine, (0, 0))
         if before != told:
             now, moment = self._clock.now(), self._clock.moment(told)
-            if within_s is not None and moment < now - (within_s + LEARNED_S) * UNITS:
+            if within_s is not None and moment < now - (within_s + LEARNED_S) * SECOND:
                 moment = now
             self._moments[engine] = told, moment
         return moment
--- a/vanerelay/net/extensions.py
+++ b/vanerelay/net/extensions.py
@@ -7,10 +7,10 @@
 
 import structlog
 
-from vanerelay.extension import Guide, Part, Ran, Want, tells
+from vanerelay.extension import EngineRun, Extension, QueryConstraint, QueryInfo, overrides
 
 if TYPE_CHECKING:
-    from vanerelay.net.discovery_codec import Change
+    from vanerelay.engine_list import EngineListChange
 
 FAULT = "a subsystem met a fault"  # what a client is told whose query none could lead for that
 Result = TypeVar("Result")
@@ -31,20 +31,20 @@
     """All that joined, by what each wants to be told, so that nothing is worked out for nobody."""
 
     def __init__(self) -> None:
-        self._watchers = list[Part]()
-        self._guides = list[Part]()
-        self._tallies = list[Part]()
-        self._learners = list[Part]()
+        self._watchers = list[Extension]()
+        self._guides = list[Extension]()
+        self._tallies = list[Extension]()
+        self._learners = list[Extension]()
 
-    def join(self, parts: Iterable[Part]) -> None:
+    def join(self, parts: Iterable[Extension]) -> None:
         for part in parts:
             for name, wanting in (
-                ("listed", self._watchers),
-                ("guide", self._guides),
-                ("answered", self._tallies),
-                ("ran", self._learners),
+                ("engines_changed", self._watchers),
+                ("constrain", self._guides),
+                ("query_answered", self._tallies),
+                ("engine_ran", self._learners),
             ):
-                if tells(part, name):
+                if overrides(part, name):
                     wanting.append(part)
 
     @property
@@ -62,15 +62,15 @@
         """Whether somebody wants to know what engines ran."""
         return bool(self._learners)
 
-    def listed(self, change: Change) -> None:
+    def listed(self, change: EngineListChange) -> None:
         for part in self._watchers:
-            guarded(part.listed, change)
+            guarded(part.engines_changed, change)
 
-    def guide(self, want: Want) -> Guide | str | None:
+    def guide(self, want: QueryInfo) -> QueryConstraint | str | None:
         """Who leads a query; words for its client where it can't be served as it asks."""
         for part in self._guides:
             try:
-                found = part.guide(want)
+                found = part.constrain(want)
             except Exception:
                 log.exception(FAULT)
                 return FAULT
@@ -80,8 +80,8 @@
 
     def answered(self, service_class: str, earned: float, code: int, passed: int, attempts: int) -> None:
         for part in self._tallies:
-            guarded(part.answered, service_class, earned, code, passed, attempts)
+            guarded(part.query_answered, service_class, earned, code, passed, attempts)
 
-    def ran(self, ran: Ran) -> None:
+    def ran(self, ran: EngineRun) -> None:
         for part in self._learners:
-            guarded(part.ran, ran)
+            guarded(part.engine_ran, ran)
--- a/vanerelay/net/frames.py
+++ b/vanerelay/net/frames.py
@@ -9,7 +9,7 @@
 from vanerelay.net.buffers import Gather, Pool
 
 REQUEST, ANSWER, LEAVE, READY, READINESS, LAST = 2, 4, 8, 16, 32, 64
-RETURNED, PUSHED_BACK, ERRORED = 0, 1, 2  # codes of an answer
+COMPLETED, REJECTED, FAILED = 0, 1, 2  # codes of an answer
 SHORTEST, LONGEST = 5, 262_144  # what the length of a frame may be
 OPEN_MOST = 32  # requests open on one connection
 _HEAD = struct.Struct(">IBI")
--- a/vanerelay/net/held_queries.py
+++ b/vanerelay/net/held_queries.py
@@ -6,21 +6,19 @@
 
 from twisted.internet.defer import Deferred
 
-from vanerelay.extension import Guide
-from vanerelay.interface import Arrival
+from vanerelay.extension import QueryConstraint
+from vanerelay.interface import SECOND, AnswerStatus, QueryArrival
 from vanerelay.invariants import QueryRecord
-from vanerelay.net import frames
 from vanerelay.net.client_connection import ClientConnection
-from vanerelay.net.clock import UNITS
 from vanerelay.net.engine_connection import Attempt, EngineConnection
 from vanerelay.net.request_codec import QueryRequest
-from vanerelay.query_table import Held
+from vanerelay.query_table import HeldQuery
 
 if TYPE_CHECKING:
-    from vanerelay.net.gateway_service import Service
+    from vanerelay.net.gateway_service import GatewayService
 
 
-class Request(Held):
+class ClientQuery(HeldQuery):
     """A query on the sockets: who waits for it, and what goes to an engine."""
 
     __slots__ = (
@@ -45,8 +43,8 @@
 
     def __init__(
         self,
-        service: Service,
-        client: ClientConnection | Inner,
+        service: GatewayService,
+        client: ClientConnection | InternalClient,
         stream: int,
         asked: QueryRequest,
         limit: int,
@@ -61,18 +59,18 @@
         self.attempts: list[Attempt | None] = []
         self.used: list[EngineConnection] = []
         self.grant = self.priority = 0
-        self.arrival: Arrival | None = None
-        self.guide: Guide | None = None
+        self.arrival: QueryArrival | None = None
+        self.guide: QueryConstraint | None = None
         self.record: QueryRecord | None = None  # of the guard; None until it was taken
         self.outcome = ""  # of the last attempt that ended
 
     def left(self) -> None:
         self.service.left(self)
 
-    def among(self, engines: frozenset[int] | None) -> None:
+    def restrict_to(self, engines: frozenset[int] | None) -> None:
         self.service.led(self, engines)
 
-    def refuse(self, wait: int) -> None:
+    def reject(self, wait: int) -> None:
         self.service.refused(self, wait)
 
 
@@ -80,7 +78,7 @@
     """References met lately. Clients bring a new one with each query: one that comes again is no new query,
     and must not earn attempts for others."""
 
-    KEPT, MOST = 30 * UNITS, 20_000  # time and number after which the older half is forgotten
+    KEPT, MOST = 30 * SECOND, 20_000  # time and number after which the older half is forgotten
 
     def __init__(self, now: int) -> None:
         self._newer, self._older, self._since = set[int](), set[int](), now
@@ -95,23 +93,23 @@
         return met
 
 
-class Inner:
+class InternalClient:
     """Who waits for a query of ours: in the place of a client's connection."""
 
     def __init__(self) -> None:
-        self.done, self.open = Deferred[int](), dict[int, Request]()
+        self.done, self.open = Deferred[AnswerStatus](), dict[int, ClientQuery]()
 
     def answer(self, stream: int, code: int, fields: dict[str, str], body: bytes) -> None:
-        self.done.callback(code)
+        self.done.callback(AnswerStatus(code))
 
 
-class Own:
+class InternalQuery:
     """A query of ours, as subsystems hold it."""
 
-    def __init__(self, held: Request, done: Deferred[int]) -> None:
+    def __init__(self, held: ClientQuery, done: Deferred[AnswerStatus]) -> None:
         self._held, self.done = held, done
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         self._held.left()
         if not self.done.called:
-            self.done.callback(frames.PUSHED_BACK)
+            self.done.callback(AnswerStatus.REJECTED)
--- a/vanerelay/net/peer_gossip.py
+++ b/vanerelay/net/peer_gossip.py
@@ -16,7 +16,7 @@
     return host, int(port)
 
 
-class Peers(DatagramProtocol):
+class PeerGossip(DatagramProtocol):
     transport: Any
 
     def __init__(self, listen: str, addresses: list[str], everyone: str) -> None:
--- a/vanerelay/net/rate_limited_log.py
+++ b/vanerelay/net/rate_limited_log.py
@@ -11,7 +11,7 @@
 log = structlog.get_logger()
 
 
-class Sparing:
+class RateLimitedLog:
     """A warning of one kind, however often it is cause for."""
 
     def __init__(self, reactor: Any, event: str) -> None:
--- /dev/null
+++ b/vanerelay/net/reactor.py
@@ -0,0 +1,65 @@
+"""The event loop: after the process has stood still, what has arrived is handled before any timer."""
+
+from __future__ import annotations
+
+import errno
+import time
+
+from twisted.internet.epollreactor import EPollReactor
+from twisted.python import log
+
+from vanerelay.clock import UNITS, Clock
+
+
+class Reactor(EPollReactor):
+    """After a pass that ended late the sockets are read once more before any timer is believed: a poll whose
+    time ran out while the process stood still reports nothing, whatever has come meanwhile."""
+
+    LATE = 0.010  # seconds, twice the shortest tick that is told
+    # Twisted's own default is the wall clock: after a step back no timer that was pending would come.
+    seconds = staticmethod(time.monotonic)
+
+    def __init__(self, clock: Clock) -> None:
+        self._clock, self._started_at = clock, clock.now()
+        self._ended, self._latest = 0.0, 0.0  # no pass has ended yet: the start is none
+        super().__init__()  # type: ignore[no-untyped-call]
+
+    def doIteration(self, delay: float | None) -> None:
+        self._clock.looked, self._started_at = self._started_at, self._clock.now()
+        self._clock.passes += 1
+        if self._clock.awaited:
+            delay = 0
+        began = time.monotonic()
+        due = began + (delay or 0.0)
+        self.doPoll(delay)
+        late = time.monotonic() - due
+        # What comes during this second look came after the first began.
+        if delay is not None and late > self.LATE:
+            self._clock.looked = self._started_at
+            self.doPoll(0)
+        self._latest = max(self._latest, late, began - (self._ended or began))
+        self._ended = time.monotonic()
+
+    def doPoll(self, timeout: float | None) -> None:
+        """Waits for events and handles them; as in EPollReactor, but the clock learns when it looked."""
+        due = None if timeout is None else self._clock.now() + int(timeout * UNITS)
+        try:
+            ready = self._poller.poll(-1 if timeout is None else timeout, len(self._selectables))
+        except OSError as fault:
+            if fault.errno == errno.EINTR:
+                return
+            raise
+        # What came after its time ran out, while the process stood still, a poll does not report.
+        looked = self._clock.now() if due is None else min(self._clock.now(), due)
+        for descriptor, event in ready:
+            selectable = self._selectables.get(descriptor)
+            if selectable is not None:
+                log.callWithLogger(  # type: ignore[no-untyped-call]
+                    selectable, self._doReadOrWrite, selectable, descriptor, event
+                )
+        self._clock.seen(looked)
+
+    def latest(self) -> float:
+        """By how many seconds a pass, of timers or of sockets, was late at most since this was asked last."""
+        latest, self._latest = self._latest, 0.0
+        return latest
--- a/vanerelay/net/resp_codec.py
+++ b/vanerelay/net/resp_codec.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from vanerelay.interface import NoteKind
-from vanerelay.net.attempt_outcome import Cause, End, Stage
+from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
+from vanerelay.interface import ProgressKind
 from vanerelay.net.buffers import Gather, Pool, number
 
 RESULT_MOST, PAGE_MOST = 48_000, 6_000  # bytes of a result, and of one page of it
@@ -16,7 +16,7 @@
 _ROWS = re.compile(rb"(?:[^\x00-\x0c\x0e-\x1f]*\t[^\x00-\x0c\x0e-\x1f]*\t[^\x00-\x0c\x0e-\x1f]*\n)*")
 
 # The page for deployments without notes leaves them out; the words are those of the names on the sockets.
-NOTES = {"frac": NoteKind.PROGRESS, "missing": NoteKind.SPILL, "parked": NoteKind.WAITING}
+NOTES = {"frac": ProgressKind.PROGRESS, "missing": ProgressKind.SPILL, "parked": ProgressKind.WAITING}
 
 
 class Unreadable(Exception):
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Query:
+class QueryCommand:
     """A query as its engine is told of it.
 
     A grant or a priority of 0 is left to the engine. The client's idempotency key is passed on unaltered.
@@ -136,7 +136,7 @@
 class Note:
     """News of a dispatch that goes on."""
 
-    kind: NoteKind
+    kind: ProgressKind
     value: float
 
 
@@ -188,12 +188,15 @@
         begun = self._reader.partial or any(pages is not None for pages in self.open.values())
         return (self._reader.taken, len(self.open)) if begun else None
 
-    def spoil(self, why: str) -> list[tuple[bytes, End]]:
+    def spoil(self, why: str) -> list[tuple[bytes, AttemptEnd]]:
         """Nothing after this can be told apart, and nothing more is read: all that is open may have run."""
         self._reader.drop()
         opened, self.open = self.open, {}
-        stages = {i: Stage.WRITTEN if pages is None else Stage.PAGES_MISSING for i, pages in opened.items()}
-        return [(ident, End(Cause.UNREADABLE, stage, why=why)) for ident, stage in stages.items()]
+        stages = {
+            i: AttemptStage.WRITTEN if pages is None else AttemptStage.PARTIAL_ANSWER
+            for i, pages in opened.items()
+        }
+        return [(ident, AttemptEnd(EndCause.MALFORMED, stage, detail=why)) for ident, stage in stages.items()]
 
     @property
     def worn(self) -> bool:
@@ -204,7 +207,7 @@
         room = len(self.open) + len(self._left_open) < self._most and not self._reader.broken
         return room and ident not in self.open and ident not in self._left_open
 
-    def serve(self, ident: bytes, query: Query) -> None:
+    def serve(self, ident: bytes, query: QueryCommand) -> None:
         told = b"sort=%b,patience=%d" % (query.service_class, query.patience_ms)
         if query.grant_mb > 0:
             told += b",pool=%d" % query.grant_mb
@@ -220,14 +223,14 @@
         self.open[ident] = None
         self.out.append(command(*words))
 
-    def give_up(self, ident: bytes) -> Stage:
+    def give_up(self, ident: bytes) -> AttemptStage:
         """How far the dispatch had come that nobody waits for any more."""
         pages = self.open.pop(ident)
         if pages is not None:
             self.out.append(command(b"release", ident))
         else:
             self._abandon(ident)
-        return Stage.WRITTEN if pages is None else Stage.PAGES_MISSING
+        return AttemptStage.WRITTEN if pages is None else AttemptStage.PARTIAL_ANSWER
 
     def _abandon(self, ident: bytes) -> None:
         if self._may_cancel:
@@ -238,7 +241,7 @@
     def health(self, tag: bytes) -> None:
         self.out.append(command(b"health", tag))
 
-    def feed(self, data: bytes) -> Iterator[tuple[bytes, End | Note]]:
+    def feed(self, data: bytes) -> Iterator[tuple[bytes, AttemptEnd | Note]]:
         for parts in self._reader.feed(data):
             if parts is None:
                 yield from self.spoil("no array of strings")
@@ -265,14 +268,19 @@
             if end is not None:
                 yield ident, end
 
-    def lost(self) -> dict[bytes, Stage]:
+    def lost(self) -> dict[bytes, AttemptStage]:
         """How far all that is open had come when the connection ended."""
-        stages = {i: Stage.WRITTEN if p is None else Stage.PAGES_MISSING for i, p in self.open.items()}
+        stages = {
+            i: AttemptStage.WRITTEN if p is None else AttemptStage.PARTIAL_ANSWER
+            for i, p in self.open.items()
+        }
         self.open.clear()
         self._reader.drop()
         return stages
 
-    def _answered(self, ident: bytes, word: bytes, told: dict[str, str], body: bytes) -> End | str | None:
+    def _answered(
+        self, ident: bytes, word: bytes, told: dict[str, str], body: bytes
+    ) -> AttemptEnd | str | None:
         """The end of the dispatch, if it is one; words for what cannot be an answer to it."""
         pages = self.open[ident]
         if word == b"OK":
@@ -289,18 +297,18 @@
             if index is None or not pages.put(index, body):
                 return "a page that is none"
         else:
-            cause = {b"BUSY": Cause.BUSY, b"ERR": Cause.ERR, b"VOID": Cause.VOID}.get(word)
+            cause = {b"BUSY": EndCause.BUSY, b"ERR": EndCause.ERROR, b"VOID": EndCause.VOID}.get(word)
             if cause is None:
                 return repr((word[:16], told))
             del self.open[ident]
             if pages is None:
-                return End(cause, Stage.WRITTEN, b"", told)
+                return AttemptEnd(cause, AttemptStage.WRITTEN, b"", told)
             self.out.append(command(b"release", ident))
-            return End(cause, Stage.PAGES_MISSING, b"", told)
+            return AttemptEnd(cause, AttemptStage.PARTIAL_ANSWER, b"", told)
         if len(pages.pages) < pages.total:
             return None
         if pages.total > 1:
             self.out.append(command(b"release", ident))
         del self.open[ident]
         whole = b"".join(pages.pages[page] for page in range(pages.total))
-        return End(Cause.OK, Stage.WHOLE, whole, pages.told)
+        return AttemptEnd(EndCause.OK, AttemptStage.COMPLETE_ANSWER, whole, pages.told)
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -17,24 +17,25 @@
 from twisted.internet.error import CannotListenError
 
 from vanerelay import settings, settings_validation
-from vanerelay.estimation import scatter
-from vanerelay.extension import Answered, BadStart, Host, Listed, Part
-from vanerelay.net.attempt_outcome import End
+from vanerelay.attempt_outcome import AttemptEnd
+from vanerelay.clock import Clock
+from vanerelay.estimation import stable_hash
+from vanerelay.extension import DiscoveryAnswerListener, Extension, ExtensionHost, ListListener, StartupError
+from vanerelay.interface import SECOND
 from vanerelay.net.buffers import Pool
-from vanerelay.net.client_connection import Clients
-from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.discovery_client import Roster
+from vanerelay.net.client_connection import ClientListener
+from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.engine_connection import ConnectionSettings
-from vanerelay.net.engine_pool import Engines
+from vanerelay.net.engine_pool import EnginePool
 from vanerelay.net.events import EventLog
 from vanerelay.net.extensions import guarded
-from vanerelay.net.gateway_service import Service
-from vanerelay.net.held_queries import Own
+from vanerelay.net.gateway_service import GatewayService
+from vanerelay.net.held_queries import InternalQuery
 from vanerelay.net.listener import passes
-from vanerelay.net.peer_gossip import Peers
+from vanerelay.net.peer_gossip import PeerGossip
 from vanerelay.policy.gateway import Gateway, Health
 
-Join = Callable[[Host], list[Part]]
+Join = Callable[[ExtensionHost], list[Extension]]
 
 # After SIGTERM new connections come for up to 0.4 s, and requests on open ones for 0.2 s more; the page
 # counts what comes within 0.7 s.
@@ -61,30 +62,30 @@
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except (OSError, ValueError) as fault:
-        raise BadStart(f"configuration {path}: {fault}") from None
+        raise StartupError(f"configuration {path}: {fault}") from None
     missing = [
         name
         for name in ("limits", "feed", "known", "settings")
         if not isinstance(told, dict) or name not in told
     ]
     if missing:
-        raise BadStart(f"configuration {path}: nothing told under {', '.join(missing)}")
+        raise StartupError(f"configuration {path}: nothing told under {', '.join(missing)}")
     assert isinstance(told, dict)
     why = settings_validation.wrong(told["settings"])
     if why is not None:
-        raise BadStart(f"configuration {path}: {why}")
+        raise StartupError(f"configuration {path}: {why}")
     return told
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class SupervisorSockets:
     """What a keeper hands down: a socket that listens, and where to tell that queries are taken."""
 
     listen_fd: int | None = None
     ready_fd: int | None = None
 
 
-class Program:
+class Server:
     """The parts of one workload manager, each made with its own few settings."""
 
     def __init__(
@@ -94,65 +95,65 @@
         told: dict[str, Any],
         listen: str,
         name: str = "",
-        kept: Kept | None = None,
+        kept: SupervisorSockets | None = None,
         join: Join | None = None,
     ) -> None:
         """`kept`: by a keeper; `join` makes the subsystems that operators switched on, None where none is."""
-        self._kept, self._owns = kept or Kept(), int(clock.now())
+        self._kept, self._owns = kept or SupervisorSockets(), int(clock.now())
         self.reactor, self.clock, self.name = reactor, clock, name
-        self.kept = self._kept.listen_fd is not None
+        self.supervised = self._kept.listen_fd is not None
         self.limits: Mapping[str, Any] = told["limits"]
         host, _, port = listen.rpartition(":")
         profile = told["settings"]
         limits = profile.get("limits") or {}
         allowed = settings.allowances(profile)
-        connect_s = settings.down(limits.get("dialTimeoutUs") or 250_000) / UNITS
-        idle_s = settings.down(limits.get("connIdleUs") or 30_000_000) / UNITS
+        connect_s = settings.down(limits.get("dialTimeoutUs") or 250_000) / SECOND
+        idle_s = settings.down(limits.get("connIdleUs") or 30_000_000) / SECOND
         pool = Pool()
         descriptors = int(told["limits"].get("sockets") or 1024)
         clients = max(1, descriptors // CLIENT_SHARE)
-        patience_s = Health.QUIET * Health.PATIENCE / UNITS
+        patience_s = Health.QUIET * Health.PATIENCE / SECOND
         connections = ConnectionSettings(
             most_attempts=int(limits.get("multiplex") or 1),
-            may_cancel=allowed.cancel,
-            may_copy=allowed.copies,
+            may_cancel=allowed.may_cancel,
+            may_copy=allowed.may_hedge,
             connect_s=connect_s,
             idle_s=idle_s,
             patience_s=patience_s,
         )
         most_connections = max(1, descriptors - clients - OWN)
         self.events = EventLog(reactor)
-        engines = Engines(reactor, pool, connections, most_connections, clock.when_fresh, self.events)
+        engines = EnginePool(reactor, pool, connections, most_connections, clock.when_fresh, self.events)
         peers = None
-        if allowed.peers and told.get("peer_listen") and told.get("peers_all"):
-            peers = Peers(told["peer_listen"], told.get("peers") or [], told["peers_all"])
+        if allowed.may_gossip and told.get("peer_listen") and told.get("peers_all"):
+            peers = PeerGossip(told["peer_listen"], told.get("peers") or [], told["peers_all"])
         room = int(told["limits"].get("memory_mb") or 192) * 2**20 // STATEMENT_SHARE
-        self.service = Service(reactor, clock, profile, engines, peers, room, self.events)
+        self.service = GatewayService(reactor, clock, profile, engines, peers, room, self.events)
         self.seed = int(str(told.get("seed", "0")), 16)
         names = profile.get("failureDomains") or [], profile.get("kinds") or []
-        self.places, self.kinds = ({one: row for row, one in enumerate(listed)} for listed in names)
+        self.zones, self.machine_kinds = ({one: row for row, one in enumerate(listed)} for listed in names)
         self._parts = join(self) if join is not None else []
         for part in self._parts:
-            profile = part.settings(profile)
-        self.profile = profile
+            profile = part.initial_settings(profile)
+        self.settings = profile
         self.service.join(self._parts)
         self.service.open_gateway(self.seed, profile)
-        changed: Listed = self.service.listed
-        answered: Answered | None = None
+        changed: ListListener = self.service.listed
+        answered: DiscoveryAnswerListener | None = None
         for part in self._parts:
-            changed, answered = part.between(changed, answered)
-        self.roster = Roster(
+            changed, answered = part.wrap_discovery(changed, answered)
+        self.roster = DiscoveryClient(
             reactor,
             pool,
             told["feed"],
-            self.places,
-            self.kinds,
+            self.zones,
+            self.machine_kinds,
             connect_s,
             random.Random(self.seed),
             changed,
             answered,
         )
-        self.clients: Clients = Clients(
+        self.clients: ClientListener = ClientListener(
             reactor,
             clock,
             self.service,
@@ -165,11 +166,11 @@
         self._collect_past = room * STATEMENT_SHARE // 2
         wrong = self.roster.apply(told["known"])
         if wrong is not None:
-            raise BadStart(f"the list known at the start: {wrong}")
+            raise StartupError(f"the list known at the start: {wrong}")
         for part in self._parts:
             part.open()
         for part in self._parts:
-            part.begin()
+            part.start()
         self._listen_until = reactor.seconds() + LISTEN_FOR_S
         self._wrong: str | None = None  # found out while running, which ends the program
         self._terminated = False
@@ -178,7 +179,7 @@
             if peers is not None:
                 self._open_peers(peers)
         except (CannotListenError, ValueError, OverflowError) as fault:
-            raise BadStart(f"cannot listen: {fault}") from None
+            raise StartupError(f"cannot listen: {fault}") from None
 
     def run(self) -> None:
         self.roster.follow()
@@ -191,7 +192,7 @@
         gc.freeze()
         gc.disable()
         for part in self._parts:
-            part.running()
+            part.loop_starting()
         self.reactor.callWhenRunning(self._end_once)
         if self._kept.listen_fd is not None:
             self._end_with_keeper()
@@ -203,7 +204,7 @@
         self.events.write_counts()
         log.info("ended", broken=self.service.guard.told())
         if self._wrong is not None:
-            raise BadStart(self._wrong)
+            raise StartupError(self._wrong)
 
     def _end_once(self) -> None:
         """A signal to end may come again, also in the same pass: it says nothing new, and Twisted takes it
@@ -255,7 +256,7 @@
         log.warning("cannot listen yet", why=str(fault))
         return True
 
-    def _open_peers(self, peers: Peers) -> None:
+    def _open_peers(self, peers: PeerGossip) -> None:
         """While a manager of before still listens there, a kept one waits for it."""
         try:
             peers.open(self.reactor)
@@ -270,17 +271,17 @@
         try:
             told = read(path)
             self.roster.move(str(told["feed"]))
-        except (BadStart, ValueError) as fault:
+        except (StartupError, ValueError) as fault:
             log.warning("configuration not read again", why=str(fault))
             return
         profile = told["settings"]
         try:
             for part in self._parts:
-                profile = part.again(profile)
+                profile = part.reloaded_settings(profile)
         except Exception as fault:
             log.warning("configuration not read again", why=f"{type(fault).__name__}: {fault}")
             return
-        why = self.settle(profile)
+        why = self.apply_settings(profile)
         if why is not None:
             log.warning("settings stay until a restart", why=why)
 
@@ -306,41 +307,45 @@
     def gateway(self) -> Gateway:
         return self.service.gateway
 
-    def addresses(self) -> dict[int, str]:
+    def engine_addresses(self) -> dict[int, str]:
         return self._engines.addresses()
 
-    def order(self, engine: int, words: Sequence[bytes], ident: bytes, patience_s: float) -> Deferred[End]:
-        return self._engines.order(engine, words, ident, patience_s)
+    def send_command(
+        self, engine: int, arguments: Sequence[bytes], command_id: bytes, timeout_s: float
+    ) -> Deferred[AttemptEnd]:
+        return self._engines.order(engine, arguments, command_id, timeout_s)
 
-    def own(self, group: str, statement: str, engine: int, memory: float, lasts: int) -> Own | None:
+    def submit_internal(
+        self, service_class: str, statement: str, engine: int, memory: float, max_duration: int
+    ) -> InternalQuery | None:
         self._owns += 1
-        name = f"{scatter(self.name, self._owns):016x}"
-        return self.service.own(name, group, statement, engine, memory, lasts)
+        name = f"{stable_hash(self.name, self._owns):016x}"
+        return self.service.own(name, service_class, statement, engine, memory, max_duration)
 
-    def settle(self, settings: dict[str, Any]) -> str | None:
+    def apply_settings(self, settings: dict[str, Any]) -> str | None:
         try:
             return settings_validation.wrong(settings) or self._switch(settings)
         except (TypeError, ValueError, KeyError, AttributeError) as fault:
             return f"{type(fault).__name__}: {fault}"
 
-    def large(self) -> None:
+    def large_list_applied(self) -> None:
         """Ten thousand engines are half a million objects, a quarter of a second in each collection."""
         gc.freeze()
 
     def _switch(self, profile: dict[str, Any]) -> str | None:
         """Goes on under other settings; why it can't."""
-        if profile == self.profile:
+        if profile == self.settings:
             return None
-        why = settings_validation.fixed(self.profile, profile)
+        why = settings_validation.fixed(self.settings, profile)
         for part in self._parts:
-            why = why or part.refuses(profile)
+            why = why or part.settings_conflict(profile)
         if why is not None:
             return why
         self.service.open_gateway(self.seed, profile)
-        self.profile = profile
+        self.settings = profile
         told: dict[str, Any] = {}
         for part in self._parts:
-            told |= part.switched(profile)
+            told |= part.settings_applied(profile)
         log.info("settings switched", groups=[str(group["name"]) for group in profile["classes"]], **told)
         return None
 
--- a/vanerelay/operator_config.py
+++ b/vanerelay/operator_config.py
@@ -18,7 +18,8 @@
 from lark import Token, Tree
 from lark.exceptions import LarkError, UnexpectedInput
 
-from vanerelay.interface import SECOND, Span
+from vanerelay.config_field import KEY
+from vanerelay.interface import SECOND, Duration
 
 UNITS = {"ms": SECOND // 1000, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
 TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s|m|h)")
@@ -69,16 +70,19 @@
         return next(iter(self.all(name)), None)
 
     def fill(self, kind: type[T], /, **given: Any) -> T:
-        """A part's arguments (a dataclass) from the attributes of their names; `given` are set by the
-        caller."""
+        """Fills a dataclass from the attributes of its fields' names, or of the names given by `config_field`.
+
+        `given` are set by the caller.
+        """
         assert dataclasses.is_dataclass(kind)
         values, hints = dict(given), typing.get_type_hints(kind, include_extras=True)
         for field in dataclasses.fields(kind):
-            if field.name in self._values and field.name not in given:
-                self._asked.add(field.name)
-                values[field.name] = self._value(field.name, hints[field.name])
+            key = field.metadata.get(KEY, field.name)
+            if key in self._values and field.name not in given:
+                self._asked.add(key)
+                values[field.name] = self._value(key, hints[field.name])
             elif field.name not in given and field.default is field.default_factory is dataclasses.MISSING:
-                raise self.wrong(f"{self.name}: no {field.name}, expected one")
+                raise self.wrong(f"{self.name}: no {key}, expected one")
         return kind(**values)
 
     def take(self, name: str, kind: Any, default: Any = None) -> Any:
@@ -100,7 +104,7 @@
 
     def _value(self, name: str, kind: Any) -> Any:
         value = self._values[name]
-        if kind is Span or kind == Span:
+        if kind is Duration or kind == Duration:
             found = TIME.fullmatch(value) if isinstance(value, str) else None
             if found is None:
                 raise self.wrong(f'{name}: {value!r}, expected a time such as "30s" (ms, s, m, h)', name)
@@ -134,7 +138,7 @@
     for name, module in SUBSYSTEMS.items():
         block = document.only(name)
         if block is not None:
-            found[name] = importlib.import_module(module).parts(block)
+            found[name] = importlib.import_module(module).read_config(block)
     for name, needed in STANDS_ON:
         block = document.only(name)
         if block is not None and needed not in found:
--- a/vanerelay/policy/attempt.py
+++ b/vanerelay/policy/attempt.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
 
-from vanerelay.interface import Bounds, EngineEntry
+from vanerelay.interface import EngineEntry, PlacementConstraints
 
 E = TypeVar("E")
 
 
 @dataclass(slots=True)
-class Dispatch(Generic[E]):
+class Attempt(Generic[E]):
     """One attempt of a batch. Times in tenths of a millisecond, memory in MB."""
 
     engine: E
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self.all = list[tuple[int, str, L]]()
         self.names = list[str]()  # in their own order
-        self._within = dict[Bounds, list[tuple[int, str, L]]]()
+        self._within = dict[PlacementConstraints, list[tuple[int, str, L]]]()
 
     def __len__(self) -> int:
         return len(self.all)
@@ -58,12 +58,12 @@
         for places in self._lists(engine.entry):
             del places[bisect_left(places, (figure, name), key=lambda place: place[:2])]
 
-    def within(self, bounds: Bounds) -> list[tuple[int, str, L]]:
+    def within(self, bounds: PlacementConstraints) -> list[tuple[int, str, L]]:
         if bounds not in self._within:
             if len(self._within) >= self.MOST:
                 self._within.clear()
-            self._within[bounds] = [place for place in self.all if bounds.admits(place[2].entry)]
+            self._within[bounds] = [place for place in self.all if bounds.allow(place[2].entry)]
         return self._within[bounds]
 
     def _lists(self, entry: EngineEntry) -> list[list[tuple[int, str, L]]]:
-        return [self.all, *(places for bounds, places in self._within.items() if bounds.admits(entry))]
+        return [self.all, *(places for bounds, places in self._within.items() if bounds.allow(entry))]
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -10,37 +10,38 @@
 from collections.abc import Callable, Iterator, Sequence
 from functools import cached_property
 
-from vanerelay.estimation import Estimate, Ring, quantile, rank_among, scatter
+from vanerelay.estimation import Estimate, SlidingSums, quantile, rank_among, stable_hash
 from vanerelay.interface import (
+    ENGINE_RESPONDED,
+    MAY_STILL_RUN,
     MILLISECOND,
     NEVER_RAN,
     SECOND,
-    SPOKEN,
-    UNSTOPPED,
-    Arrival,
     AttemptResult,
-    Bounds,
-    ColdStart,
-    Effect,
+    DeduplicationScope,
     EngineEntry,
     EngineState,
+    EngineStatus,
+    FleetPosition,
     GatewaySettings,
+    Idempotency,
     LoadReport,
     MachineKind,
-    NoteKind,
+    MemoryShortage,
     Outcome,
-    Place,
-    RationTerms,
-    Scope,
-    ServiceGroup,
-    Shortage,
+    PlacementConstraints,
+    ProgressKind,
+    QueryArrival,
+    RetryBudgetTerms,
+    ServiceClass,
+    SlowStartTerms,
     Transport,
 )
-from vanerelay.policy.attempt import Dispatch, Order
+from vanerelay.policy.attempt import Attempt, Order
 
 ANSWERS, FAITH = 200, 2.0  # answers an estimate learns from; answers' worth of trust in the told figure
-NEVER, FAULTS = -1000 * SECOND, (Outcome.ERRORED, Outcome.PUSHED_BACK, Outcome.RESET)
-ANY = Bounds(None, None, None)
+NEVER, FAULTS = -1000 * SECOND, (Outcome.FAILED, Outcome.REJECTED, Outcome.RESET)
+ANY = PlacementConstraints(None, None, None)
 BEAT = 50 * MILLISECOND  # how often the line, the limits and the engines' health are looked over
 
 
@@ -83,16 +84,16 @@
 class Pace:
     """What batches cost and how long they run, by service group, learned from answers."""
 
-    def __init__(self, groups: Sequence[ServiceGroup]) -> None:
+    def __init__(self, groups: Sequence[ServiceClass]) -> None:
         self._groups, self.told = groups, [Estimate(ANSWERS, FAITH) for _ in groups]
-        self.ran = [Ring(20 * SECOND, 2) for _ in groups]  # lasted, ideal
+        self.ran = [SlidingSums(20 * SECOND, 2) for _ in groups]  # lasted, ideal
 
     def learn(self, now: int, group: int, told: int, work: int, lasted: int) -> None:
         self.told[group].learn(told, work)
         self.ran[group].add(now, lasted, work / self._groups[group].threads)
 
     def work(self, group: int, told: int) -> float:
-        return self.told[group].value(told) or self._groups[group].goal / 4
+        return self.told[group].value(told) or self._groups[group].latency_objective / 4
 
     def weight(self, group: int, told: int) -> float:
         return max(self.work(group, told), self.told[group].mean())
@@ -134,27 +135,35 @@
     BUSY, CAUTION = 0.85, 0.7  # cores busy at capacity; part of the budget used, as costs differ
     FORGOT = 0.5  # part of ours while what a process of before, under our name, sent may still count
 
-    def __init__(self, cold: ColdStart, name: str, cores: int, place: Place, batch: float, born: int) -> None:
+    def __init__(
+        self, cold: SlowStartTerms, name: str, cores: int, place: FleetPosition, batch: float, born: int
+    ) -> None:
         self._cold, self._name, self._place, self._born = cold, name, place, born
-        self.began, self.sent = -cold.warm_after - cold.window, Ring(max(1, cold.window), 1)
-        whole = cold.multiple * max(1, cores) * self.BUSY * cold.window * self.CAUTION
-        self._sharers = max(1, min(place.gateways, int(whole * cold.share / max(1.0, batch))))
+        self.began, self.sent = (
+            -cold.ramp_duration - cold.overload_window,
+            SlidingSums(max(1, cold.overload_window), 1),
+        )
+        whole = cold.overload_multiple * max(1, cores) * self.BUSY * cold.overload_window * self.CAUTION
+        self._sharers = max(1, min(place.gateway_count, int(whole * cold.initial_share / max(1.0, batch))))
         self._budget = whole / self._sharers
 
     @cached_property
     def mine(self) -> bool:  # looked up once it counts, which takes a fleet's size
-        return rank_among(self._name, self._place.number, self._place.gateways) < self._sharers
+        return rank_among(self._name, self._place.index, self._place.gateway_count) < self._sharers
 
     def share(self, now: int) -> float:
-        age = max(0.0, (now - self.began) / max(1, self._cold.warm_after))
-        return min(1.0, self._cold.share + (1.0 - self._cold.share) * age)
+        age = max(0.0, (now - self.began) / max(1, self._cold.ramp_duration))
+        return min(1.0, self._cold.initial_share + (1.0 - self._cold.initial_share) * age)
 
     def warm(self, now: int) -> bool:  # always, where no window is stated
-        return not self._cold.window or now - self.began >= self._cold.warm_after + self._cold.window
+        return (
+            not self._cold.overload_window
+            or now - self.began >= self._cold.ramp_duration + self._cold.overload_window
+        )
 
     def allows(self, now: int, work: float, kept: float = 1.0) -> bool:  # kept: from proxies
-        budget = kept * self._budget * self.share(max(self.began, now - self._cold.window))
-        if self.began < self._born and now < self._born + self._cold.window:
+        budget = kept * self._budget * self.share(max(self.began, now - self._cold.overload_window))
+        if self.began < self._born and now < self._born + self._cold.overload_window:
             budget *= self.FORGOT
         return self.warm(now) or self.mine and self.sent.total(now, 0) + work <= budget
 
@@ -169,7 +178,7 @@
     RUNS, SLACK = 6, math.log(1.5)  # runs that its pace averages; how much slower than usual is no sign
 
     def __init__(self) -> None:
-        self._ring = Ring(self.MEMORY, 2, 8)  # ends, errors
+        self._ring = SlidingSums(self.MEMORY, 2, 8)  # ends, errors
         self._out: dict[int, tuple[int, float, float]] = {}  # sent, patience, weight as a sign of silence
         self._heard = self._looked = self._missed = self.tried = 0
         self.lost, self.level, self.pace, self.paced = False, 1.0, 0.0, False  # log of slowdown
@@ -186,8 +195,8 @@
             self.lost, self.level = True, 0.0
         elif outcome is Outcome.TIMED_OUT and lasted > patience:
             self._missed += 1
-        elif outcome is Outcome.RETURNED and self.level < self.LOW:
-            self._ring = Ring(self.MEMORY, 2, 8)
+        elif outcome is Outcome.COMPLETED and self.level < self.LOW:
+            self._ring = SlidingSums(self.MEMORY, 2, 8)
         self._ring.add(now, 1, 1 if outcome in FAULTS else 0)
 
     def told(self, now: int, ended: float, errors: float) -> None:
@@ -235,7 +244,7 @@
 
     def heard(self, now: int, report: LoadReport | None, threads: float) -> None:  # threads a batch
         self.health.heard(now)
-        shares = report.shares(threads / (self.ledger.cores * Ledger.WIDTH)) if report else []
+        shares = report.as_shares(threads / (self.ledger.cores * Ledger.WIDTH)) if report else []
         if shares:
             self.told, self._told_at = max(0.0, max(shares) - self.ledger.used()), now
 
@@ -260,25 +269,28 @@
     def __init__(self, chance: random.Random, location: int, waits: bool, names: Sequence[str]) -> None:
         self._chance, self._here, self._waits, self._names = chance, location, waits, names
 
-    def draw(self, now: int, engines: Sequence[Engine], batch: Batch, usual: float) -> Engine:
+    def draw(self, now: int, engines: Sequence[Engine], batch: Query, usual: float) -> Engine:
         weights = []
         for engine in engines:
             held = engine.others(now, usual) + engine.ledger.used() + 1.0 - engine.health.level
             trial = engine.health.level < Health.LOW
             drawn = 1.0 if trial else math.exp(-self.SHARP * min(held / max(0.05, engine.level(now)), 9.0))
-            near = self.NEAR if engine.entry.location == self._here else 1.0
+            near = self.NEAR if engine.entry.zone == self._here else 1.0
             drawn *= near * self._apart(engine, batch) * engine.entry.weight
             weights.append(engine.ledger.cores * drawn)
         return self._chance.choices(engines, weights)[0]
 
-    def _apart(self, engine: Engine, batch: Batch) -> float:
+    def _apart(self, engine: Engine, batch: Query) -> float:
         """Loads and what waits for them lean apart; else all but loads to the few that read it lately."""
-        if not self._waits and batch.arrival.tables and not batch.group.is_load:
-            return min(self.HOME, 1 / max(1e-9, 1 - scatter(engine.entry.name, batch.arrival.tables) / 2**64))
-        if not self._waits or not batch.group.meets_loads():
+        if not self._waits and batch.arrival.table_group and not batch.group.is_data_load:
+            return min(
+                self.HOME,
+                1 / max(1e-9, 1 - stable_hash(engine.entry.name, batch.arrival.table_group) / 2**64),
+            )
+        if not self._waits or not batch.group.meets_data_loads():
             return 1.0
-        home = (bisect_left(self._names, engine.entry.name) + batch.arrival.tables) % 2 == 1
-        return 1.0 if batch.group.is_load == home else self.APART
+        home = (bisect_left(self._names, engine.entry.name) + batch.arrival.table_group) % 2 == 1
+        return 1.0 if batch.group.is_data_load == home else self.APART
 
 
 class Door:
@@ -305,14 +317,14 @@
 class Ration:  # rule 7: dispatches beyond each batch's first, in any window
     LITTLE = 0.5  # part of it that batches of the least worth may use up
 
-    def __init__(self, terms: RationTerms) -> None:
+    def __init__(self, terms: RetryBudgetTerms) -> None:
         # Queries taken, further attempts, and the queries that earn none of those.
-        self.terms, self.ring = terms, Ring(terms.span or 10 * SECOND, 3, 50)
+        self.terms, self.ring = terms, SlidingSums(terms.window or 10 * SECOND, 3, 50)
 
     def allows(self, now: int, little: bool = False) -> bool:
         earning = max(0.0, self.ring.total(now, 0, short=True) - self.ring.total(now, 2))
-        most = self.terms.free + self.terms.share * earning
-        return not self.terms.span or self.ring.total(now, 1) + 1 <= most * (self.LITTLE if little else 1.0)
+        most = self.terms.min_retries + self.terms.retry_ratio * earning
+        return not self.terms.window or self.ring.total(now, 1) + 1 <= most * (self.LITTLE if little else 1.0)
 
 
 class Turns:
@@ -320,13 +332,13 @@
 
     def __init__(self, pause: int) -> None:
         self.pause, self._rests = pause, dict[int, int]()
-        self.queues: defaultdict[int, deque[Batch]] = defaultdict(deque)
+        self.queues: defaultdict[int, deque[Query]] = defaultdict(deque)
 
     def unsure(self, now: int, key: int) -> None:
         self._rests = {other: until for other, until in self._rests.items() if until > now}
         self._rests[key] = now + self.pause + 1
 
-    def next(self, now: int, key: int) -> tuple[Batch | None, int]:  # whose turn it is, and its rest still
+    def next(self, now: int, key: int) -> tuple[Query | None, int]:  # whose turn it is, and its rest still
         queue, rest = self.queues[key], max(0, self._rests.get(key, 0) - now)
         while queue and queue[0].over and not queue[0].out():
             queue.popleft()
@@ -339,14 +351,14 @@
     """Held batches, first come first served, holding nothing; those bound to some engines stand apart."""
 
     def __init__(self) -> None:
-        self._lines: defaultdict[Bounds, list[Batch]] = defaultdict(list)
+        self._lines: defaultdict[PlacementConstraints, list[Query]] = defaultdict(list)
 
-    def join(self, batch: Batch) -> bool:  # whether it stands first: else the line need not be served
+    def join(self, batch: Query) -> bool:  # whether it stands first: else the line need not be served
         line = self._lines[batch.bound_to()]
         heapq.heappush(line, batch)
         return line[0] is batch
 
-    def serve(self, admit: Callable[[Batch], bool]) -> None:
+    def serve(self, admit: Callable[[Query], bool]) -> None:
         for bound, line in list(self._lines.items()):
             while line and (not line[0].held or admit(line[0])):
                 heapq.heappop(line)
@@ -357,63 +369,78 @@
         return max((now - line[0].held_since for line in self._lines.values() if line), default=0)
 
 
-class Batch:
+class Query:
     """The handle of one batch: all that happens to it after it was taken is a call here."""
 
-    def __init__(self, gateway: Gateway, arrival: Arrival, group: ServiceGroup, rank: int) -> None:
+    def __init__(self, gateway: Gateway, arrival: QueryArrival, group: ServiceClass, rank: int) -> None:
         self.gateway, self.arrival, self.group, self.rank = gateway, arrival, group, rank
-        self.threads = group.threads * (0.5 if gateway.waits and group.meets_loads() else 1.0)  # stands still
-        self.little = group.effect is Effect.REPEATABLE and group.utility <= gateway.stake
-        self.key = arrival.key if group.in_order else None
-        self.sends, self.held, self.over = list[Dispatch[Engine]](), False, False
+        self.threads = group.threads * (
+            0.5 if gateway.waits and group.meets_data_loads() else 1.0
+        )  # stands still
+        self.little = group.idempotency is Idempotency.IDEMPOTENT and group.value <= gateway.stake
+        self.key = arrival.order_key if group.ordered else None
+        self.sends, self.held, self.over = list[Attempt[Engine]](), False, False
         self.taken = self.held_since = now = gateway.transport.now
-        goal = group.goal + int(group.goal_stretch * gateway.pace.alone(arrival.group, arrival.cost))
-        self.goal_at = self.give_up_at = min(arrival.time_limit, now + goal)
+        goal = group.latency_objective + int(
+            group.objective_stretch * gateway.pace.alone(arrival.service_class, arrival.estimated_cost)
+        )
+        self.goal_at = self.give_up_at = min(arrival.deadline, now + goal)
 
-    def __lt__(self, other: Batch) -> bool:
+    def __lt__(self, other: Query) -> bool:
         return self.rank < other.rank
 
     def out(self) -> bool:
         return any(send.out for send in self.sends)
 
     def harmless(self) -> bool:
-        known = self.group.effect is Effect.REFERENCED and self.group.scope is Scope.ALL
+        known = (
+            self.group.idempotency is Idempotency.DEDUPLICATED
+            and self.group.deduplication_scope is DeduplicationScope.ALL
+        )
         return known or self.allowed_until() == math.inf  # rule 2, of a pushback
 
     def allowed_until(self, before: int | None = None) -> float:
         """Rule 2: when the last further dispatch may go; all of them may where none `before` may have run."""
         ran = [send.sent for send in self.sends[:before] if send.ran]
-        if self.group.effect is Effect.REPEATABLE or not ran:
+        if self.group.idempotency is Idempotency.IDEMPOTENT or not ran:
             return math.inf
         first = min(ran)
-        return first + self.group.window - 1 if self.group.effect is Effect.REFERENCED else -math.inf
+        return (
+            first + self.group.deduplication_window - 1
+            if self.group.idempotency is Idempotency.DEDUPLICATED
+            else -math.inf
+        )
 
     def may_begin(self, attempt: int) -> bool:
         """Rules 1 to 3, asked again when an attempt is written: it may have waited long for a connection."""
         late = self.gateway.transport.now >= self.allowed_until(attempt)
         return not self.over and not late and self.sends[attempt].engine.listed
 
-    def bound_to(self) -> Bounds:
+    def bound_to(self) -> PlacementConstraints:
         ran = [send.engine.entry for send in self.sends if send.ran]
-        scope = self.group.scope if ran and self.group.effect is Effect.REFERENCED else Scope.ALL
-        locations = (ran[0].location,) if scope is Scope.LOCATION else self.group.locations
-        cell = ran[0].cell if scope is Scope.CELL else None
-        return Bounds(locations, self.group.kinds, cell, self.arrival.among)
+        scope = (
+            self.group.deduplication_scope
+            if ran and self.group.idempotency is Idempotency.DEDUPLICATED
+            else DeduplicationScope.ALL
+        )
+        locations = (ran[0].zone,) if scope is DeduplicationScope.ZONE else self.group.zones
+        cell = ran[0].cell if scope is DeduplicationScope.CELL else None
+        return PlacementConstraints(locations, self.group.machine_kinds, cell, self.arrival.eligible_engines)
 
-    def ended(self, dispatch: int, result: AttemptResult, over: bool) -> None:
+    def attempt_ended(self, dispatch: int, result: AttemptResult, over: bool) -> None:
         gateway, send, now = self.gateway, self.sends[dispatch], self.gateway.transport.now
         outcome, lasted = result.outcome, result.duration
         send.out, send.ran, self.over = False, outcome not in NEVER_RAN, self.over or over
         gateway.release(self, send)
         del gateway.out[id(send)]
-        if outcome is Outcome.PUSHED_BACK:
+        if outcome is Outcome.REJECTED:
             send.engine.full = now
-        if outcome is Outcome.RETURNED:
-            gateway.learn(self, send.engine, result.work, result.memory, lasted)
-        if outcome in SPOKEN:
-            gateway.heard(send.engine, result.report)
+        if outcome is Outcome.COMPLETED:
+            gateway.learn(self, send.engine, result.work, result.peak_memory, lasted)
+        if outcome in ENGINE_RESPONDED:
+            gateway.heard(send.engine, result.load_report)
         send.engine.health.ended(now, id(send), outcome, lasted)
-        if outcome in UNSTOPPED and self.key is not None:
+        if outcome in MAY_STILL_RUN and self.key is not None:
             gateway.turns.unsure(now, self.key)
         if self.over:
             gateway.finished(self)
@@ -421,24 +448,31 @@
             (gateway.hold if gateway.worth_more(self) else gateway.give_up)(self)
         gateway.line.serve(gateway.admit)
 
-    def noted(self, dispatch: int, kind: NoteKind, value: float) -> None:
+    def attempt_progressed(self, dispatch: int, kind: ProgressKind, value: float) -> None:
         send, now = self.sends[dispatch], self.gateway.transport.now
         send.engine.health.heard(now)
-        send.heard, send.waits = now, kind is NoteKind.WAITING
+        send.heard, send.waits = now, kind is ProgressKind.WAITING
         if send.waits and value == 1.0:
             send.engine.full = now
             free = any(not e.refuses(now) for e in self.gateway._kept(self.bound_to()))
-            if self.gateway.allowed.cancel and send.out and free and self.gateway.worth_more(self):
-                self.gateway.transport.cancel(self.arrival.index, dispatch)
-        self.gateway.learn(self, send.engine, 0, send.grant + value if kind is NoteKind.SPILL else 0.0, 0)
-        if kind is NoteKind.PROGRESS and value > 0.0 and send.out and self.gateway.allowed.notes_every:
+            if self.gateway.allowed.may_cancel and send.out and free and self.gateway.worth_more(self):
+                self.gateway.transport.cancel_attempt(self.arrival.index, dispatch)
+        self.gateway.learn(self, send.engine, 0, send.grant + value if kind is ProgressKind.SPILL else 0.0, 0)
+        if (
+            kind is ProgressKind.PROGRESS
+            and value > 0.0
+            and send.out
+            and self.gateway.allowed.progress_interval
+        ):
             self.gateway.progressed(self, dispatch, now - send.sent, value)
 
-    def left(self) -> None:
+    def client_left(self) -> None:
         self.over = True
         self.gateway.unearned(self.arrival)
-        for dispatch in [n for n, send in enumerate(self.sends) if send.out and self.gateway.allowed.cancel]:
-            self.gateway.transport.cancel(self.arrival.index, dispatch)  # withdrawn by the hundred
+        for dispatch in [
+            n for n, send in enumerate(self.sends) if send.out and self.gateway.allowed.may_cancel
+        ]:
+            self.gateway.transport.cancel_attempt(self.arrival.index, dispatch)  # withdrawn by the hundred
         self.gateway.finished(self)
 
 
@@ -450,49 +484,67 @@
     FEW, SIGN, AWAY, SPAN = 8, 200 * MILLISECOND, SECOND, 10 * SECOND  # departure: a few tell what comes
 
     def __init__(self, transport: Transport, seed: int, settings: GatewaySettings) -> None:
-        groups, place, allowed = settings.groups, settings.place, settings.allowed
-        self.transport, self._groups, self._kinds, self._place = transport, groups, settings.kinds, place
-        self.allowed, self._cold = allowed, settings.cold
+        groups, place, allowed = settings.service_classes, settings.position, settings.capabilities
+        self.transport, self._groups, self._kinds, self._place = (
+            transport,
+            groups,
+            settings.machine_kinds,
+            place,
+        )
+        self.allowed, self._cold = allowed, settings.slow_start
         self._margin = 2 * settings.tick + BEAT + 1  # before a time limit
-        self.waits = any(group.waits_for_loads for group in groups)
-        self._peaks = Peaks(len(groups), allowed.shortage is Shortage.PAGE)
-        self.pace, self._ration = Pace(groups), Ration(settings.ration)
-        self.turns, self.line = Turns(settings.order_pause), Line()
-        self._door = Door(min(group.goal for group in groups))
+        self.waits = any(group.waits_for_data_loads for group in groups)
+        self._peaks = Peaks(len(groups), allowed.memory_shortage is MemoryShortage.PAGE)
+        self.pace, self._ration = Pace(groups), Ration(settings.retry_budget)
+        self.turns, self.line = Turns(settings.order_key_pause), Line()
+        self._door = Door(min(group.latency_objective for group in groups))
         self.order, self._looked_after = Order[Engine](), dict[int, Engine]()  # as preferred; unsound
-        self._picker = Picker(random.Random(seed), place.location, self.waits, self.order.names)
-        self._limits, self.out = list[tuple[int, Batch]](), dict[int, tuple[Batch, int]]()  # all that are out
+        self._picker = Picker(random.Random(seed), place.zone, self.waits, self.order.names)
+        self._limits, self.out = list[tuple[int, Query]](), dict[int, tuple[Query, int]]()  # all that are out
         self._engines, self._off = dict[int, Engine](), dict[int, Engine]()  # off the list, but in use
-        self.pool, self._usual, self._rank, self.slice = Ledger(0.0, 0), 1.0, 0, 1.0 / place.gateways
+        self.pool, self._usual, self._rank, self.slice = Ledger(0.0, 0), 1.0, 0, 1.0 / place.gateway_count
         self.notes, self._retired, self._before = False, False, dict[str, Engine]()  # notes came; see succeed
-        self._kept_part, self._offered, self._wanted = 1.0, Ring(self.LATELY, 1), 0.0  # the rest is proxies'
-        self._needs, self._beat_at, self._born = {place.number: (NEVER, 0.0)}, transport.now, transport.now
-        self._lost, self._due = Ring(10 * SECOND, 1), 0  # answers; reports that the line awaits for a beat
-        self._every = 1 << min(2, place.gateways // self.MANY)  # beats between looks at the line and engines
+        self._kept_part, self._offered, self._wanted = (
+            1.0,
+            SlidingSums(self.LATELY, 1),
+            0.0,
+        )  # the rest is proxies'
+        self._needs, self._beat_at, self._born = {place.index: (NEVER, 0.0)}, transport.now, transport.now
+        self._lost, self._due = (
+            SlidingSums(10 * SECOND, 1),
+            0,
+        )  # answers; reports that the line awaits for a beat
+        self._every = 1 << min(
+            2, place.gateway_count // self.MANY
+        )  # beats between looks at the line and engines
         self._beats, self._faults, self._pace = 0, 0.0, 0.0  # the usual of engines
-        self.stake = min((g.utility for g in groups if g.effect is Effect.REPEATABLE), default=0.0)
+        self.stake = min((g.value for g in groups if g.idempotency is Idempotency.IDEMPOTENT), default=0.0)
         transport.call_later(BEAT, self._beat)
-        if allowed.on_request:
-            transport.subscribe()
+        if allowed.subscribes_to_list:
+            transport.subscribe_to_engine_list()
 
-    def listed(self, entries: Sequence[EngineEntry], whole: bool) -> None:
-        for index in sorted(self._engines.keys() - {entry.engine for entry in entries}) if whole else ():
+    def update_engines(self, entries: Sequence[EngineEntry], complete: bool) -> None:
+        for index in sorted(self._engines.keys() - {entry.index for entry in entries}) if complete else ():
             self._list(self._engines[index], False)
-        for entry in (e for e in entries if e.engine in self._engines or not self._retired):
-            if entry.engine not in self._engines:
-                kind = self._kinds[entry.kind] if entry.kind < len(self._kinds) else MachineKind(1, 0.0)
-                large = max(group.goal * group.threads for group in self._groups) / 8
+        for entry in (e for e in entries if e.index in self._engines or not self._retired):
+            if entry.index not in self._engines:
+                kind = (
+                    self._kinds[entry.machine_kind]
+                    if entry.machine_kind < len(self._kinds)
+                    else MachineKind(1, 0.0)
+                )
+                large = max(group.latency_objective * group.threads for group in self._groups) / 8
                 ramp = Ramp(self._cold, entry.name, kind.cores, self._place, large, self._born)
-                engine = Engine(entry, kind, ramp, self.allowed.asks)
-                self._engines[entry.engine] = self._off[entry.engine] = engine
-            engine = self._engines[entry.engine]
+                engine = Engine(entry, kind, ramp, self.allowed.polls_load)
+                self._engines[entry.index] = self._off[entry.index] = engine
+            engine = self._engines[entry.index]
             if entry.name in self._before:
                 engine.inherit(self.transport.now, self._before.pop(entry.name))
-                self._looked_after[entry.engine] = engine
-            if entry.started > engine.ramp.began:
-                engine.ramp.began = entry.started
+                self._looked_after[entry.index] = engine
+            if entry.started_at > engine.ramp.began:
+                engine.ramp.began = entry.started_at
                 engine.health.heard(self.transport.now)
-            if not Bounds((entry.location,), (entry.kind,), entry.cell).admits(engine.entry):
+            if not PlacementConstraints((entry.zone,), (entry.machine_kind,), entry.cell).allow(engine.entry):
                 self._list(engine, False)  # elsewhere now: in other lines of the index
             engine.entry = entry
             self._list(engine, entry.state is EngineState.UP)
@@ -509,28 +561,30 @@
         if engine.listed == listed:
             return
         engine.listed = listed
-        self._off.pop(engine.entry.engine) if listed else self._off.update({engine.entry.engine: engine})
-        (self.order.put if listed else self.order.drop)(scatter(name, self._place.number), engine)
+        self._off.pop(engine.entry.index) if listed else self._off.update({engine.entry.index: engine})
+        (self.order.put if listed else self.order.drop)(stable_hash(name, self._place.index), engine)
 
     def _ask(self, now: int) -> None:
         """Departure: where engines report only when probed, the one kept that was longest not asked is."""
-        if self.allowed.asks and (kept := list(self._kept(ANY))):
+        if self.allowed.polls_load and (kept := list(self._kept(ANY))):
             engine, self._due = min(kept, key=lambda e: e.asked), self._due + 1
             engine.asked = now
-            self.transport.probe(engine.entry.engine)
+            self.transport.probe_engine(engine.entry.index)
 
-    def reported(self, index: int, outcome: Outcome, report: LoadReport | None) -> None:  # of a probe
+    def probe_completed(self, index: int, outcome: Outcome, report: LoadReport | None) -> None:  # of a probe
         engine, self._due = self._engines.get(index), max(0, self._due - 1)
-        if engine is not None and outcome in SPOKEN:
+        if engine is not None and outcome in ENGINE_RESPONDED:
             self.heard(engine, report)
         self.line.serve(self.admit)
 
-    def list_failed(self) -> None:
-        self.transport.call_later(SECOND, self.transport.subscribe)
+    def engine_list_failed(self) -> None:
+        self.transport.call_later(SECOND, self.transport.subscribe_to_engine_list)
 
-    def _kept(self, bounds: Bounds) -> Iterator[Engine]:  # the first of use in our order, and the sick passed
+    def _kept(
+        self, bounds: PlacementConstraints
+    ) -> Iterator[Engine]:  # the first of use in our order, and the sick passed
         sound, now = 0, self.transport.now
-        most = max(self.KEPT, self.COVER * len(self.order) / self._place.gateways, self.pool.running)
+        most = max(self.KEPT, self.COVER * len(self.order) / self._place.gateway_count, self.pool.running)
         for _, _, engine in self.order.within(bounds):
             if engine.entry.weight > 0.0:  # departure: at a weight of 0 nothing new
                 yield engine
@@ -538,13 +592,13 @@
                 if sound >= most:
                     return
 
-    def take(self, arrival: Arrival) -> Batch:
-        now, group, self._rank = self.transport.now, self._groups[arrival.group], self._rank + 1
-        batch = Batch(self, arrival, group, self._rank)
-        self._ration.ring.add(now, 0 if arrival.spare else 1, 0, 0)
-        self._offered.add(now, self.pace.weight(arrival.group, arrival.cost))
-        work = self.pace.work(arrival.group, arrival.cost)
-        if not self._door.admits(group.utility, work) or arrival.time_limit <= now + self._margin:
+    def submit(self, arrival: QueryArrival) -> Query:
+        now, group, self._rank = self.transport.now, self._groups[arrival.service_class], self._rank + 1
+        batch = Query(self, arrival, group, self._rank)
+        self._ration.ring.add(now, 0 if arrival.earns_no_retries else 1, 0, 0)
+        self._offered.add(now, self.pace.weight(arrival.service_class, arrival.estimated_cost))
+        work = self.pace.work(arrival.service_class, arrival.estimated_cost)
+        if not self._door.admits(group.value, work) or arrival.deadline <= now + self._margin:
             self.give_up(batch)
             return batch
         if batch.key is not None:
@@ -555,14 +609,16 @@
             self.hold(batch, batch.key is None or self.turns.next(now, batch.key) == (batch, 0))
         return batch
 
-    def unearned(self, arrival: Arrival) -> None:  # many may come and leave at once: they earn no attempts
-        self._ration.ring.add(self.transport.now, 0, 0, 0 if arrival.spare else 1)
+    def unearned(
+        self, arrival: QueryArrival
+    ) -> None:  # many may come and leave at once: they earn no attempts
+        self._ration.ring.add(self.transport.now, 0, 0, 0 if arrival.earns_no_retries else 1)
 
     def _thin(self, key: int) -> None:
         """Departure: of batches of one key that cannot all end within their goals the longest is given up."""
-        end, kept = float(self.transport.now), list[tuple[float, int, Batch]]()
+        end, kept = float(self.transport.now), list[tuple[float, int, Query]]()
         for batch in [batch for batch in self.turns.queues[key] if not batch.over]:
-            run = self.pace.run(self.transport.now, batch.arrival.group, batch.arrival.cost)
+            run = self.pace.run(self.transport.now, batch.arrival.service_class, batch.arrival.estimated_cost)
             end = max(end, batch.sends[-1].sent + run) if batch.sends else end + run
             if not batch.sends:
                 heapq.heappush(kept, (-run, -batch.rank, batch))
@@ -570,16 +626,20 @@
                     end += kept[0][0]
                     self.give_up(heapq.heappop(kept)[2])
 
-    def admit(self, batch: Batch) -> bool:
+    def admit(self, batch: Query) -> bool:
         """The ordinary path: size, fit, draw, send. False: none fits, and the batch waits holding nothing."""
         now, arrival, threads, usual = self.transport.now, batch.arrival, batch.threads, self._usual
-        weight = self.pace.weight(arrival.group, arrival.cost)
+        weight = self.pace.weight(arrival.service_class, arrival.estimated_cost)
         able = [e for e in self._kept(batch.bound_to()) if self._able(now, batch, e, weight)]
         if not able or batch.sends and not self._ration.allows(now, batch.little):
             return False
-        cap = min(e.ledger.memory for e in able) * min(1.0 / 3.0, self.allowed.most_grant)
-        grant = self._peaks.size(now, arrival.group, arrival.tables, arrival.memory, cap)
-        holds = self._peaks.holds(now, arrival.group, arrival.tables, arrival.memory, grant)
+        cap = min(e.ledger.memory for e in able) * min(1.0 / 3.0, self.allowed.max_grant_share)
+        grant = self._peaks.size(
+            now, arrival.service_class, arrival.table_group, arrival.estimated_memory, cap
+        )
+        holds = self._peaks.holds(
+            now, arrival.service_class, arrival.table_group, arrival.estimated_memory, grant
+        )
         own = self.slice * self._kept_part
         pooled = not self.pool.running or self.pool.fits(holds, threads, own)
         parts = [(e.ours(now, usual, own, self._wanted), e) for e in able]
@@ -590,53 +650,62 @@
         ]
         if not fitting:
             part, freest = max(parts, key=lambda pair: pair[1].ledger.room(pair[0]))
-            bound = min(self.WAIT_BOUND, (arrival.time_limit - batch.taken) // 2)
+            bound = min(self.WAIT_BOUND, (arrival.deadline - batch.taken) // 2)
             cut = max(holds * self.CUT, min(holds, freest.ledger.room(part)))
             if now - batch.held_since < bound or not freest.ledger.fits(cut, threads, part):
                 return False
             fitting, grant, holds = [freest], min(grant, cut), cut
         engine = self._picker.draw(now, fitting, batch, usual)
-        light = self.pace.alone(arrival.group, arrival.cost) < batch.group.goal / 4  # soon wanted
-        self.transport.grant(arrival.index, round(grant), 2 if light and self.allowed.priorities else 1)
+        light = (
+            self.pace.alone(arrival.service_class, arrival.estimated_cost) < batch.group.latency_objective / 4
+        )  # soon wanted
+        self.transport.grant_memory(
+            arrival.index, round(grant), 2 if light and self.allowed.sends_priorities else 1
+        )
         self._ration.ring.add(now, 0, 1 if batch.sends else 0, 0)
-        run = self.pace.run(now, arrival.group, arrival.cost)
-        send = Dispatch(engine, grant, holds, now, now)
+        run = self.pace.run(now, arrival.service_class, arrival.estimated_cost)
+        send = Attempt(engine, grant, holds, now, now)
         self.out[id(send)] = batch, len(batch.sends)
         batch.sends.append(send)
         batch.held = False
         self.pool.change(holds, threads, 1)
         engine.ledger.change(holds, threads, 1)
         engine.ramp.sent.add(now, weight)
-        engine.health.sent(now, id(send), run, 0.2 if batch.group.meets_loads() else 1.0)  # may stand still
-        self._looked_after[engine.entry.engine] = engine
-        self.transport.dispatch(arrival.index, engine.entry.engine, self._time_out(now, batch, run))
+        engine.health.sent(
+            now, id(send), run, 0.2 if batch.group.meets_data_loads() else 1.0
+        )  # may stand still
+        self._looked_after[engine.entry.index] = engine
+        self.transport.send_attempt(arrival.index, engine.entry.index, self._time_out(now, batch, run))
         return True
 
-    def _able(self, now: int, batch: Batch, engine: Engine, weight: float) -> bool:
+    def _able(self, now: int, batch: Query, engine: Engine, weight: float) -> bool:
         """Rules 2, 3, 4, 6; and health, or a trial with little at stake: one repeatable batch at a time."""
         if now >= batch.allowed_until() or not engine.ramp.allows(now, weight, self._kept_part):
             return False
-        keepers = max(1.0, self._place.gateways * min(1.0, self.KEPT / len(self.order)) / self.TRIERS)
+        keepers = max(1.0, self._place.gateway_count * min(1.0, self.KEPT / len(self.order)) / self.TRIERS)
         waited = now - engine.health.tried >= SECOND * keepers
         return engine.health.level >= Health.LOW or batch.little and not engine.ledger.running and waited
 
-    def _time_out(self, now: int, batch: Batch, run: float) -> int:
+    def _time_out(self, now: int, batch: Query, run: float) -> int:
         """Until the limit, unless an early end would be conclusive and leave time for another dispatch."""
-        left, early = batch.arrival.time_limit - now - self._margin + BEAT, (batch.goal_at - now) * 0.7
-        last = batch.group.effect is Effect.ONCE_ONLY or len(batch.sends) >= self.allowed.most_dispatches
-        spread = self.pace.told[batch.arrival.group].spread()
+        left, early = batch.arrival.deadline - now - self._margin + BEAT, (batch.goal_at - now) * 0.7
+        last = (
+            batch.group.idempotency is Idempotency.NON_IDEMPOTENT
+            or len(batch.sends) >= self.allowed.max_attempts
+        )
+        spread = self.pace.told[batch.arrival.service_class].spread()
         lossy = self._lost.total(now, 0) > 1 + self.LOSSY * self._ration.ring.total(now, 0)
         sure = run * max(0.0 if lossy else 4.0, math.exp(spread * (1.5 if lossy else 2.5)))
         if lossy:
-            early, until = max(early, sure), left if batch.group.late_utility else batch.goal_at - now
+            early, until = max(early, sure), left if batch.group.late_value else batch.goal_at - now
             last = last or early + run / 2 > until
         return max(1, left if last or sure > early else min(left, int(early)))
 
-    def hold(self, batch: Batch, in_turn: bool = True) -> None:
+    def hold(self, batch: Query, in_turn: bool = True) -> None:
         """Into the line by rank of arrival; a batch whose turn has not come waits beside it."""
         now, arrival, batch.held = self.transport.now, batch.arrival, True
-        run, batch.held_since = int(self.pace.run(now, arrival.group, arrival.cost)), now
-        batch.give_up_at = min(arrival.time_limit - self._margin, max(batch.goal_at - run, now + BEAT))
+        run, batch.held_since = int(self.pace.run(now, arrival.service_class, arrival.estimated_cost)), now
+        batch.give_up_at = min(arrival.deadline - self._margin, max(batch.goal_at - run, now + BEAT))
         batch.give_up_at = int(min(batch.give_up_at, batch.allowed_until()))  # nor stand in the way longer
         heapq.heappush(self._limits, (batch.give_up_at, batch))
         if in_turn and self.line.join(batch) and not self._due:
@@ -653,7 +722,7 @@
             batch = heapq.heappop(self._limits)[1]
             if batch.held and batch.give_up_at <= now:
                 self.give_up(batch)
-        if not self.done():
+        if not self.is_finished():
             self.transport.call_later(BEAT, self._beat)
 
     def _look_over(self, now: int, stalled: bool) -> None:
@@ -669,116 +738,152 @@
             if sick != (engine.health.level < Health.LOW):
                 self.transport.log(f"engine {engine.entry.name} {'back in use' if sick else 'held back'}")
             if engine.health.level >= 1.0 and not engine.ledger.running:
-                del self._looked_after[engine.entry.engine]
+                del self._looked_after[engine.entry.index]
         for batch, dispatch in list(self.out.values()) if self.notes and not stalled else ():
             send = batch.sends[dispatch]
-            if not send.waits and now - send.heard > self.allowed.notes_every + Health.QUIET:
-                if self.allowed.cancel:
-                    self.transport.cancel(batch.arrival.index, dispatch)
+            if not send.waits and now - send.heard > self.allowed.progress_interval + Health.QUIET:
+                if self.allowed.may_cancel:
+                    self.transport.cancel_attempt(batch.arrival.index, dispatch)
                 elif not send.lost:
                     self.release(batch, send)
                     self._lost.add(now, 1)
         self.line.serve(self.admit)
-        few = self.allowed.peers and 1 < self._place.gateways <= self.FEW
+        few = self.allowed.may_gossip and 1 < self._place.gateway_count <= self.FEW
         offered = self._offered.total(now, 0) / self.LATELY  # beside the cores at half of their threads
         self._wanted = 0.0 if few else min(1.0, offered / (self.pool.cores * Ledger.WIDTH / 2.0))
-        if few and now - self._needs[self._place.number][0] >= self.SIGN:
+        if few and now - self._needs[self._place.index][0] >= self.SIGN:
             own = 1.0 + self._ration.ring.total(now, 0) / min(1.0, (now - self._born + SECOND) / self.SPAN)
-            self._needs[self._place.number] = now, own
+            self._needs[self._place.index] = now, own
             there = [need for at, need in self._needs.values() if stalled or now - at <= self.AWAY]
-            self.slice = own / (sum(there) + own * (self._place.gateways - len(self._needs)))
-            self.transport.tell(None, int(own).to_bytes(4, "big"))
+            self.slice = own / (sum(there) + own * (self._place.gateway_count - len(self._needs)))
+            self.transport.send_to_peers(None, int(own).to_bytes(4, "big"))
         if self._beats % 4 == 0:
             self._door.look(0 if stalled else self.line.wait(now))
 
-    def done(self) -> bool:  # succeeded by another, and all that it took has ended
+    def is_finished(self) -> bool:  # succeeded by another, and all that it took has ended
         return self._retired and not self.out and not self._limits
 
-    def succeed(self, old: Gateway) -> None:
+    def take_over(self, old: Gateway) -> None:
         """Takes over under other settings; the old one ends what it took."""
         self._before, old._retired = {e.entry.name: e for e in old._engines.values()}, True
         old.turns.pause, self.notes = self.turns.pause, old.notes
         self.turns = old.turns
-        if self._ration.terms.span == old._ration.terms.span:
+        if self._ration.terms.window == old._ration.terms.window:
             self._ration.ring = old._ration.ring
         rows = {(group.name, group.threads): row for row, group in enumerate(old._groups)}
         for row, group in enumerate(self._groups):
             if (was := rows.get((group.name, group.threads))) is not None:
                 self._peaks.told[row] = old._peaks.told[was]
                 self.pace.told[row], self.pace.ran[row] = old.pace.told[was], old.pace.ran[was]
-        self.listed([e.entry for e in old._engines.values() if e.listed], True)
+        self.update_engines([e.entry for e in old._engines.values() if e.listed], True)
 
-    def heard_from(self, gateway: int, need: bytes) -> None:
+    def receive_from_peer(self, gateway: int, need: bytes) -> None:
         self._needs[gateway] = self.transport.now, float(int.from_bytes(need[:4], "big"))
 
-    def hand(self, part: float) -> None:  # of our slices and budgets of cold engines, to proxies
+    def set_proxy_share(self, part: float) -> None:  # of our slices and budgets of cold engines, to proxies
         self._kept_part = 1.0 - part
 
-    def proxied(self, engine: int, running: float, ended: float, errors: float) -> None:  # since last
+    def update_proxy_load(
+        self, engine: int, running: float, ended: float, errors: float
+    ) -> None:  # since last
         if (told := self._engines.get(engine)) is not None:
             told.proxied, told.proxied_at = running / (told.ledger.cores * Ledger.WIDTH), self.transport.now
             told.health.told(self.transport.now, ended, errors)
             self._looked_after[engine] = told
 
-    def usual_grant(self, group: int) -> float:  # where nothing is told of a batch; 0: unknown
+    def typical_grant(self, group: int) -> float:  # where nothing is told of a batch; 0: unknown
         return self._peaks.size(self.transport.now, group, -1, 0.0, math.inf)
 
-    def shed(self, group: int) -> float:  # the part that the door turns away now: all but few, or none
-        low = self._groups[group].utility / max(1.0, self.pace.weight(group, 0)) < self._door.bar
+    def shed_share(self, group: int) -> float:  # the part that the door turns away now: all but few, or none
+        low = self._groups[group].value / max(1.0, self.pace.weight(group, 0)) < self._door.bar
         return self._door.share if low else 0.0
 
+    def queue_wait(self) -> int:
+        """How long the first query in the admission queue has waited; 0 where none waits."""
+        return self.line.wait(self.transport.now)
+
+    def held_share(self) -> float:
+        """The part of all engines that our grants and threads fill."""
+        return self.pool.used()
+
+    def idle_shares(self) -> dict[int, float]:
+        """The part of each listed engine that nobody holds, as far as it was reported."""
+        return {e.entry.index: max(0.0, 1.0 - e.told - e.ledger.used()) for _, _, e in self.order.all}
+
+    def engine_statuses(self) -> list[EngineStatus]:
+        """How each listed engine is seen."""
+        now = self.transport.now
+        return [
+            EngineStatus(
+                entry=e.entry,
+                health=e.health.level,
+                usable=e.health.level >= Health.LOW,
+                warmed_up=e.ramp.warm(now),
+                ramped_here=e.ramp.mine,
+                ramp_share=e.ramp.share(now),
+                capacity_share=e.health.level * min(1.0, e.entry.weight) * self.slice,
+                memory=e.ledger.memory,
+                cores=e.ledger.cores,
+            )
+            for _, _, e in self.order.all
+        ]
+
     def heard(self, engine: Engine, report: LoadReport | None) -> None:
         engine.heard(self.transport.now, report, max(1.0, self.pool.threads / max(1, self.pool.running)))
-        self._usual += (engine.told - self._usual) / 20 if report or not self.allowed.asks else 0.0
+        self._usual += (engine.told - self._usual) / 20 if report or not self.allowed.polls_load else 0.0
 
-    def release(self, batch: Batch, send: Dispatch[Engine]) -> None:  # what it holds of its engine
+    def release(self, batch: Query, send: Attempt[Engine]) -> None:  # what it holds of its engine
         if not send.lost:
             self.pool.change(-send.holds, -batch.threads, -1)
             send.engine.ledger.change(-send.holds, -batch.threads, -1)
             send.lost = True
 
-    def learn(self, batch: Batch, engine: Engine, work: int, memory: float, lasted: int) -> None:
+    def learn(self, batch: Query, engine: Engine, work: int, memory: float, lasted: int) -> None:
         now, arrival = self.transport.now, batch.arrival
         if work:
-            self.pace.learn(now, arrival.group, arrival.cost, work, lasted)
+            self.pace.learn(now, arrival.service_class, arrival.estimated_cost, work, lasted)
             if batch.threads == batch.group.threads:  # else it may have stood still behind a load
                 engine.health.ran(engine.ramp.share(now) * lasted * batch.threads / work, 1.0)
         if memory:
-            self._peaks.learn(now, arrival.group, arrival.tables, arrival.memory, memory)
-        if batch.group.is_load and lasted:
-            self._peaks.loaded(arrival.tables)
+            self._peaks.learn(
+                now, arrival.service_class, arrival.table_group, arrival.estimated_memory, memory
+            )
+        if batch.group.is_data_load and lasted:
+            self._peaks.loaded(arrival.table_group)
 
-    def worth_more(self, batch: Batch) -> bool:  # whether another dispatch may go, and could earn something
+    def worth_more(self, batch: Query) -> bool:  # whether another dispatch may go, and could earn something
         now, arrival = self.transport.now, batch.arrival
-        until = arrival.time_limit - self._margin if batch.group.late_utility else batch.goal_at
+        until = arrival.deadline - self._margin if batch.group.late_value else batch.goal_at
         return (
-            len(batch.sends) < self.allowed.most_dispatches
+            len(batch.sends) < self.allowed.max_attempts
             and self._ration.allows(now, batch.little)
-            and now + self.pace.run(now, arrival.group, arrival.cost) / 2 < until
+            and now + self.pace.run(now, arrival.service_class, arrival.estimated_cost) / 2 < until
             and now < batch.allowed_until()
             and any(True for _ in self._kept(batch.bound_to()))
         )
 
-    def progressed(self, batch: Batch, dispatch: int, lasted: int, share: float) -> None:
+    def progressed(self, batch: Query, dispatch: int, lasted: int, share: float) -> None:
         """Ends a dispatch that another would overtake by far, or that would not answer its batch in time."""
-        now, cost = self.transport.now, (batch.arrival.group, batch.arrival.cost)
+        now, cost = self.transport.now, (batch.arrival.service_class, batch.arrival.estimated_cost)
         run, left = self.pace.run(now, *cost), lasted * (1.0 - share) / share
         engine, self.notes = batch.sends[dispatch].engine, True
         engine.health.ran(engine.ramp.share(now) * lasted / share / self.pace.alone(*cost), 0.5)
         far = left > self.FAR * len(batch.sends) * run and self.worth_more(batch)
-        if self.allowed.cancel and (far or now + left > batch.arrival.time_limit):
-            self.transport.cancel(batch.arrival.index, dispatch)
+        if self.allowed.may_cancel and (far or now + left > batch.arrival.deadline):
+            self.transport.cancel_attempt(batch.arrival.index, dispatch)
 
-    def give_up(self, batch: Batch) -> None:  # the final answer, at once
+    def give_up(self, batch: Query) -> None:  # the final answer, at once
         batch.over = True
         if batch.harmless():
-            wait = min(self.RETRY_AFTER, self.allowed.longest_retry_time) if self.allowed.retry_times else 0
-            self.transport.push_back(batch.arrival.index, wait)
+            wait = (
+                min(self.RETRY_AFTER, self.allowed.max_retry_after) if self.allowed.sends_retry_after else 0
+            )
+            self.transport.reject(batch.arrival.index, wait)
         else:
-            self.transport.error(batch.arrival.index)
+            self.transport.fail(batch.arrival.index)
         self.finished(batch)
 
-    def finished(self, batch: Batch) -> None:
+    def finished(self, batch: Query) -> None:
         batch.held = False
         if batch.key is not None:
             following, rest = self.turns.next(self.transport.now, batch.key)
--- a/vanerelay/query_table.py
+++ b/vanerelay/query_table.py
@@ -4,25 +4,24 @@
 
 from typing import Generic, TypeVar
 
-from vanerelay.interface import Condition
-from vanerelay.policy.gateway import Batch, Gateway, Health
+from vanerelay.policy.gateway import Query
 
 
-class Held:
+class HeldQuery:
     """A query as its wire names it, its handle, and what is still to come for it."""
 
     __slots__ = ("batch", "ended", "index", "name", "out")
 
     def __init__(self, name: str) -> None:
         self.name, self.index, self.out = name, -1, 0
-        self.batch: Batch | None = None
+        self.batch: Query | None = None
         self.ended = False
 
 
-H = TypeVar("H", bound=Held)
+H = TypeVar("H", bound=HeldQuery)
 
 
-class Holding(Generic[H]):
+class QueryTable(Generic[H]):
     """All queries held, by a small index that is used again once nothing more can come for its query."""
 
     def __init__(self) -> None:
@@ -59,7 +58,7 @@
         return True
 
 
-class Names:
+class EngineNames:
     """Small indices for the names of engines, in the order met; none is ever used again for another."""
 
     def __init__(self) -> None:
@@ -86,32 +85,3 @@
     def forget(self, index: int) -> None:
         """Of an engine that is gone: should it come back, it gets another."""
         del self._indices[self._names.pop(index)]
-
-
-def waits(gateway: Gateway) -> int:
-    """For how long the first in the line has waited; 0: nobody does."""
-    return gateway.line.wait(gateway.transport.now)
-
-
-def idle(gateway: Gateway) -> dict[int, float]:
-    """What part of each listed engine nobody holds, as far as we were told."""
-    return {e.entry.engine: max(0.0, 1.0 - e.told - e.ledger.used()) for _, _, e in gateway.order.all}
-
-
-def conditions(gateway: Gateway) -> list[Condition]:
-    """How each listed engine is held, for those that hand our decisions on."""
-    now = gateway.transport.now
-    return [
-        Condition(
-            e.entry,
-            e.health.level,
-            e.health.level >= Health.LOW,
-            e.ramp.warm(now),
-            e.ramp.mine,
-            e.ramp.share(now),
-            e.health.level * min(1.0, e.entry.weight) * gateway.slice,
-            e.ledger.memory,
-            e.ledger.cores,
-        )
-        for _, _, e in gateway.order.all
-    ]
--- a/vanerelay/rollout/agent.py
+++ b/vanerelay/rollout/agent.py
@@ -11,13 +11,12 @@
 
 import structlog
 
-from vanerelay.extension import Host
+from vanerelay.extension import ExtensionHost
 from vanerelay.fleet import release
-from vanerelay.fleet.rpc import Refused
+from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.fleet.service import Fleet
-from vanerelay.query_table import conditions
 from vanerelay.rollout import messages
-from vanerelay.rollout.agent_store import Store
+from vanerelay.rollout.agent_store import AgentStore
 from vanerelay.rollout.canary_analysis import BUCKETS, bucket
 from vanerelay.rollout.fence import Fence, Order
 
@@ -29,7 +28,7 @@
 HELD_S = 0.5  # between readings of what is held at engines
 
 
-class Tally:
+class ClassTotals:
     """Sums of what became of batches, by service group."""
 
     def __init__(self) -> None:
@@ -56,10 +55,10 @@
         return {name: messages.Group(*one) for name, one in self.groups.items()}
 
 
-class Hand:
+class RolloutAgent:
     """Answers a controller, and does as it says."""
 
-    def __init__(self, host: Host, fleet: Fleet, tally: Tally, store: Store) -> None:
+    def __init__(self, host: ExtensionHost, fleet: Fleet, tally: ClassTotals, store: AgentStore) -> None:
         self._host, self._fleet, self._tally = host, fleet, tally
         self._memory = int(host.limits.get("memory_mb") or 192) * 2**20
         self._cores = float(host.limits.get("cores") or 1.0)
@@ -76,16 +75,16 @@
             self._fleet.say(orders=self.fence.told)
 
     def _read_held(self) -> None:
-        self._held += self._host.gateway.pool.used() * HELD_S
+        self._held += self._host.gateway.held_share() * HELD_S
         self._host.reactor.callLater(HELD_S, self._read_held)
 
     def _state(self, body: bytes) -> bytes:
-        asked = messages.unpack(body, messages.Asked)
+        asked = messages.decode(body, messages.Asked)
         own = self._fleet.alive.own
         figures = messages.Figures()
         if asked is None or asked.figures:
             usage = resource.getrusage(resource.RUSAGE_SELF)
-            away = sum(not condition.sound for condition in conditions(self._host.gateway))
+            away = sum(not condition.usable for condition in self._host.gateway.engine_statuses())
             figures = messages.Figures(
                 self._tally.told(),
                 self._resident() / self._memory,
@@ -93,7 +92,7 @@
                 away,
                 self._held,
             )
-        return messages.pack(
+        return messages.encode(
             messages.State(
                 own.name,
                 own.program,
@@ -110,9 +109,9 @@
         )
 
     def _order(self, body: bytes) -> bytes:
-        told = messages.unpack(body, messages.Order)
+        told = messages.decode(body, messages.Order)
         if told is None:
-            raise Refused("unreadable")
+            raise RequestRefusedError("unreadable")
         order, alive = Order(told.fence, told.name, told.number), self._fleet.alive
         alone = len(alive.members) == 1
         why = self.fence.refuses(order, alive.replaced, self._store.lasts or alive.has_joined or alone)
@@ -123,15 +122,15 @@
                 self._learn(self.fence.after(order))
         if why is not None:
             log.warning("order refused", change=told.name, fence=told.fence, why=why)
-            return messages.pack(messages.Taken(self.fence.highest, False, why=why))
+            return messages.encode(messages.Taken(self.fence.highest, False, why=why))
         self.fence.heed(order)
         if told.what == "claim":
-            return messages.pack(messages.Taken(self.fence.highest))
+            return messages.encode(messages.Taken(self.fence.highest))
         if told.what != "settings":
-            return messages.pack(
+            return messages.encode(
                 messages.Taken(self.fence.highest, False, why=f"a manager knows no {told.what}")
             )
-        return messages.pack(self._settings(told))
+        return messages.encode(self._settings(told))
 
     def _settings(self, told: messages.Order) -> messages.Taken:
         try:
@@ -139,10 +138,10 @@
         except ValueError as fault:
             return messages.Taken(self.fence.highest, False, True, f"settings: {fault}")
         try:
-            profile = release.with_own(settings, self._host.profile)
+            profile = release.with_own(settings, self._host.settings)
         except (TypeError, AttributeError) as fault:
             return messages.Taken(self.fence.highest, False, True, f"{type(fault).__name__}: {fault}")
-        why = self._host.settle(profile)
+        why = self._host.apply_settings(profile)
         if why is not None:
             return messages.Taken(self.fence.highest, False, True, why)
         why = self._store.ordered(settings)
--- a/vanerelay/rollout/agent_store.py
+++ b/vanerelay/rollout/agent_store.py
@@ -11,7 +11,7 @@
 FENCE, ORDERED = "fence", "ordered.json"
 
 
-class Store:
+class AgentStore:
     """What is kept of orders in a manager's folder; nothing where there is none. Files are whole or not
     there."""
 
--- a/vanerelay/rollout/canary_analysis.py
+++ b/vanerelay/rollout/canary_analysis.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from vanerelay.confidence import Spread, half_width
-from vanerelay.interface import SECOND, Span
+from vanerelay.confidence import RunningVariance, half_width
+from vanerelay.interface import SECOND, Duration
 
 MEASURES = ("utility", "errored", "pushed back", "late", "slow", "dispatches")
 BUCKETS = 48  # of latency, each a fifth over the one below, from 1 ms up
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class ClassCounts:
     """What became of one service group's batches at one manager: `met` in parts of the utility offered;
     `late`: answered past their goal or not at all; `times`: of those returned, by bucket of latency."""
 
@@ -51,13 +51,13 @@
     dispatches: int = 0
     times: tuple[int, ...] = ()
 
-    def __add__(self, other: Count) -> Count:
+    def __add__(self, other: ClassCounts) -> ClassCounts:
         times = (
             tuple(a + b for a, b in zip(self.times, other.times, strict=True))
             if (self.times and other.times)
             else self.times or other.times
         )
-        return Count(
+        return ClassCounts(
             self.ended + other.ended,
             self.met + other.met,
             self.errored + other.errored,
@@ -69,12 +69,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class GatewaySample:
     """One manager in one slice. `memory` in parts of its limit; `away`: engines that it does not reach;
     `held`: what it holds of engines, for each batch a second; `deaths`: ends of its process nobody
     ordered."""
 
-    counts: Mapping[str, Count]
+    counts: Mapping[str, ClassCounts]
     memory: float = 0.0
     away: int = 0
     held: float = 0.0
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class AnalysisTerms:
     """`chance`: of a false stop over the whole change; `stages`: how many there are; `block`: batches on the
     new side that make a block; `least`: blocks before anything passes; `longest`: of a stage, from which on
     it is held; `settle`: after a change, not judged; `slice`: how often figures are taken."""
@@ -100,12 +100,12 @@
     stages: int = 3
     block: int = 40
     least: int = 8
-    longest: Span = 600 * SECOND
-    settle: Span = 3 * SECOND
-    slice: Span = SECOND
+    longest: Duration = 600 * SECOND
+    settle: Duration = 3 * SECOND
+    slice: Duration = SECOND
 
 
-class Word(Enum):
+class Assessment(Enum):
     FINE = "fine"
     WORSE = "worse"
     WAIT = "wait"
@@ -115,11 +115,11 @@
 class Verdict:
     """`why`: of WORSE, which figure by how much; of WAIT, what is missing."""
 
-    word: Word
+    word: Assessment
     why: tuple[str, ...] = ()
 
 
-def value(measure: str, count: Count, slow_from: int) -> float | None:
+def value(measure: str, count: ClassCounts, slow_from: int) -> float | None:
     """Of one measure, 0 the best; None where nothing can be said."""
     if not count.ended:
         return None
@@ -149,25 +149,28 @@
 class _Series:
     """One measure of one group: differences block by block, and the noise that counting alone makes."""
 
-    differences: Spread = field(default_factory=Spread)
+    differences: RunningVariance = field(default_factory=RunningVariance)
     counted: float = 0.0  # variance of a difference by the number of batches alone, the mean over blocks
 
 
-class Judge:
+class CanaryAnalysis:
     """Of one whole change. `before` while nothing is changed yet, `during` a stage, `began` with each
     stage."""
 
-    def __init__(self, guards: Mapping[str, Guard], terms: Terms) -> None:
+    def __init__(self, guards: Mapping[str, Guard], terms: AnalysisTerms) -> None:
         """`guards` by service group, those that are to be judged."""
         self._guards, self.terms = guards, terms
         # One chance for each comparison that can stop the change.
         self._chance = terms.chance / (terms.stages * (len(guards) * len(MEASURES) + 3))
-        self._was = defaultdict[tuple[str, str, str], Spread](
-            Spread
+        self._was = defaultdict[tuple[str, str, str], RunningVariance](
+            RunningVariance
         )  # manager, group, measure: beside the rest
-        self._times = defaultdict[str, Count](Count)  # before, by group
-        self._was_held, self._was_utility = Spread(), defaultdict[str, Spread](Spread)
-        self._waiting = defaultdict[str, dict[str, Count]](dict)  # manager: its block in the making
+        self._times = defaultdict[str, ClassCounts](ClassCounts)  # before, by group
+        self._was_held, self._was_utility = (
+            RunningVariance(),
+            defaultdict[str, RunningVariance](RunningVariance),
+        )
+        self._waiting = defaultdict[str, dict[str, ClassCounts]](dict)  # manager: its block in the making
         self._slices = 0
         self.began(0)
 
@@ -175,43 +178,47 @@
         """Another stage: what is judged is judged afresh, by its own share of the chance."""
         self._since = now
         self._series = defaultdict[tuple[str, str], _Series](_Series)
-        self._now_utility = defaultdict[str, Spread](Spread)
-        self._blocks = defaultdict[str, tuple[Count, Count]](lambda: (Count(), Count()))
+        self._now_utility = defaultdict[str, RunningVariance](RunningVariance)
+        self._blocks = defaultdict[str, tuple[ClassCounts, ClassCounts]](
+            lambda: (ClassCounts(), ClassCounts())
+        )
         self._done = defaultdict[str, int](int)
         self._deaths = [0, 0]
         self._exposed = [0, 0]
-        self._memory = (Spread(), Spread())
+        self._memory = (RunningVariance(), RunningVariance())
         self._first_memory = dict[str, float]()
         self._grown = dict[str, tuple[bool, float]]()
-        self._held = (Spread(), Spread())
+        self._held = (RunningVariance(), RunningVariance())
         self._apart = 0.0
         self._heard = self._left_alone = False
 
     # Before.
 
-    def before(self, seen: Mapping[str, Seen]) -> None:
+    def before(self, seen: Mapping[str, GatewaySample]) -> None:
         """A slice with nothing changed: how each manager does beside the rest, of itself."""
         for name, one in seen.items():
             for group in self._guards:
-                count = one.counts.get(group, Count())
+                count = one.counts.get(group, ClassCounts())
                 self._times[group] = self._times[group] + count
-                self._waiting[name][group] = self._waiting[name].get(group, Count()) + count
+                self._waiting[name][group] = self._waiting[name].get(group, ClassCounts()) + count
             if one.held:
                 self._was_held.add(one.held)
         self._slices += 1
         blocks = [
-            sum((waiting.get(group, Count()).ended for waiting in self._waiting.values()), 0)
+            sum((waiting.get(group, ClassCounts()).ended for waiting in self._waiting.values()), 0)
             for group in self._guards
         ]
         if not blocks or min(blocks) < self.terms.block * max(2, len(seen)):
             return
         for group in self._guards:
             slow = self._slow_from(group)
-            whole = sum((waiting.get(group, Count()) for waiting in self._waiting.values()), Count())
+            whole = sum(
+                (waiting.get(group, ClassCounts()) for waiting in self._waiting.values()), ClassCounts()
+            )
             for measure in MEASURES:
                 usual = value(measure, whole, slow)
                 for name, waiting in self._waiting.items():
-                    own = value(measure, waiting.get(group, Count()), slow)
+                    own = value(measure, waiting.get(group, ClassCounts()), slow)
                     if own is not None and usual is not None:
                         self._was[name, group, measure].add(own - usual)
             usual_utility = value("utility", whole, slow)
@@ -232,11 +239,11 @@
 
     def restore(self, told: Baseline) -> None:
         for name, group, measure, number, mean, variance in told.beside:
-            self._was[name, group, measure] = Spread.of(number, mean, variance)
+            self._was[name, group, measure] = RunningVariance.of(number, mean, variance)
         for group, times in told.times.items():
-            self._times[group] = Count(sum(times), times=tuple(times))
+            self._times[group] = ClassCounts(sum(times), times=tuple(times))
         for group, known in told.utility.items():
-            self._was_utility[group] = Spread.of(*known)
+            self._was_utility[group] = RunningVariance.of(*known)
 
     def _slow_from(self, group: str) -> int:
         """The bucket past which batches of the group were slow before."""
@@ -253,7 +260,7 @@
     def during(
         self,
         now: int,
-        seen: Mapping[str, Seen],
+        seen: Mapping[str, GatewaySample],
         new: Collection[str],
         old: Collection[str],
         alone: bool = False,
@@ -286,32 +293,34 @@
         means = [sum(one.away for one in side) / len(side) for side in sides]
         self._apart = 0.7 * self._apart + 0.3 * (means[0] - means[1])
         for group in self._guards:
-            added = [sum((one.counts.get(group, Count()) for one in side), Count()) for side in sides]
+            added = [
+                sum((one.counts.get(group, ClassCounts()) for one in side), ClassCounts()) for side in sides
+            ]
             mine, theirs = self._blocks[group]
             block = (mine + added[0], theirs + added[1])
             if min(block[0].ended, block[1].ended) < self.terms.block:
                 self._blocks[group] = block
                 continue
-            self._blocks[group] = (Count(), Count())
+            self._blocks[group] = (ClassCounts(), ClassCounts())
             self._done[group] += 1
             self._close(group, block, [name for name in new if name in seen])
 
-    def _alone(self, side: Collection[Seen]) -> None:
+    def _alone(self, side: Collection[GatewaySample]) -> None:
         """Nobody to compare with: what can be seen is whether all do worse than before the stage, and
         processes."""
         self._heard = True
         for group in self._guards:
-            mine = sum((one.counts.get(group, Count()) for one in side), self._blocks[group][0])
+            mine = sum((one.counts.get(group, ClassCounts()) for one in side), self._blocks[group][0])
             if mine.ended < self.terms.block:
-                self._blocks[group] = (mine, Count())
+                self._blocks[group] = (mine, ClassCounts())
                 continue
-            self._blocks[group] = (Count(), Count())
+            self._blocks[group] = (ClassCounts(), ClassCounts())
             self._done[group] += 1
             utility = value("utility", mine, 0)
             if utility is not None:
                 self._now_utility[group].add(utility)
 
-    def _close(self, group: str, block: tuple[Count, Count], new: Collection[str]) -> None:
+    def _close(self, group: str, block: tuple[ClassCounts, ClassCounts], new: Collection[str]) -> None:
         slow = self._slow_from(group)
         for measure in MEASURES:
             values = [value(measure, count, slow) for count in block]
@@ -364,10 +373,10 @@
         if crowded:
             worse.append(crowded)
         if worse:
-            return Verdict(Word.WORSE, tuple(worse))
+            return Verdict(Assessment.WORSE, tuple(worse))
         if not self._heard:
             missing.append("no figures of both sides at the same time yet")
-        return Verdict(Word.WAIT, tuple(missing)) if missing else Verdict(Word.FINE)
+        return Verdict(Assessment.WAIT, tuple(missing)) if missing else Verdict(Assessment.FINE)
 
     def _stands(self, group: str, measure: str, series: _Series, new: Collection[str]) -> tuple[float, float]:
         """The mean difference less that of before, and how far it may be off."""
--- a/vanerelay/rollout/change_log.py
+++ b/vanerelay/rollout/change_log.py
@@ -18,11 +18,11 @@
 WORDS = ("pause", "resume", "back")
 
 
-class Unkept(Exception):
+class ChangeLogError(Exception):
     """The record could not be read or written; why, in one line."""
 
 
-class Record:
+class ChangeLog:
     """All changes that this file knows; the last one is at hand. Raises Unkept."""
 
     def __init__(self, path: str, make: bool = True) -> None:
@@ -35,7 +35,7 @@
             self._base.executescript(SCHEMA)
             row = self._base.execute("select id, name, fence from change order by id desc limit 1").fetchone()
         except sqlite3.Error as fault:
-            raise Unkept(f"record {path}: {fault}") from None
+            raise ChangeLogError(f"record {path}: {fault}") from None
         self.change, self.name, self.fence = int(row[0]) if row else 0, str(row[1]) if row else "", 0
         self.fence = int(row[2]) if row else 0
 
@@ -88,7 +88,7 @@
         try:
             return self._base.execute(text, values)
         except sqlite3.Error as fault:
-            raise Unkept(f"record {self.path}: {fault}") from None
+            raise ChangeLogError(f"record {self.path}: {fault}") from None
 
     def close(self) -> None:
         self._base.close()
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -12,8 +12,8 @@
 
 from vanerelay.interface import SECOND
 from vanerelay.rollout import plan_reader as plans
-from vanerelay.rollout.change_log import Record, Unkept
-from vanerelay.rollout.stage_machine import Course
+from vanerelay.rollout.change_log import ChangeLog, ChangeLogError
+from vanerelay.rollout.stage_machine import StageMachine
 
 DONE, WENT_BACK, UNUSABLE, UNDER_WAY, FENCED = 0, 1, 2, 3, 4  # exit codes
 
@@ -34,10 +34,10 @@
         _fail(str(fault))
 
 
-def _record(loaded: plans.Loaded, make: bool = False) -> Record:
+def _record(loaded: plans.Loaded, make: bool = False) -> ChangeLog:
     try:
-        return Record(loaded.record, make)
-    except Unkept as fault:
+        return ChangeLog(loaded.record, make)
+    except ChangeLogError as fault:
         _fail(str(fault))
 
 
@@ -54,7 +54,7 @@
 def check(path: str, as_json: bool) -> None:
     """Reads the plan and all that it names, asks nobody, and says what would be done."""
     loaded = _load(path)
-    course = Course(loaded.plan)
+    course = StageMachine(loaded.plan)
     rows = [
         {"stage": stage.name, "managers": course.aimed(number)}
         for number, stage in enumerate(loaded.plan.stages)
@@ -83,12 +83,12 @@
         _fail(f"{record.name} is under way in {record.path}, expected rollout resume or back")
     try:
         record.begin(loaded.plan.name, loaded.text, 0)
-    except Unkept as fault:
+    except ChangeLogError as fault:
         _fail(str(fault))
     _see_through(loaded, record, False, as_json)
 
 
-def _ended(record: Record) -> bool:
+def _ended(record: ChangeLog) -> bool:
     events = record.events()
     return bool(events) and events[-1].what == "ended"
 
@@ -118,10 +118,10 @@
     _word("back", path, as_json)
 
 
-def _say(record: Record, word: str) -> None:
+def _say(record: ChangeLog, word: str) -> None:
     try:
         record.say(word)
-    except Unkept as fault:
+    except ChangeLogError as fault:
         _fail(str(fault))
 
 
@@ -145,7 +145,7 @@
     """How far the change is, by its record. Exits with 0 (done), 1 (gone back) or 3 (under way)."""
     loaded = _load(path)
     record = _record(loaded)
-    course = Course.replayed(loaded.plan, record.events())
+    course = StageMachine.replayed(loaded.plan, record.events())
     running = _locked(record.path) is None
     stage = loaded.plan.stages[course.stage].name if course.stage >= 0 else ""
     how = course.ended or (
@@ -218,7 +218,7 @@
     return file
 
 
-def _see_through(loaded: plans.Loaded, record: Record, resumed: bool, as_json: bool) -> NoReturn:
+def _see_through(loaded: plans.Loaded, record: ChangeLog, resumed: bool, as_json: bool) -> NoReturn:
     lock = _locked(record.path)
     if lock is None:
         _fail(f"another controller runs on {record.path}")
@@ -272,7 +272,7 @@
 
     log_to("info")
     try:
-        one = supervisor.Keeper(reactor, *supervisor.load(path))
+        one = supervisor.Supervisor(reactor, *supervisor.load(path))
         reactor.callWhenRunning(one.run)
     except (plans.BadOptions, OSError, CannotListenError) as fault:
         _fail(str(fault))
--- a/vanerelay/rollout/config.py
+++ b/vanerelay/rollout/config.py
@@ -8,14 +8,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class RolloutConfig:
     """`folder`: where the fence and ordered settings are kept; empty: nowhere, others know the fence."""
 
     folder: str = ""
 
 
-def parts(block: Block) -> Parts:
+def read_config(block: Block) -> RolloutConfig:
     """Raises BadOptions with the line of what is wrong."""
-    found = block.fill(Parts)
+    found = block.fill(RolloutConfig)
     block.done()
     return found
--- a/vanerelay/rollout/controller.py
+++ b/vanerelay/rollout/controller.py
@@ -10,15 +10,15 @@
 import structlog
 from twisted.internet.defer import Deferred, DeferredList, succeed
 
-from vanerelay.fleet.rpc import Links
+from vanerelay.clock import Clock
+from vanerelay.fleet.rpc import RpcNode
 from vanerelay.interface import SECOND
-from vanerelay.net.clock import UNITS, Clock
 from vanerelay.rollout import messages
-from vanerelay.rollout.canary_analysis import Judge, Seen
-from vanerelay.rollout.change_log import Record, Unkept
-from vanerelay.rollout.controller_lease import Sole
+from vanerelay.rollout.canary_analysis import CanaryAnalysis, GatewaySample
+from vanerelay.rollout.change_log import ChangeLog, ChangeLogError
+from vanerelay.rollout.controller_lease import ControllerLease
 from vanerelay.rollout.plan_reader import Loaded, Reached
-from vanerelay.rollout.stage_machine import MAJORITY, Course, Do, Event, Heard, Step
+from vanerelay.rollout.stage_machine import MAJORITY, Action, Event, Heard, StageMachine, Step
 
 ASK_S = 6.0  # an answer may take that long: links may be slow
 ORDER_S = 10.0
@@ -39,7 +39,7 @@
     asking: bool = False
     deaths: int = 0
     restarts: int = 0  # that were ordered, and whose new process was not heard yet
-    seen: Seen | None = None  # since the last slice
+    seen: GatewaySample | None = None  # since the last slice
     keeper: tuple[int, int] = (0, 0)  # fence and number of the last order that its keeper heeded
 
 
@@ -55,28 +55,30 @@
 class Controller:
     """`say` is told a line for people; `done` fires with an Ending."""
 
-    def __init__(self, reactor: Any, loaded: Loaded, record: Record, say: Callable[[str], None]) -> None:
+    def __init__(self, reactor: Any, loaded: Loaded, record: ChangeLog, say: Callable[[str], None]) -> None:
         self._reactor, self._loaded, self._record, self._say = reactor, loaded, record, say
-        self._clock, self._links = Clock(), Links(reactor)
-        self.judge = Judge(loaded.guards, loaded.terms)
-        self.course = Course(loaded.plan)
+        self._clock, self._links = Clock(), RpcNode(reactor)
+        self.judge = CanaryAnalysis(loaded.guards, loaded.terms)
+        self.course = StageMachine(loaded.plan)
         self._known = {name: Known() for name in loaded.managers}
         self._ordering = set[str]()
         self.done: Deferred[Ending] = Deferred()
         self._began = self._watched = 0
         self._said, self._claimed, self._stopped, self._busy = "", False, False, False
         self._acted = False  # whether orders were given under a fence by this process
-        self._sole: Sole | None = None
+        self._sole: ControllerLease | None = None
         if loaded.leases is not None:
             addresses = {name: one.address for name, one in loaded.managers.items()}
-            self._sole = Sole(reactor, self._links, loaded.plan.name, loaded.leases, addresses, self._lost)
+            self._sole = ControllerLease(
+                reactor, self._links, loaded.plan.name, loaded.leases, addresses, self._lost
+            )
 
     def start(self, resumed: bool) -> Deferred[Ending]:
         """From the record, if it holds a change that has not ended."""
         if resumed:
-            self.course = Course.replayed(self._loaded.plan, self._record.events())
+            self.course = StageMachine.replayed(self._loaded.plan, self._record.events())
             self.course.resume(self._clock.now())
-            told = messages.unpack(self._record.baseline(), self.judge.told().__class__)
+            told = messages.decode(self._record.baseline(), self.judge.told().__class__)
             if told is not None:
                 self.judge.restore(told)
             self.judge.began(self._clock.now())
@@ -128,12 +130,12 @@
 
     def _affirm(self, then: Callable[[int], None]) -> None:
         """Asks all whether our fence still counts; `then` gets how many say so."""
-        order = messages.pack(messages.Order(self._record.fence, self._loaded.plan.name))
+        order = messages.encode(messages.Order(self._record.fence, self._loaded.plan.name))
 
         def asked(results: list[tuple[bool, Any]]) -> None:
             if self._stopped:
                 return
-            answers = [messages.unpack(body, messages.Taken) for good, body in results if good]
+            answers = [messages.decode(body, messages.Taken) for good, body in results if good]
             higher = [one for one in answers if one is not None and one.fence > self._record.fence]
             if higher and self._claimed:
                 self._end("fenced", higher[0].why)
@@ -154,7 +156,7 @@
     def _turn(self) -> None:
         if self._stopped:
             return
-        self._reactor.callLater(self._loaded.terms.slice / UNITS, self._turn)
+        self._reactor.callLater(self._loaded.terms.slice / SECOND, self._turn)
         for name, one in self._loaded.managers.items():
             if not self._known[name].asking:
                 self._ask(name, one)
@@ -167,7 +169,7 @@
             if not self._busy:
                 self._confirm()
                 self._go()
-        except Unkept as fault:
+        except ChangeLogError as fault:
             # What can't be recorded is not done; what is, goes on as it is.
             self._tell(f"nothing is moved: {fault}")
 
@@ -184,7 +186,7 @@
     def _ask(self, name: str, one: Reached) -> None:
         known = self._known[name]
         known.asking = True
-        asked: Deferred[Any] = self._links.ask(one.address, "state", messages.pack(messages.Asked()), ASK_S)
+        asked: Deferred[Any] = self._links.ask(one.address, "state", messages.encode(messages.Asked()), ASK_S)
         asked.addCallbacks(lambda body: self._told(name, body), lambda _: None)
         if one.keeper and self._loaded.plan.restarts:
             kept: Deferred[Any] = self._links.ask(one.keeper, "state", b"", ASK_S)
@@ -196,7 +198,7 @@
         asked.addBoth(over)
 
     def _told(self, name: str, body: bytes) -> None:
-        state, known, now = messages.unpack(body, messages.State), self._known[name], self._clock.now()
+        state, known, now = messages.decode(body, messages.State), self._known[name], self._clock.now()
         if state is None or state.name != name:
             return
         was = known.state
@@ -208,11 +210,11 @@
             was = None
         if was is not None:
             known.before, known.before_at = was, known.at
-            known.seen = _joined(known.seen, _seen(state, was, (now - known.at) / UNITS))
+            known.seen = _joined(known.seen, _seen(state, was, (now - known.at) / SECOND))
         known.state, known.at = state, now
 
     def _keeper_told(self, name: str, body: bytes) -> None:
-        state = messages.unpack(body, messages.State)
+        state = messages.decode(body, messages.State)
         if state is not None:
             self._known[name].keeper = state.fence, state.heeded
 
@@ -224,7 +226,7 @@
                 continue
             busy = 0.0
             if known.before is not None and known.at > known.before_at:
-                span = (known.at - known.before_at) / UNITS
+                span = (known.at - known.before_at) / SECOND
                 busy = (state.figures.cpu_s - known.before.figures.cpu_s) / span / max(0.01, state.cores)
             heeded = known.keeper if self._loaded.plan.restarts else (state.fence, state.heeded)
             runs = self._loaded.runs(state.settings, state.release)
@@ -234,11 +236,11 @@
     def _figures(self) -> None:
         """What came since the last slice, to the judge."""
         now, course = self._clock.now(), self.course
-        seen = dict[str, Seen]()
+        seen = dict[str, GatewaySample]()
         for name, known in self._known.items():
             if known.seen is not None or known.deaths:
-                one = known.seen or Seen({})
-                seen[name] = Seen(one.counts, one.memory, one.away, one.held, known.deaths)
+                one = known.seen or GatewaySample({})
+                seen[name] = GatewaySample(one.counts, one.memory, one.away, one.held, known.deaths)
                 known.seen, known.deaths = None, 0
         if course.stage < 0:
             self._watched = self._watched or now
@@ -260,26 +262,26 @@
     def _go(self) -> None:
         now, course = self._clock.now(), self.course
         if course.stage < 0 and not course.going_back and now - self._began < self._loaded.baseline:
-            self._tell(f"watching for {self._loaded.baseline / UNITS:.0f} s before anything is changed")
+            self._tell(f"watching for {self._loaded.baseline / SECOND:.0f} s before anything is changed")
             return
         step = course.next(now, self._heard())
-        if step.do is Do.WAIT:
+        if step.do is Action.WAIT:
             self._tell(step.why)
-        elif step.do is Do.STAGE:
+        elif step.do is Action.STAGE:
             if course.stage < 0:
-                self._record.keep_baseline(messages.pack(self.judge.told()))
+                self._record.keep_baseline(messages.encode(self.judge.told()))
             self._note(Event("stage", now, stage=course.stage + 1))
             self.judge.began(now)
-        elif step.do is Do.UNCLEAR:
+        elif step.do is Action.UNCLEAR:
             self._note(course.unclear(now, step.why))
-        elif step.do is Do.JUDGE:
+        elif step.do is Action.JUDGE:
             verdict = self.judge.verdict(now, course.new)
             event = course.judged(now, verdict, step.why)
             if event is not None:
                 self._note(event)
             else:
                 self._tell(f"stage {self._stage()}: " + (step.why or "; ".join(verdict.why) or "looked at"))
-        elif step.do is Do.ENDED:
+        elif step.do is Action.ENDED:
             self._note(Event("ended", now, to=step.to))
             self._end(step.to, self.course.why)
         else:
@@ -297,7 +299,7 @@
         if self._sole is not None and self._sole.fence() != self._record.fence:
             self._tell(f"the lease is not held: {name} is not ordered now")
             return
-        control = step.do is Do.CONTROL
+        control = step.do is Action.CONTROL
         what, number = "control" if control else "ordered", self.course.count + 1
         self._note(Event(what, now, name, self._record.fence, number, step.to, self.course.stage, step.why))
         self._busy = True
@@ -321,11 +323,11 @@
             self._known[name].restarts = 1
         address = one.keeper if restarts else one.address
         asked: Deferred[Any] = self._links.ask(
-            address, "order", messages.pack(order), KEEPER_S if restarts else ORDER_S
+            address, "order", messages.encode(order), KEEPER_S if restarts else ORDER_S
         )
 
         def answered(body: bytes) -> None:
-            taken = messages.unpack(body, messages.Taken)
+            taken = messages.decode(body, messages.Taken)
             if taken is None or taken.taken or self._stopped:
                 return
             self._known[name].restarts = 0
@@ -386,7 +388,7 @@
     return words_.get(event.what, event.what) + (f" ({event.why})" if event.why else "")
 
 
-def _seen(now: messages.State, was: messages.State, seconds: float) -> Seen:
+def _seen(now: messages.State, was: messages.State, seconds: float) -> GatewaySample:
     """What one process did between two readings."""
     old = was.figures.groups
     counts = {
@@ -395,13 +397,15 @@
     }
     ended = sum(count.ended for count in counts.values())
     held = (now.figures.held - was.figures.held) / ended if ended else 0.0
-    return Seen(counts, now.figures.memory, now.figures.away, held)
+    return GatewaySample(counts, now.figures.memory, now.figures.away, held)
 
 
-def _joined(one: Seen | None, other: Seen) -> Seen:
+def _joined(one: GatewaySample | None, other: GatewaySample) -> GatewaySample:
     if one is None:
         return other
     names = one.counts.keys() | other.counts.keys()
     empty = messages.count(messages.Group(), messages.Group())
     counts = {name: one.counts.get(name, empty) + other.counts.get(name, empty) for name in names}
-    return Seen(counts, other.memory, other.away, max(one.held, other.held), one.deaths + other.deaths)
+    return GatewaySample(
+        counts, other.memory, other.away, max(one.held, other.held), one.deaths + other.deaths
+    )
--- a/vanerelay/rollout/controller_lease.py
+++ b/vanerelay/rollout/controller_lease.py
@@ -12,8 +12,8 @@
 from twisted.internet.defer import Deferred
 
 from vanerelay.fleet.failure_detector import Member
-from vanerelay.fleet.rpc import Links, Refused
-from vanerelay.leases.config import Parts
+from vanerelay.fleet.rpc import RequestRefusedError, RpcNode
+from vanerelay.leases.config import LeasesConfig
 from vanerelay.leases.service import Leases
 
 TASK = "rollout"
@@ -32,7 +32,7 @@
 class _Asking:
     """What leases ask of a fleet, by a controller's own links."""
 
-    def __init__(self, links: Links, name: str, addresses: Mapping[str, str]) -> None:
+    def __init__(self, links: RpcNode, name: str, addresses: Mapping[str, str]) -> None:
         self.links, self.name, self._addresses = links, name, addresses
         own = Member(name, 1, state="serving")
         self.alive = _Alone(own, {name: own})
@@ -41,20 +41,20 @@
         address = self._addresses.get(name)
         if address is None:
             failed: Deferred[bytes] = Deferred()
-            failed.errback(Refused(f"no address of {name} is known"))
+            failed.errback(RequestRefusedError(f"no address of {name} is known"))
             return failed
         return self.links.ask(address, kind, body, patience_s)
 
 
-class Sole:
+class ControllerLease:
     """`lost` is called when the lease was ours and is no more."""
 
     def __init__(
         self,
         reactor: Any,
-        links: Links,
+        links: RpcNode,
         name: str,
-        parts: Parts,
+        parts: LeasesConfig,
         addresses: Mapping[str, str],
         lost: Callable[[], None],
     ) -> None:
--- a/vanerelay/rollout/messages.py
+++ b/vanerelay/rollout/messages.py
@@ -4,10 +4,21 @@
 
 import msgspec
 
-from vanerelay.fleet.messages import LONGEST, pack, unpack
-from vanerelay.rollout.canary_analysis import Count
-
-__all__ = ["LONGEST", "Asked", "Figures", "Group", "Order", "State", "Taken", "count", "pack", "unpack"]
+from vanerelay.fleet.messages import MAX_MESSAGE_BYTES, decode, encode
+from vanerelay.rollout.canary_analysis import ClassCounts
+
+__all__ = [
+    "MAX_MESSAGE_BYTES",
+    "Asked",
+    "Figures",
+    "Group",
+    "Order",
+    "State",
+    "Taken",
+    "count",
+    "encode",
+    "decode",
+]
 
 
 class Order(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -78,10 +89,10 @@
     figures: Figures = Figures()
 
 
-def count(now: Group, before: Group) -> Count:
+def count(now: Group, before: Group) -> ClassCounts:
     """What came between two readings of one process."""
     times = [a - b for a, b in zip(now.times, before.times or [0] * len(now.times), strict=False)]
-    return Count(
+    return ClassCounts(
         now.ended - before.ended,
         now.met - before.met,
         now.errored - before.errored,
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -9,12 +9,12 @@
 
 from vanerelay import settings_validation
 from vanerelay.fleet import release
-from vanerelay.interface import SECOND, Span
-from vanerelay.leases.config import Parts as LeaseParts
-from vanerelay.leases.config import parts as lease_parts
+from vanerelay.interface import SECOND, Duration
+from vanerelay.leases.config import LeasesConfig as LeaseParts
+from vanerelay.leases.config import read_config as lease_parts
 from vanerelay.operator_config import BadOptions, Block, read
 from vanerelay.rollout import settings_diff
-from vanerelay.rollout.canary_analysis import Guard, Terms
+from vanerelay.rollout.canary_analysis import AnalysisTerms, Guard
 from vanerelay.rollout.stage_machine import NEW, NEW_STRICT, OLD, OLD_STRICT, Away, Plan, Stage, Worse
 
 T = TypeVar("T")
@@ -48,13 +48,13 @@
     the controller's file; `text`: the plan as it was read."""
 
     plan: Plan
-    terms: Terms
+    terms: AnalysisTerms
     guards: dict[str, Guard]
     managers: dict[str, Reached]
     change: Change
     bodies: dict[str, bytes]
     digests: dict[str, str]
-    baseline: Span
+    baseline: Duration
     record: str
     text: str
     shared: tuple[str, ...] = ()
@@ -78,7 +78,7 @@
     change = _filled(change_block, Change)
     old, new = _releases(change_block, change, Path(path).parent)
     plan_stages = tuple(_stage(one, reached) for one in stages)
-    terms = _one(document, "judge", Terms, stages=len(plan_stages))
+    terms = _one(document, "judge", AnalysisTerms, stages=len(plan_stages))
     away = _one(document, "away", Away)
     bodies, digests = _runs(change, old, new)
     name = document.take("name", str, Path(path).stem)
@@ -96,7 +96,7 @@
             restarts=bool(change.program),
             control=document.take("control", int, 1 if change.program else 0),
             longest=terms.longest,
-            away_for=document.take("away_for", Span, 60 * SECOND),
+            away_for=document.take("away_for", Duration, 60 * SECOND),
         ),
         terms=terms,
         guards=_guards(guards, [str(group["name"]) for group in (settings or {}).get("classes", ())]),
@@ -104,7 +104,7 @@
         change=change,
         bodies=bodies,
         digests=digests,
-        baseline=document.take("baseline", Span, 20 * SECOND),
+        baseline=document.take("baseline", Duration, 20 * SECOND),
         record=document.take("record", str, str(Path(path).with_suffix(".record"))),
         text=Path(path).read_text(encoding="utf-8"),
         leases=lease_parts(leases) if leases is not None else None,
--- a/vanerelay/rollout/stage_machine.py
+++ b/vanerelay/rollout/stage_machine.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from vanerelay.interface import SECOND, Span
-from vanerelay.rollout.canary_analysis import Verdict, Word
+from vanerelay.interface import SECOND, Duration
+from vanerelay.rollout.canary_analysis import Assessment, Verdict
 
 AGAIN, AGAIN_RESTART = 2 * SECOND, 8 * SECOND  # between orders of the same to one manager
 MAJORITY = 2  # more than one part in so many must be heard, or nothing is moved
@@ -65,8 +65,8 @@
     strict: bool = False
     restarts: bool = False
     control: int = 0
-    longest: Span = 600 * SECOND
-    away_for: Span = 60 * SECOND
+    longest: Duration = 600 * SECOND
+    away_for: Duration = 60 * SECOND
 
 
 # What a manager is to run.
@@ -100,7 +100,7 @@
     heeded: tuple[int, int] = (0, 0)
 
 
-class Do(Enum):
+class Action(Enum):
     ORDER = "order"  # this manager to run that
     CONTROL = "control"  # this old manager to restart as it is
     STAGE = "stage"  # the next one begins
@@ -112,13 +112,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    do: Do
+    do: Action
     manager: str = ""
     to: str = ""
     why: str = ""
 
 
-class Course:
+class StageMachine:
     """One rolling change. `apply` takes an event, whether it is new or read back; `next` says what to do."""
 
     def __init__(self, plan: Plan) -> None:
@@ -166,7 +166,7 @@
             self.ordered_at[event.manager] = event.at
         elif event.what == "stage":
             self.stage, self.stage_at = event.stage, event.at
-        elif event.what == "judged" and event.to == Word.FINE.value:
+        elif event.what == "judged" and event.to == Assessment.FINE.value:
             self.passed = event.stage
         elif event.what in ("paused", "resumed"):
             self.paused = event.what == "paused"
@@ -181,8 +181,8 @@
             self.why = event.why or self.why
 
     @staticmethod
-    def replayed(plan: Plan, events: Iterable[Event]) -> Course:
-        course = Course(plan)
+    def replayed(plan: Plan, events: Iterable[Event]) -> StageMachine:
+        course = StageMachine(plan)
         for event in events:
             course.apply(event)
         return course
@@ -254,16 +254,18 @@
         """The one thing to do now. `heard`: managers heard within the last seconds; whoever is missing
         counts as neither good nor bad."""
         if self.ended:
-            return Step(Do.ENDED, why=self.ended)
+            return Step(Action.ENDED, why=self.ended)
         if len(heard) * MAJORITY <= len(self.domains):
-            return Step(Do.WAIT, why=f"{len(heard)} of {len(self.domains)} managers heard: nothing is moved")
+            return Step(
+                Action.WAIT, why=f"{len(heard)} of {len(self.domains)} managers heard: nothing is moved"
+            )
         wrong = self._mend(now, heard)
         if wrong is not None:
             return wrong
         if self.going_back:
             return self._back(heard)
         if self.paused or self.held:
-            return Step(Do.WAIT, why="paused" if self.paused else f"held: {self.why}")
+            return Step(Action.WAIT, why="paused" if self.paused else f"held: {self.why}")
         return self._forward(now, heard)
 
     def _mend(self, now: int, heard: Mapping[str, Heard]) -> Step | None:
@@ -277,7 +279,7 @@
             if wanted in one.runs and (self.confirmed[name] or self.sure(name, one)):
                 continue
             if now - self.ordered_at.get(name, -again) >= again:
-                return Step(Do.ORDER, name, wanted, f"runs {min(one.runs, default='another release')}")
+                return Step(Action.ORDER, name, wanted, f"runs {min(one.runs, default='another release')}")
         return None
 
     def _forward(self, now: int, heard: Mapping[str, Heard]) -> Step:
@@ -286,29 +288,30 @@
         overdue = [name for name in waiting if now - self.since[name] > plan.away_for]
         if overdue:
             return Step(
-                Do.UNCLEAR, why=f"{overdue[0]} did not take the change within {plan.away_for / SECOND:.0f} s"
+                Action.UNCLEAR,
+                why=f"{overdue[0]} did not take the change within {plan.away_for / SECOND:.0f} s",
             )
         behind = [name for name in self.domains if self.wants[name] != self.target(name)]
         if behind:
             return self._order_one(behind, heard)
         if waiting:
-            return Step(Do.WAIT, why=f"waiting for {', '.join(waiting)}")
+            return Step(Action.WAIT, why=f"waiting for {', '.join(waiting)}")
         unheard = [name for name in self.domains if name not in heard]
         last = len(plan.stages) - 1
         if self.passed >= last and self.stage >= last:
-            return Step(Do.ENDED, to="done")
+            return Step(Action.ENDED, to="done")
         if self.stage > self.passed:
             if len(self.controls) < plan.control and plan.restarts and self.stage == 0:
                 return self._control(heard)
             coming = [name for name, back in self.controls.items() if not back]
             if coming:
-                return Step(Do.WAIT, why=f"waiting for {', '.join(coming)}, restarted to compare with")
+                return Step(Action.WAIT, why=f"waiting for {', '.join(coming)}, restarted to compare with")
             if unheard:
-                return Step(Do.JUDGE, why=f"{', '.join(unheard)} not heard: neither good nor bad")
-            return Step(Do.JUDGE)
+                return Step(Action.JUDGE, why=f"{', '.join(unheard)} not heard: neither good nor bad")
+            return Step(Action.JUDGE)
         if unheard:
-            return Step(Do.WAIT, why=f"{', '.join(unheard)} not heard: no further stage")
-        return Step(Do.STAGE)
+            return Step(Action.WAIT, why=f"{', '.join(unheard)} not heard: no further stage")
+        return Step(Action.STAGE)
 
     def _back(self, heard: Mapping[str, Heard]) -> Step:
         """Without evidence, and without waiting for those that can't be heard: they are owed."""
@@ -317,11 +320,11 @@
             return self._order_one(behind, heard, back=True)
         waiting = [name for name in self.domains if not self.confirmed[name] and name in heard]
         if waiting:
-            return Step(Do.WAIT, why=f"waiting for {', '.join(waiting)}")
+            return Step(Action.WAIT, why=f"waiting for {', '.join(waiting)}")
         owed = self.owed()
         if owed:
-            return Step(Do.WAIT, why=f"back, but for {', '.join(owed)}: not heard")
-        return Step(Do.ENDED, to="back")
+            return Step(Action.WAIT, why=f"back, but for {', '.join(owed)}: not heard")
+        return Step(Action.ENDED, to="back")
 
     def owed(self) -> list[str]:
         """Managers that are still to be brought back."""
@@ -344,14 +347,14 @@
                 continue
             if name in away:
                 # Away as it is: changing it costs nothing more.
-                return Step(Do.ORDER, name, self.target(name))
+                return Step(Action.ORDER, name, self.target(name))
             if len(away) >= limits.most or by[self.domains[name]] >= limits.domain:
                 break
             if self.plan.restarts and not back and not self._carried(heard, len(away) + 1):
-                return Step(Do.WAIT, why=f"the others are too busy to do without {name}")
-            return Step(Do.ORDER, name, self.target(name))
+                return Step(Action.WAIT, why=f"the others are too busy to do without {name}")
+            return Step(Action.ORDER, name, self.target(name))
         return Step(
-            Do.WAIT,
+            Action.WAIT,
             why=f"{len(away)} away ({', '.join(sorted(away))}): no more at once"
             if away
             else f"{behind[0]} not heard",
@@ -370,20 +373,20 @@
         ]
         coming = [name for name, back in self.controls.items() if not back]
         if coming or not old:
-            return Step(Do.WAIT, why="waiting for controls")
+            return Step(Action.WAIT, why="waiting for controls")
         if not self._carried(heard, 1):
-            return Step(Do.WAIT, why="the others are too busy for a control restart")
-        return Step(Do.CONTROL, old[0], OLD)
+            return Step(Action.WAIT, why="the others are too busy for a control restart")
+        return Step(Action.CONTROL, old[0], OLD)
 
     # What comes of a verdict.
 
     def judged(self, now: int, verdict: Verdict, unheard: str = "") -> Event | None:
         """The event that follows; None: keep looking. `unheard`: why nothing can be told for now."""
-        if verdict.word is Word.WORSE:
+        if verdict.word is Assessment.WORSE:
             why = "; ".join(verdict.why)
             return Event("back" if self.plan.worse is Worse.BACK else "held", now, why=why, stage=self.stage)
-        if verdict.word is Word.FINE and not unheard:
-            return Event("judged", now, to=Word.FINE.value, stage=self.stage)
+        if verdict.word is Assessment.FINE and not unheard:
+            return Event("judged", now, to=Assessment.FINE.value, stage=self.stage)
         if now - self.stage_at > self.plan.longest:
             return self.unclear(now, unheard or "too little evidence: " + "; ".join(verdict.why))
         return None
--- a/vanerelay/rollout/supervisor.py
+++ b/vanerelay/rollout/supervisor.py
@@ -21,14 +21,14 @@
 from twisted.internet.error import ProcessExitedAlready
 from twisted.internet.protocol import ProcessProtocol
 
-from vanerelay.fleet.rpc import Links, Refused
-from vanerelay.net.clock import Clock
+from vanerelay.clock import Clock
+from vanerelay.fleet.rpc import RequestRefusedError, RpcNode
 from vanerelay.operator_config import BadOptions, Block, read
 from vanerelay.rollout import messages
 from vanerelay.rollout.agent import RELEASE
-from vanerelay.rollout.agent_store import Store
+from vanerelay.rollout.agent_store import AgentStore
 from vanerelay.rollout.fence import Fence, Order
-from vanerelay.rollout.supervisor_state import Child, Patience, Succession
+from vanerelay.rollout.supervisor_state import Child, Patience, SupervisorState
 
 LISTEN_FD, READY_FD = 3, 4  # of a child
 LOOK_S = 0.1
@@ -112,16 +112,16 @@
         self._ended(f"{reason.getErrorMessage()}{': ' + lines[-1][:300] if lines else ''}")
 
 
-class Keeper:
+class Supervisor:
     """The Hands of a Succession."""
 
     def __init__(self, reactor: Any, kept: Kept, patience: Patience, releases: dict[str, Release]) -> None:
         self._reactor, self._kept, self._releases = reactor, kept, releases
-        self._clock, self._links, self._store = Clock(), Links(reactor), Store(kept.folder)
+        self._clock, self._links, self._store = Clock(), RpcNode(reactor), AgentStore(kept.folder)
         self._fence = Fence(self._store.fence())
         self._processes = dict[Child, Process]()
         first = self._read() or kept.first
-        self.succession = Succession(self, patience, frozenset(releases), first)
+        self.succession = SupervisorState(self, patience, frozenset(releases), first)
         host, _, port = kept.serve.rpartition(":")
         self._socket = _listening(host, int(port))
         self._socket.setblocking(False)  # of the socket itself, whoever holds it: or accepting would wait
@@ -148,9 +148,9 @@
     # Orders.
 
     def _order(self, body: bytes) -> bytes | Deferred[bytes]:
-        told = messages.unpack(body, messages.Order)
+        told = messages.decode(body, messages.Order)
         if told is None:
-            raise Refused("unreadable")
+            raise RequestRefusedError("unreadable")
         order = Order(told.fence, told.name, told.number)
         why = self._fence.refuses(order)
         if why is None and order.fence > self._fence.highest:
@@ -159,10 +159,10 @@
                 self._fence.learn(self._fence.after(order))
                 self.succession.forgive()
         if why is not None:
-            return messages.pack(messages.Taken(self._fence.highest, False, why=why))
+            return messages.encode(messages.Taken(self._fence.highest, False, why=why))
         self._fence.heed(order)
         if told.what not in ("program", "restart"):
-            return messages.pack(
+            return messages.encode(
                 messages.Taken(self._fence.highest, told.what == "claim", why=f"no {told.what} here")
             )
         release = told.body.decode(errors="replace") if told.what == "program" else self.succession.current
@@ -174,7 +174,7 @@
             else:
                 log.warning("order failed", release=release, change=told.name, why=failed)
             result.callback(
-                messages.pack(
+                messages.encode(
                     messages.Taken(self._fence.highest, failed is None, failed is not None, failed or "")
                 )
             )
@@ -187,7 +187,7 @@
         return result
 
     def _state(self, body: bytes) -> bytes:
-        return messages.pack(
+        return messages.encode(
             messages.State(
                 self._kept.name,
                 "",
@@ -269,4 +269,4 @@
         return told if told in self._releases else ""
 
 
-__all__ = ["BadOptions", "Keeper", "load"]
+__all__ = ["BadOptions", "Supervisor", "load"]
--- a/vanerelay/rollout/supervisor_state.py
+++ b/vanerelay/rollout/supervisor_state.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from vanerelay.interface import SECOND, Span
+from vanerelay.interface import SECOND, Duration
 
 SOON, LATEST = SECOND // 5, 5 * SECOND  # until one that ended by itself is started again, doubled each time
 FALLS = 2  # ends within the probation that send a release back
@@ -18,9 +18,9 @@
     """`ready`: for a successor to take batches; `probation`: after it took over, within which two ends by
     itself bring the release before back; `end`: for one to end after SIGTERM, then it is killed."""
 
-    ready: Span = 30 * SECOND
-    probation: Span = 60 * SECOND
-    end: Span = 60 * SECOND
+    ready: Duration = 30 * SECOND
+    probation: Duration = 60 * SECOND
+    end: Duration = 60 * SECOND
 
 
 @dataclass(slots=True, eq=False)
@@ -47,7 +47,7 @@
         """The release that is to run after a restart of the keeper itself."""
 
 
-class Succession:
+class SupervisorState:
     """`answer` of an order is called once: with why it failed, or None once the successor has taken over."""
 
     def __init__(self, hands: Hands, patience: Patience, releases: frozenset[str], first: str) -> None:
--- a/vanerelay/settings.py
+++ b/vanerelay/settings.py
@@ -6,17 +6,17 @@
 from typing import Any
 
 from vanerelay.interface import (
-    Allowances,
-    ColdStart,
-    Effect,
+    Capabilities,
+    DeduplicationScope,
+    FleetPosition,
     GatewaySettings,
+    Idempotency,
     LoadReport,
     MachineKind,
-    Place,
-    RationTerms,
-    Scope,
-    ServiceGroup,
-    Shortage,
+    MemoryShortage,
+    RetryBudgetTerms,
+    ServiceClass,
+    SlowStartTerms,
     Transport,
 )
 from vanerelay.invariants import GuardTerms
@@ -24,10 +24,14 @@
 
 MICROS = 100  # microseconds in one unit of the module's time
 
-EFFECTS = {"pure": Effect.REPEATABLE, "token": Effect.REFERENCED, "side_effect": Effect.ONCE_ONLY}
-SCOPES = {"all": Scope.ALL, "zone": Scope.LOCATION, "cell": Scope.CELL}
-SHORTAGES = {"queue": Shortage.WAIT, "trim": Shortage.SHRINK, "swap": Shortage.PAGE}
-REPORTED = {"busy_reqs": "running", "pending": "waiting", "cpu_share": "cores_busy"}
+EFFECTS = {
+    "pure": Idempotency.IDEMPOTENT,
+    "token": Idempotency.DEDUPLICATED,
+    "side_effect": Idempotency.NON_IDEMPOTENT,
+}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
+SHORTAGES = {"queue": MemoryShortage.WAIT, "trim": MemoryShortage.SHRINK, "swap": MemoryShortage.PAGE}
+REPORTED = {"busy_reqs": "running", "pending": "queued", "cpu_share": "cores_busy"}
 LOADS = frozenset({"running", "cores_busy", "memory_granted", "disks_busy"})  # of which a share can be told
 EXTRAS = {"share of memory granted": "memory_granted", "share of disks busy": "disks_busy"}
 
@@ -42,7 +46,7 @@
     return -int(-micros // MICROS)
 
 
-def service_groups(profile: dict[str, Any]) -> list[ServiceGroup]:
+def service_groups(profile: dict[str, Any]) -> list[ServiceClass]:
     info = profile.get("familyInfo") or {}
 
     def listed(name: str, row: int, default: Any) -> Any:
@@ -50,22 +54,22 @@
         return values[row] if row < len(values) else default
 
     return [
-        ServiceGroup(
+        ServiceClass(
             name=str(row if c.get("name") is None else c["name"]),
-            goal=down(c["aimUs"]),
-            goal_stretch=float(c.get("aimStretch") or 0.0),
-            time_limit=down(c["deadlineUs"]),
-            utility=1.0 if c.get("importance") is None else float(c["importance"]),
-            late_utility=float(c.get("lateWorth") or 0.0),
-            effect=EFFECTS[c["semantics"]],
-            scope=SCOPES[c.get("dedupScope") or "all"],
-            window=down(c.get("windowUs") or 0),
-            in_order=bool(c.get("inTurn")),
-            locations=None if c.get("staysIn") is None else tuple(c["staysIn"]),
-            kinds=None if c.get("kindsOnly") is None else tuple(c["kindsOnly"]),
+            latency_objective=down(c["aimUs"]),
+            objective_stretch=float(c.get("aimStretch") or 0.0),
+            deadline=down(c["deadlineUs"]),
+            value=1.0 if c.get("importance") is None else float(c["importance"]),
+            late_value=float(c.get("lateWorth") or 0.0),
+            idempotency=EFFECTS[c["semantics"]],
+            deduplication_scope=SCOPES[c.get("dedupScope") or "all"],
+            deduplication_window=down(c.get("windowUs") or 0),
+            ordered=bool(c.get("inTurn")),
+            zones=None if c.get("staysIn") is None else tuple(c["staysIn"]),
+            machine_kinds=None if c.get("kindsOnly") is None else tuple(c["kindsOnly"]),
             threads=int(listed("parallelism", row, 1)),
-            is_load=bool(listed("writesTables", row, False)),
-            waits_for_loads=bool(listed("waitsForLoads", row, False)),
+            is_data_load=bool(listed("writesTables", row, False)),
+            waits_for_data_loads=bool(listed("waitsForLoads", row, False)),
         )
         for row, c in enumerate(profile["classes"])
     ]
@@ -82,38 +86,38 @@
     ]
 
 
-def place(profile: dict[str, Any]) -> Place:
-    return Place(
+def place(profile: dict[str, Any]) -> FleetPosition:
+    return FleetPosition(
         int(profile.get("position") or 0), int(profile.get("groupSize") or 1), int(profile.get("az") or 0)
     )
 
 
-def allowances(profile: dict[str, Any]) -> Allowances:
+def allowances(profile: dict[str, Any]) -> Capabilities:
     limits, info = profile.get("limits") or {}, profile.get("familyInfo") or {}
     report, names = profile.get("report") or {}, report_names(profile)
     told = {names[column] for column in report.get("columns") or [] if column in names}
-    return Allowances(
-        most_dispatches=int(limits.get("maxAttempts") or 1),
-        cancel=bool(limits.get("cancel")),
-        copies=bool(limits.get("secondCopies")),
-        probes=bool(limits.get("probes")),
-        peers=bool(limits.get("peers")),
-        retry_times=bool(limits.get("retryAfter")),
-        longest_retry_time=down(limits.get("maxRetryAfterUs") or 0),
-        grants=bool(info.get("takesGrants")),
-        most_grant=float(info.get("grantCap") or 1.0),
-        priorities=bool(info.get("lanesCount")),
-        tells_cost=bool(info.get("bills")),
-        notes_every=up(info.get("progressUs") or 0),
-        shortage=SHORTAGES[info.get("memoryShort") or "queue"],
-        on_request=profile.get("discovery") == "on_request",
-        asks=bool(limits.get("probes")) and report.get("how") == "pull" and not LOADS.isdisjoint(told),
+    return Capabilities(
+        max_attempts=int(limits.get("maxAttempts") or 1),
+        may_cancel=bool(limits.get("cancel")),
+        may_hedge=bool(limits.get("secondCopies")),
+        may_probe=bool(limits.get("probes")),
+        may_gossip=bool(limits.get("peers")),
+        sends_retry_after=bool(limits.get("retryAfter")),
+        max_retry_after=down(limits.get("maxRetryAfterUs") or 0),
+        sends_memory_grants=bool(info.get("takesGrants")),
+        max_grant_share=float(info.get("grantCap") or 1.0),
+        sends_priorities=bool(info.get("lanesCount")),
+        reports_cost=bool(info.get("bills")),
+        progress_interval=up(info.get("progressUs") or 0),
+        memory_shortage=SHORTAGES[info.get("memoryShort") or "queue"],
+        subscribes_to_list=profile.get("discovery") == "on_request",
+        polls_load=bool(limits.get("probes")) and report.get("how") == "pull" and not LOADS.isdisjoint(told),
     )
 
 
-def cold_start(profile: dict[str, Any]) -> ColdStart:
+def cold_start(profile: dict[str, Any]) -> SlowStartTerms:
     rules = profile.get("safety") or {}
-    return ColdStart(
+    return SlowStartTerms(
         float(rules.get("coldFrom") or 1.0),
         up(rules.get("coldUs") or 0),
         float(rules.get("fallMultiple") or 1.0),
@@ -121,9 +125,9 @@
     )
 
 
-def ration_terms(profile: dict[str, Any]) -> RationTerms:
+def ration_terms(profile: dict[str, Any]) -> RetryBudgetTerms:
     rules = profile.get("safety") or {}
-    return RationTerms(
+    return RetryBudgetTerms(
         up(rules.get("ratioSpanUs") or 0),
         int(rules.get("minExtra") or 0),
         float(rules.get("extraRatio") or 0.0),
@@ -137,8 +141,8 @@
         kinds=machine_kinds(profile),
         budget=ration_terms(profile),
         cold=cold_start(profile),
-        most_attempts=allowed.most_dispatches,
-        copies=allowed.copies,
+        most_attempts=allowed.max_attempts,
+        copies=allowed.may_hedge,
     )
 
 
@@ -167,13 +171,13 @@
     on this wire brings a report of load; on sockets `UP` tells nothing of it."""
     allowed = allowances(profile)
     settings = GatewaySettings(
-        groups=service_groups(profile),
-        kinds=machine_kinds(profile),
-        place=place(profile),
-        allowed=dataclasses.replace(allowed, asks=asks and allowed.asks),
-        cold=cold_start(profile),
-        ration=ration_terms(profile),
-        order_pause=order_pause(profile),
+        service_classes=service_groups(profile),
+        machine_kinds=machine_kinds(profile),
+        position=place(profile),
+        capabilities=dataclasses.replace(allowed, polls_load=asks and allowed.polls_load),
+        slow_start=cold_start(profile),
+        retry_budget=ration_terms(profile),
+        order_key_pause=order_pause(profile),
         tick=up(profile.get("tickUs") or 0),
     )
     return Gateway(transport, seed, settings)
--- a/vanerelay/warming/config.py
+++ b/vanerelay/warming/config.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from vanerelay.interface import MILLISECOND, SECOND, Span
+from vanerelay.interface import MILLISECOND, SECOND, Duration
 from vanerelay.operator_config import Block
 
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class WarmingConfig:
     """`group`: the service group by whose terms orders go out, `statement` what reads a table group, with
     @GROUP@ in the place of its number, `memory` (MB) what it takes; `keeps`: table groups that an engine
     keeps warm; `budget`: core seconds a second that all orders of one location may take, `saves`: for how
@@ -33,15 +33,15 @@
     memory: float = 100.0
     keeps: int = 100
     budget: float = 1.0
-    saves: Span = 10 * SECOND
-    reading: Span = SECOND // 2
+    saves: Duration = 10 * SECOND
+    reading: Duration = SECOND // 2
     price: float = 0.1
-    span: Span = SECOND
-    horizon: Span = 30 * SECOND
-    period: Span = 7 * 24 * 3600 * SECOND
+    span: Duration = SECOND
+    horizon: Duration = 30 * SECOND
+    period: Duration = 7 * 24 * 3600 * SECOND
     at_once: int = 4
-    lasts: Span = 5 * SECOND
-    look: Span = 50 * MILLISECOND
+    lasts: Duration = 5 * SECOND
+    look: Duration = 50 * MILLISECOND
     most: int = 2000
     history: str = ""
     publishers: tuple[Publisher, ...] = ()
@@ -50,10 +50,12 @@
         return next((one.name for one in self.publishers if one.first <= group <= one.last), "")
 
 
-def parts(block: Block) -> Parts:
+def read_config(block: Block) -> WarmingConfig:
     """Raises BadOptions with the line of what is wrong."""
     publishers = block.all("publisher")
-    found = block.fill(Parts, publishers=tuple(one.fill(Publisher, name=one.label) for one in publishers))
+    found = block.fill(
+        WarmingConfig, publishers=tuple(one.fill(Publisher, name=one.label) for one in publishers)
+    )
     if "@GROUP@" not in found.statement:
         raise block.wrong("statement: expected one with @GROUP@, the number of a table group", "statement")
     if min(found.keeps, found.span, found.horizon, found.at_once, found.lasts, found.look, found.most) <= 0:
--- a/vanerelay/warming/executor.py
+++ b/vanerelay/warming/executor.py
@@ -6,13 +6,12 @@
 from collections import deque
 from typing import Any
 
-from vanerelay.extension import Host, Own
+from vanerelay.extension import ExtensionHost, InternalQuery
 from vanerelay.history import History
 from vanerelay.interface import EngineState
-from vanerelay.leases.fencing import Gate
+from vanerelay.leases.fencing import FencingGate
 from vanerelay.net import frames
-from vanerelay.query_table import conditions, waits
-from vanerelay.warming.config import Parts
+from vanerelay.warming.config import WarmingConfig
 from vanerelay.warming.messages import Do, Done
 
 MOST = 400  # orders that wait
@@ -22,10 +21,10 @@
 class Hands:
     """`read`: what orders took, until a planner asks."""
 
-    def __init__(self, host: Host, parts: Parts, clock: Any) -> None:
+    def __init__(self, host: ExtensionHost, parts: WarmingConfig, clock: Any) -> None:
         self._host, self._parts, self._clock = host, parts, clock
-        self._gate, self._waiting = Gate(), deque[tuple[int, Do, int, str]]()  # until when
-        self._out = dict[Own, tuple[int, int, str]]()  # until when; table group, engine
+        self._gate, self._waiting = FencingGate(), deque[tuple[int, Do, int, str]]()  # until when
+        self._out = dict[InternalQuery, tuple[int, int, str]]()  # until when; table group, engine
         self.read = deque[tuple[int, str, int]](maxlen=TOLD)
         self.history = History(host.name, parts.history)
         self._timer: Any = None
@@ -61,16 +60,16 @@
         now = self._clock()
         while self._waiting and self._waiting[0][0] <= now:
             self._waiting.popleft()
-        busy = waits(self._host.gateway) > 0
+        busy = self._host.gateway.queue_wait() > 0
         for own, (until, _, _) in list(self._out.items()):
             if busy or until <= now:
-                own.withdraw()
+                own.cancel()
         if busy or not self._waiting or len(self._out) >= self._parts.at_once:
             return
         there = {
-            one.entry.name: one.entry.engine
-            for one in conditions(self._host.gateway)
-            if one.entry.state is EngineState.UP and one.sound
+            one.entry.name: one.entry.index
+            for one in self._host.gateway.engine_statuses()
+            if one.entry.state is EngineState.UP and one.usable
         }
         while self._waiting and len(self._out) < self._parts.at_once:
             until, do, group, engine = self._waiting.popleft()
@@ -81,13 +80,13 @@
         parts, begun = self._parts, self.history.now()
         statement = parts.statement.replace("@GROUP@", str(group))
         lasts = min(parts.lasts, until - self._clock())
-        own = self._host.own(parts.group, statement, engine, parts.memory, lasts)
+        own = self._host.submit_internal(parts.group, statement, engine, parts.memory, lasts)
         if own is None:
             return
 
         def ended(code: int) -> None:
             self._out.pop(own, None)
-            result = "ok" if code == frames.RETURNED else "not done"
+            result = "ok" if code == frames.COMPLETED else "not done"
             self.history.add(
                 "warm",
                 begun,
@@ -107,4 +106,4 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         for own in list(self._out):
-            own.withdraw()
+            own.cancel()
--- a/vanerelay/warming/gain_experiment.py
+++ b/vanerelay/warming/gain_experiment.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass, field
 
-from vanerelay.confidence import Spread, half_width
+from vanerelay.confidence import RunningVariance, half_width
 
 FEW = 12  # outcomes of each side before anything is said
 CHANCE = 0.05
@@ -30,9 +30,9 @@
     aside: float = 0.15
     part: float = 0.5  # of the budget
     shown: bool = False
-    _done: Spread = field(default_factory=Spread)
-    _left: Spread = field(default_factory=Spread)
-    _cost: Spread = field(default_factory=Spread)
+    _done: RunningVariance = field(default_factory=RunningVariance)
+    _left: RunningVariance = field(default_factory=RunningVariance)
+    _cost: RunningVariance = field(default_factory=RunningVariance)
     _since: int = 0
 
     def outcome(self, done: bool, wasted: float, cost: float) -> None:
@@ -46,8 +46,8 @@
             self._look()
         if self._done.number + self._left.number >= KEPT:
             for name in ("_done", "_left", "_cost"):
-                one: Spread = getattr(self, name)
-                setattr(self, name, Spread.of(one.number // 2, one.mean, one.variance))
+                one: RunningVariance = getattr(self, name)
+                setattr(self, name, RunningVariance.of(one.number // 2, one.mean, one.variance))
 
     @property
     def undone(self) -> float:
--- a/vanerelay/warming/messages.py
+++ b/vanerelay/warming/messages.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from vanerelay.fleet.messages import LONGEST, pack, unpack
+from vanerelay.fleet.messages import MAX_MESSAGE_BYTES, decode, encode
 from vanerelay.warming.popularity import Slice
 
-__all__ = ["LONGEST", "pack", "unpack"]
+__all__ = ["MAX_MESSAGE_BYTES", "encode", "decode"]
 
 
 class Ask(msgspec.Struct, frozen=True):
--- a/vanerelay/warming/planner.py
+++ b/vanerelay/warming/planner.py
@@ -11,17 +11,15 @@
 
 import structlog
 
-from vanerelay.extension import Host
-from vanerelay.fleet.failure_detector import Standing
+from vanerelay.extension import ExtensionHost
+from vanerelay.fleet.failure_detector import MemberState
 from vanerelay.fleet.service import Fleet
-from vanerelay.interface import EngineState
+from vanerelay.interface import SECOND, EngineState
 from vanerelay.leases.assignment import Candidate, ranked
-from vanerelay.leases.fencing import Deed, Hold
+from vanerelay.leases.fencing import LeasedOperation, LeaseHolder
 from vanerelay.leases.service import Leases
-from vanerelay.net.clock import UNITS
-from vanerelay.query_table import conditions, idle
 from vanerelay.warming import messages
-from vanerelay.warming.config import Parts
+from vanerelay.warming.config import WarmingConfig
 from vanerelay.warming.forecast import Forecasts
 from vanerelay.warming.gain_experiment import Trust
 from vanerelay.warming.plan import Budget, Plan, plan
@@ -42,10 +40,10 @@
 
     def __init__(
         self,
-        host: Host,
+        host: ExtensionHost,
         fleet: Fleet,
         leases: Leases,
-        parts: Parts,
+        parts: WarmingConfig,
         location: str,
         chance: random.Random,
         holders: Callable[[int], Sequence[str]],
@@ -58,9 +56,9 @@
 
     def _fresh(self) -> None:
         parts = self._parts
-        self._forecasts = Forecasts(parts.most, parts.period / UNITS)
+        self._forecasts = Forecasts(parts.most, parts.period / SECOND)
         self._trust = Trust(parts.price)
-        self._budget = Budget(parts.budget, parts.saves / UNITS)
+        self._budget = Budget(parts.budget, parts.saves / SECOND)
         self._believed, self._places = dict[str, Believed](), dict[str, Place]()
         self._heard = dict[str, int]()  # by manager: slices heard
         self._slices = list[Slice]()
@@ -69,13 +67,13 @@
         self._open = list[tuple[float, bool, Wish]]()
         self._turns = 0
 
-    def _began(self, hold: Hold) -> None:
+    def _began(self, hold: LeaseHolder) -> None:
         """What managers still remember is asked for: a planner that was lost takes its knowledge along."""
         self._fresh()
         self.stop()
         self._turn()
 
-    def _ended(self, hold: Hold) -> None:
+    def _ended(self, hold: LeaseHolder) -> None:
         self.stop()
 
     def stop(self) -> None:
@@ -84,14 +82,14 @@
         self._timer = None
 
     def _turn(self) -> None:
-        self._timer = self._host.reactor.callLater(self._parts.span / UNITS, self._turn)
+        self._timer = self._host.reactor.callLater(self._parts.span / SECOND, self._turn)
         if not self._hold.may(self._leases.clock()):
             return
         self._turns += 1
         self._look()
-        alive = [one.name for one in self._fleet.alive.members.values() if one.standing is Standing.ALIVE]
+        alive = [one.name for one in self._fleet.alive.members.values() if one.standing is MemberState.ALIVE]
         for name in alive:
-            body = messages.pack(messages.Ask(self._heard.get(name, 0)))
+            body = messages.encode(messages.Ask(self._heard.get(name, 0)))
             asked = self._fleet.ask(name, "warm-told", body, PATIENCE_S)
             asked.addCallback(partial(self._told, name)).addErrback(lambda _: None)
         slices, self._slices = self._slices, []
@@ -112,22 +110,22 @@
 
     def _look(self) -> None:
         """The location's engines as they stand now."""
-        spare = idle(self._host.gateway)
+        spare = self._host.gateway.idle_shares()
         found = dict[str, Place]()
-        location = self._host.places.get(self._location)
-        for one in conditions(self._host.gateway):
+        location = self._host.zones.get(self._location)
+        for one in self._host.gateway.engine_statuses():
             entry = one.entry
-            serves = entry.state is EngineState.UP and one.sound and entry.weight > 0
-            if serves and entry.location == location:
-                room = spare.get(entry.engine, 0.0)
-                found[entry.name] = Place(entry.name, one.cores, room, self._parts.keeps, not one.warm)
-                if entry.name not in self._believed or not one.warm and entry.name not in self._places:
+            serves = entry.state is EngineState.UP and one.usable and entry.weight > 0
+            if serves and entry.zone == location:
+                room = spare.get(entry.index, 0.0)
+                found[entry.name] = Place(entry.name, one.cores, room, self._parts.keeps, not one.warmed_up)
+                if entry.name not in self._believed or not one.warmed_up and entry.name not in self._places:
                     self._believed[entry.name] = Believed(self._parts.keeps)
         self._places = found
         self._believed = {name: one for name, one in self._believed.items() if name in found}
 
     def _told(self, name: str, body: bytes) -> None:
-        told = messages.unpack(body, messages.Told)
+        told = messages.decode(body, messages.Told)
         if told is None:
             return
         if told.next < self._heard.get(name, 0):
@@ -137,12 +135,12 @@
             self._heard[name] = told.next
             self._slices += [messages.slice_(one) for one in new]
         for group, _, work in told.read:
-            cost = work / UNITS
+            cost = work / SECOND
             # One that found it warm says nothing: what it takes is the most that was seen of late.
             self._reading[group] = max(cost, self._reading.get(group, cost) * (1.0 - LEARNS))
 
     def _learn(self, seen: Mapping[Key, Seen], loads: set[int]) -> None:
-        now = self._leases.clock() / UNITS
+        now = self._leases.clock() / SECOND
         for group in loads:
             self._forecasts.published(now, group, self._parts.publisher(group))
             for one in self._believed.values():
@@ -153,13 +151,13 @@
                 continue
             counts[group] += told.reads
             self._believed[engine].read(now, group)
-            each = told.work / told.reads / UNITS
+            each = told.work / told.reads / SECOND
             base = min(each, self._base.get(group, each) * 1.01)
             self._base[group] = base
-            self._spent[group, engine] += max(0.0, told.work / UNITS - told.reads * base)
+            self._spent[group, engine] += max(0.0, told.work / SECOND - told.reads * base)
         self._forecasts.update(now, counts)
         if self._turns % max(1, self._parts.horizon // self._parts.span // JUDGED) == 0:
-            self._forecasts.within(self._parts.horizon / UNITS)
+            self._forecasts.within(self._parts.horizon / SECOND)
         if len(self._base) > 2 * self._parts.most:
             self._base = {group: one for group, one in self._base.items() if group in self._forecasts.rows}
             self._reading = {g: one for g, one in self._reading.items() if g in self._forecasts.rows}
@@ -170,7 +168,7 @@
         self._spent = defaultdict(float, {key: one for key, one in self._spent.items() if key in watched})
 
     def _order(self, alive: Sequence[str]) -> None:
-        parts, now = self._parts, self._leases.clock() / UNITS
+        parts, now = self._parts, self._leases.clock() / SECOND
         groups = list(self._forecasts.rows)
         holders = {group: told for group in groups if (told := self._holders(group))}
         places = list(self._places.values())
@@ -180,9 +178,9 @@
             places,
             self._believed,
             self._reading,
-            parts.reading / UNITS,
+            parts.reading / SECOND,
             parts.price,
-            parts.horizon / UNITS,
+            parts.horizon / SECOND,
             groups,
             holders,
         )
@@ -197,7 +195,7 @@
         self._open_outcomes(made, now)
 
     def _send(self, name: str, some: list[Wish], now: float) -> None:
-        deed = self._hold.begin(self._leases.clock(), round(PATIENCE_S * UNITS))
+        deed = self._hold.begin(self._leases.clock(), round(PATIENCE_S * SECOND))
         if deed is None:
             return
         for wish in some:
@@ -208,12 +206,12 @@
         left = max(0, deed.until - self._leases.clock())
         lasts = min(self._parts.lasts, left)
         do = messages.Do(deed.task, deed.number, deed.serial, deed.holder, lasts, orders)
-        asked = self._fleet.ask(name, "warm-do", messages.pack(do), PATIENCE_S)
+        asked = self._fleet.ask(name, "warm-do", messages.encode(do), PATIENCE_S)
         asked.addErrback(lambda _: None).addCallback(self._done, deed)
 
-    def _done(self, body: bytes | None, deed: Deed) -> None:
+    def _done(self, body: bytes | None, deed: LeasedOperation) -> None:
         self._hold.end(deed)
-        told = messages.unpack(body, messages.Done) if body is not None else None
+        told = messages.decode(body, messages.Done) if body is not None else None
         if told is not None and told.later:
             self._leases.behind(deed, told.later)
 
@@ -222,4 +220,4 @@
             for wish in some:
                 if len(self._open) < OUTCOMES:
                     self._spent.pop((wish.group, wish.engine), None)
-                    self._open.append((now + self._parts.horizon / UNITS, done, wish))
+                    self._open.append((now + self._parts.horizon / SECOND, done, wish))
--- a/vanerelay/warming/popularity.py
+++ b/vanerelay/warming/popularity.py
@@ -11,7 +11,7 @@
 
 from datasketches import frequent_items_error_type, frequent_strings_sketch
 
-from vanerelay.interface import Span
+from vanerelay.interface import Duration
 
 SIZE = 9  # log of the items that a sketch follows: 384 of them are told
 KEPT = 60  # slices that a manager can still tell
@@ -25,7 +25,7 @@
     groups that were written."""
 
     number: int
-    age: Span
+    age: Duration
     reads: bytes
     work: bytes
     loads: tuple[int, ...]
@@ -35,7 +35,7 @@
 class Tally:
     """At each manager. `span`: of a slice."""
 
-    span: Span
+    span: Duration
     _number: int = 0
     _ends: int = 0
     _loads: set[int] = field(default_factory=set)
--- a/vanerelay/warming/prefetch_value.py
+++ b/vanerelay/warming/prefetch_value.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from vanerelay.estimation import scatter
+from vanerelay.estimation import stable_hash
 from vanerelay.warming.forecast import Floats, Forecasts
 
 HOME = 16.0  # the most that the decisions lean to an engine for a table group (`decide.Picker`)
@@ -62,7 +62,7 @@
 
 def shares(group: int, places: Sequence[Place]) -> Floats:
     """What part of a group's reads comes to each engine, as the decisions draw among idle ones."""
-    lean = [min(HOME, 1.0 / max(1e-9, 1.0 - scatter(one.name, group) / 2**64)) for one in places]
+    lean = [min(HOME, 1.0 / max(1e-9, 1.0 - stable_hash(one.name, group) / 2**64)) for one in places]
     weights = np.array([weight * one.cores for weight, one in zip(lean, places, strict=True)])
     return np.asarray(weights / weights.sum())
 
--- a/vanerelay/xds/assignment.py
+++ b/vanerelay/xds/assignment.py
@@ -17,14 +17,14 @@
 
 from vanerelay.interface import (
     SECOND,
-    Allowances,
-    Condition,
-    Effect,
+    Capabilities,
+    DeduplicationScope,
+    Duration,
     EngineState,
-    RationTerms,
-    Scope,
-    ServiceGroup,
-    Span,
+    EngineStatus,
+    Idempotency,
+    RetryBudgetTerms,
+    ServiceClass,
 )
 
 WIDTH = 2.8  # threads a core, as the module counts them on its own slices
@@ -44,7 +44,7 @@
     at all."""
 
     part: Annotated[float, msgspec.Meta(ge=0, le=0.95)] = 0.5
-    changes_every: Span = 2 * SECOND
+    changes_every: Duration = 2 * SECOND
     change: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1
 
 
@@ -109,15 +109,15 @@
 class Terms:
     """What the settings say, once."""
 
-    groups: tuple[ServiceGroup, ...]
-    allowed: Allowances
-    ration: RationTerms
+    groups: tuple[ServiceClass, ...]
+    allowed: Capabilities
+    ration: RetryBudgetTerms
     cold_multiple: float
 
 
 def plan(
     terms: Terms,
-    conditions: Sequence[Condition],
+    conditions: Sequence[EngineStatus],
     addresses: Mapping[int, str],
     handed: Handed,
     proxies: int,
@@ -135,10 +135,10 @@
     them."""
     found = []
     for row, group in enumerate(terms.groups):
-        if group.in_order:
+        if group.ordered:
             continue  # rule 5: a proxy keeps no order
-        able = [c for c in conditions if _may(group, c) and c.entry.engine in addresses]
-        warm, cold = [c for c in able if c.warm], [c for c in able if not c.warm]
+        able = [c for c in conditions if _may(group, c) and c.entry.index in addresses]
+        warm, cold = [c for c in able if c.warmed_up], [c for c in able if not c.warmed_up]
         share = handed.part / max(1, proxies)
         most = sum(_room(c, group, peaks[row]) for c in warm) * share * demand[row]
         most_cold = min(
@@ -167,63 +167,69 @@
                 cold_share=10_000 if not warm and most_cold >= 1 else cold_share,
                 dropped=int(1_000_000 * min(1.0, shed[row])),
                 retry=retry,
-                dispatches=max(1, terms.allowed.most_dispatches),
+                dispatches=max(1, terms.allowed.max_attempts),
                 time_limit=limit,
-                retry_percent=100.0 * BUDGET * terms.ration.share if terms.ration.span else 20.0,
-                retries=int(terms.ration.free * handed.part / max(1, proxies)) if terms.ration.span else 3,
+                retry_percent=100.0 * BUDGET * terms.ration.retry_ratio if terms.ration.window else 20.0,
+                retries=int(terms.ration.min_retries * handed.part / max(1, proxies))
+                if terms.ration.window
+                else 3,
             )
         )
     return tuple(found)
 
 
-def _within(group: ServiceGroup, location: int, kind: int) -> bool:
+def _within(group: ServiceClass, location: int, kind: int) -> bool:
     """Rule 6."""
-    return (group.locations is None or location in group.locations) and (
-        group.kinds is None or kind in group.kinds
+    return (group.zones is None or location in group.zones) and (
+        group.machine_kinds is None or kind in group.machine_kinds
     )
 
 
-def _may(group: ServiceGroup, c: Condition) -> bool:
-    return c.entry.state is EngineState.UP and _within(group, c.entry.location, c.entry.kind)
+def _may(group: ServiceClass, c: EngineStatus) -> bool:
+    return c.entry.state is EngineState.UP and _within(group, c.entry.zone, c.entry.machine_kind)
 
 
-def _room(c: Condition, group: ServiceGroup, peak: float) -> float:
+def _room(c: EngineStatus, group: ServiceClass, peak: float) -> float:
     """Batches of a group that our slice of an engine holds, by threads and by memory."""
-    if not c.sound or c.entry.weight <= 0.0:
+    if not c.usable or c.entry.weight <= 0.0:
         return 0.0
-    threads = c.cores * WIDTH * c.part / max(1, group.threads)
-    return min(threads, c.memory * c.part / peak) if peak > 0.0 and c.memory > 1.0 else threads
+    threads = c.cores * WIDTH * c.capacity_share / max(1, group.threads)
+    return min(threads, c.memory * c.capacity_share / peak) if peak > 0.0 and c.memory > 1.0 else threads
 
 
-def _cold_room(c: Condition, group: ServiceGroup, multiple: float) -> float:
+def _cold_room(c: EngineStatus, group: ServiceClass, multiple: float) -> float:
     """Batches that may run at once on a cold engine: with each using its threads they get no more work done
     than our part of the budget of rule 4, at this point of the ramp."""
-    rate = multiple * c.cores * c.share * COLD_CAUTION * c.part
+    rate = multiple * c.cores * c.ramp_share * COLD_CAUTION * c.capacity_share
     return rate / max(1, group.threads)
 
 
-def _offered(c: Condition, group: ServiceGroup, terms: Terms, share: float) -> bool:
+def _offered(c: EngineStatus, group: ServiceClass, terms: Terms, share: float) -> bool:
     """A cold engine is handed on only where we warm it at all, and each proxy can be given one batch on
     it."""
     whole = _cold_room(c, group, terms.cold_multiple) * share
-    return c.ours and c.sound and c.entry.weight > 0.0 and whole >= 1.0
+    return c.ramped_here and c.usable and c.entry.weight > 0.0 and whole >= 1.0
 
 
-def _retry(group: ServiceGroup) -> tuple[Retry, int]:
+def _retry(group: ServiceClass) -> tuple[Retry, int]:
     """Rule 2, and the time that all dispatches of a batch have together."""
-    if group.effect is Effect.REPEATABLE:
-        return Retry.HARMLESS, group.time_limit
-    if group.effect is Effect.REFERENCED and group.scope is Scope.ALL and group.window > 0:
-        return Retry.HARMLESS, min(group.time_limit, group.window)
-    return Retry.NEVER_RAN, group.time_limit
+    if group.idempotency is Idempotency.IDEMPOTENT:
+        return Retry.HARMLESS, group.deadline
+    if (
+        group.idempotency is Idempotency.DEDUPLICATED
+        and group.deduplication_scope is DeduplicationScope.ALL
+        and group.deduplication_window > 0
+    ):
+        return Retry.HARMLESS, min(group.deadline, group.deduplication_window)
+    return Retry.NEVER_RAN, group.deadline
 
 
-def _weight(c: Condition) -> int:
-    return max(1, min(HEAVIEST, round(FULL * max(1.0, c.cores) * c.level * c.share * c.entry.weight)))
+def _weight(c: EngineStatus) -> int:
+    return max(1, min(HEAVIEST, round(FULL * max(1.0, c.cores) * c.health * c.ramp_share * c.entry.weight)))
 
 
 def _parts(
-    engines: Sequence[Condition],
+    engines: Sequence[EngineStatus],
     addresses: Mapping[int, str],
     location: int | None,
     leaving: Sequence[tuple[str, str, int, int]],
@@ -232,10 +238,10 @@
     0."""
     places = dict[int, list[Endpoint]]()
     for c in engines:
-        good = c.sound and c.entry.weight > 0.0
+        good = c.usable and c.entry.weight > 0.0
         health = Health.HEALTHY if good else Health.UNHEALTHY
-        places.setdefault(c.entry.location, []).append(
-            Endpoint(c.entry.name, addresses[c.entry.engine], health, _weight(c))
+        places.setdefault(c.entry.zone, []).append(
+            Endpoint(c.entry.name, addresses[c.entry.index], health, _weight(c))
         )
     for name, address, place, _ in leaving:
         places.setdefault(place, []).append(Endpoint(name, address, Health.DRAINING, 1))
--- a/vanerelay/xds/config.py
+++ b/vanerelay/xds/config.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class XdsConfig:
     """`listen`: host and port for proxies; `nodes`: patterns of the node ids that may connect; `listener`:
     the name that gRPC clients resolve; `bind`: where a proxy that listens itself is to do so; `most`:
     connections."""
@@ -36,10 +36,10 @@
     tls: Tls | None
 
 
-def parts(block: Block) -> Parts:
+def read_config(block: Block) -> XdsConfig:
     """Raises BadOptions with the line of what is wrong."""
     handed, limits, tls = block.only("handed"), block.only("limits"), block.only("tls")
-    found = Parts(
+    found = XdsConfig(
         listen=_address(block, "listen", ""),
         nodes=tuple(block.take("nodes", list[str], ["*"])),
         listener=block.take("listener", str, "vanerelay"),
--- a/vanerelay/xds/extension.py
+++ b/vanerelay/xds/extension.py
@@ -7,42 +7,42 @@
 from twisted.internet.error import CannotListenError
 
 from vanerelay import settings
-from vanerelay.extension import BadStart, Host, Part
-from vanerelay.membership.extension import MembersPart
-from vanerelay.net.discovery_codec import Change
+from vanerelay.engine_list import EngineListChange
+from vanerelay.extension import Extension, ExtensionHost, StartupError
+from vanerelay.membership.extension import MembershipExtension
 from vanerelay.xds.assignment import Terms
-from vanerelay.xds.config import Parts
+from vanerelay.xds.config import XdsConfig
 from vanerelay.xds.service import ControlService
 
 
-class ControlPart(Part):
+class XdsExtension(Extension):
     """`members`: whose console answers for proxies as well, where there is one."""
 
-    def __init__(self, host: Host, parts: Parts, members: MembersPart | None) -> None:
+    def __init__(self, host: ExtensionHost, parts: XdsConfig, members: MembershipExtension | None) -> None:
         self._host, self._parts, self._members = host, parts, members
         self._service: ControlService | None = None
 
     def open(self) -> None:
-        host, profile = self._host, self._host.profile
+        host, profile = self._host, self._host.settings
         told = Terms(
             tuple(settings.service_groups(profile)),
             settings.allowances(profile),
             settings.ration_terms(profile),
-            settings.cold_start(profile).multiple,
+            settings.cold_start(profile).overload_multiple,
         )
-        self._service = ControlService(host.reactor, host.clock, self._parts, host, told, list(host.places))
+        self._service = ControlService(host.reactor, host.clock, self._parts, host, told, list(host.zones))
         if self._members is not None:
             self._members.membership.more["proxies"] = self._service.answer
         try:
             self._service.start()
         except (CannotListenError, OSError) as fault:
-            raise BadStart(f"the control service: {fault}") from None
+            raise StartupError(f"the control service: {fault}") from None
 
-    def listed(self, change: Change) -> None:
+    def engines_changed(self, change: EngineListChange) -> None:
         if self._service is not None:
             self._service.listed(change)
 
-    def refuses(self, profile: dict[str, Any]) -> str | None:
+    def settings_conflict(self, profile: dict[str, Any]) -> str | None:
         return "proxies are served by the settings of the start"
 
     def stop(self) -> None:
