--- a/vanerelay/xds/service.py
+++ b/vanerelay/xds/service.py
@@ -17,20 +17,19 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from vanerelay.extension import Host
+from vanerelay.clock import Clock
+from vanerelay.engine_list import EngineListChange
+from vanerelay.extension import ExtensionHost
 from vanerelay.grpc_wire.driver import Server
 from vanerelay.grpc_wire.session import Call, Listener
 from vanerelay.grpc_wire.status import Code, Status
-from vanerelay.interface import MILLISECOND, EngineState
+from vanerelay.interface import MILLISECOND, SECOND, EngineState
 from vanerelay.membership.control_protocol import Request
 from vanerelay.membership.control_socket import Answer
-from vanerelay.net.clock import UNITS, Clock
-from vanerelay.net.discovery_codec import Change
-from vanerelay.net.rate_limited_log import Sparing
-from vanerelay.query_table import conditions
+from vanerelay.net.rate_limited_log import RateLimitedLog
 from vanerelay.xds import resources
 from vanerelay.xds.assignment import Plan, Steady, Terms, plan
-from vanerelay.xds.config import Parts
+from vanerelay.xds.config import XdsConfig
 from vanerelay.xds.load_reports import Load, Loads
 from vanerelay.xds.proxy_count import Census
 from vanerelay.xds.resources import Encoded, Resource
@@ -217,7 +216,13 @@
     """All proxies, and what they are told."""
 
     def __init__(
-        self, reactor: Any, clock: Clock, parts: Parts, host: Host, terms: Terms, locations: Sequence[str]
+        self,
+        reactor: Any,
+        clock: Clock,
+        parts: XdsConfig,
+        host: ExtensionHost,
+        terms: Terms,
+        locations: Sequence[str],
     ) -> None:
         self._reactor, self._clock, self._parts, self._served, self._terms = (
             reactor,
@@ -236,7 +241,7 @@
         self._queued: set[Stream] = set()
         self._serial, self._telling = itertools.count(1), False
         self._timer: Any = None
-        self._refusal = Sparing(reactor, "a proxy refuses what it was told")
+        self._refusal = RateLimitedLog(reactor, "a proxy refuses what it was told")
         self._server = Server(reactor, clock, parts.limits, parts.most, self._opened)
         self._port: Any = None
 
@@ -304,28 +309,28 @@
         weights = self._views[reports.location].weights if reports.location in self._views else {}
         work = [gateway.pace.weight(row, 0) for row in range(len(self._terms.groups))]
         ended = self.loads.report(now, reports, found, weights, work)
-        engines = {address: engine for engine, address in self._served.addresses().items()}
+        engines = {address: engine for engine, address in self._served.engine_addresses().items()}
         for address, running in self.loads.running(now).items():
             if address in engines:
                 done, errors = ended.get(address, (0.0, 0.0))
-                gateway.proxied(engines[address], running, done, errors)
+                gateway.update_proxy_load(engines[address], running, done, errors)
 
     # What they are told.
 
-    def listed(self, change: Change) -> None:
+    def listed(self, change: EngineListChange) -> None:
         """The list changed: plans are made anew at once."""
-        for member in change.members:
+        for member in change.engines:
             if member.state is EngineState.DRAINING:
-                self._draining[member.name] = (member.address, member.location, member.kind)
+                self._draining[member.name] = (member.address, member.zone, member.machine_kind)
             else:
                 self._draining.pop(member.name, None)
-        if change.whole:
-            named = {member.name for member in change.members}
+        if change.complete:
+            named = {member.name for member in change.engines}
             self._draining = {name: one for name, one in self._draining.items() if name in named}
         self._again(0)
 
     def _again(self, delay: int) -> None:
-        seconds = delay / UNITS
+        seconds = delay / SECOND
         if self._timer is not None and self._timer.active():
             if self._timer.getTime() <= self._reactor.seconds() + seconds:
                 return
@@ -337,14 +342,17 @@
         now = self.now()
         count = self._census.count(now)
         gateway = self._served.gateway
-        gateway.hand(self._parts.handed.part if self.streams else 0.0)
+        gateway.set_proxy_share(self._parts.handed.part if self.streams else 0.0)
         wanted = {stream.location for stream in self.streams}
         for gone in self._views.keys() - wanted:
             del self._views[gone]
         if wanted:
-            held, addresses = conditions(gateway), self._served.addresses()
+            held, addresses = gateway.engine_statuses(), self._served.engine_addresses()
             rows = range(len(self._terms.groups))
-            shed, peaks = [gateway.shed(row) for row in rows], [gateway.usual_grant(row) for row in rows]
+            shed, peaks = (
+                [gateway.shed_share(row) for row in rows],
+                [gateway.typical_grant(row) for row in rows],
+            )
             draining = [(name, *one) for name, one in self._draining.items()]
             for location in wanted:
                 found = plan(
@@ -449,7 +457,7 @@
             "locality": self._locations[stream.location] if stream.location >= 0 else "",
             "protocol": "incremental" if stream.incremental else "world",
             "versions": {kind.name.lower(): told.acked for kind, told in stream.types.items()},
-            "behind_s": round((now - view.at) / UNITS, 1) if behind and view is not None else 0.0,
+            "behind_s": round((now - view.at) / SECOND, 1) if behind and view is not None else 0.0,
             "unsent": stream.call.waiting,
             "nacks": stream.nacks,
             "refused": dict(stream.refused),
