--- a/vanerelay/fleet/commands.py
+++ b/vanerelay/fleet/commands.py
@@ -1,31 +1,42 @@
-"""`vanerelay fleet`: what operators ask of managers that know each other."""
+"""`vanerelay fleet`: what operators ask of a running fleet."""
 
 from __future__ import annotations
 
 import json
 import sys
-from typing import Any, NoReturn
+from collections.abc import Callable
+from typing import Any, NoReturn, TypeVar
 
 import click
 from twisted.internet.defer import Deferred, DeferredList
+from twisted.python.failure import Failure
 
-from vanerelay.fleet import messages
-from vanerelay.fleet.failure_detector import MemberState, splits
+from vanerelay.fleet import lease_summary, messages
+from vanerelay.fleet.failure_detector import Member, MemberState, ViewDifference, view_differences
 from vanerelay.fleet.rpc import RpcNode
 
-PATIENCE_S = 3.0
+REPLY_TIMEOUT_S = 3.0
+FAILURE_EXIT_CODE = 2
+LEASES_KIND = "leases"
 
-FILE = click.option("--options", help="The operators' file of a manager: its own address is asked.")
-ADDRESS = click.option("--address", help="HOST:PORT of a manager's fleet listener, in place of --options.")
+OPTIONS_OPTION = click.option("--options", help="The operators' file of a manager: its own address is asked.")
+ADDRESS_OPTION = click.option(
+    "--address", help="HOST:PORT of a manager's fleet listener, in place of --options."
+)
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Tells JSON, an object a line.")
+
+T = TypeVar("T")
 
 
 def fail(*lines: str) -> NoReturn:
+    """Prints what is wrong and ends the program."""
     for line in lines:
         click.echo(f"vanerelay: {line}", err=True)
-    sys.exit(2)
+    sys.exit(FAILURE_EXIT_CODE)
 
 
-def asked_address(options: str | None, address: str | None) -> str:
+def gateway_address(options: str | None, address: str | None) -> str:
+    """The address of the gateway to ask: as given, or out of its operators' file."""
     from vanerelay.operator_config import BadOptions, subsystems
 
     if address:
@@ -34,28 +45,30 @@
         fail("no manager named, expected --address or --options")
     try:
         found = subsystems(options)
-    except BadOptions as fault:
-        fail(str(fault))
+    except BadOptions as error:
+        fail(str(error))
     if "fleet" not in found:
         fail(f"{options}: no fleet block, expected one")
     return str(found["fleet"].listen)
 
 
-def run(work: Any) -> Any:
-    """Runs a function that gives a Deferred, and gives what it comes to."""
-    from twisted.internet import reactor as found
+def run_in_reactor(work: Callable[[Any], Deferred[T]]) -> T:
+    """Runs a function that returns a Deferred, in a reactor of its own, and returns the result."""
+    from twisted.internet import reactor as installed_reactor
 
-    reactor: Any = found
-    result = list[Any]()
+    reactor: Any = installed_reactor
+    results = list[Any]()
 
-    def go() -> None:
-        work(reactor).addBoth(result.append).addBoth(lambda _: reactor.stop())
+    def start() -> None:
+        work(reactor).addBoth(results.append).addBoth(lambda _: reactor.stop())
 
-    reactor.callWhenRunning(go)
+    reactor.callWhenRunning(start)
     reactor.run()
-    if hasattr(result[0], "getErrorMessage"):
-        fail(result[0].getErrorMessage())
-    return result[0]
+    result = results[0]
+    if isinstance(result, Failure):
+        fail(result.getErrorMessage())
+    found: T = result
+    return found
 
 
 @click.group()
@@ -64,157 +77,130 @@
 
 
 @fleet.command()
-@FILE
-@ADDRESS
-@click.option("--json", "as_json", is_flag=True, help="Tells JSON, an object a line.")
+@OPTIONS_OPTION
+@ADDRESS_OPTION
+@JSON_OPTION
 def show(options: str | None, address: str | None, as_json: bool) -> None:
     """Who there is, as each manager that answers sees it. Exits with 1 where views differ."""
-    first = asked_address(options, address)
-    views: dict[str, messages.View] = run(lambda reactor: _views(reactor, first))
-    told = {name: messages.members(view.rows) for name, view in views.items()}
-    differ = splits(told)
-    newest = dict[str, Any]()
-    for rows in told.values():
-        for member in rows:
+    first = gateway_address(options, address)
+    views = run_in_reactor(lambda reactor: _collect_views(RpcNode(reactor), first))
+    members_by_viewer = {name: messages.to_members(view.rows) for name, view in views.items()}
+    differences = view_differences(members_by_viewer)
+    for member in _newest_members(members_by_viewer):
+        _print_member(member, member.name in views, as_json)
+    for difference in differences:
+        _print_difference(difference, as_json)
+    sys.exit(1 if differences else 0)
+
+
+def _newest_members(members_by_viewer: dict[str, list[Member]]) -> list[Member]:
+    """The newest report on each member, in the order of the names' numbers."""
+    newest = dict[str, Member]()
+    for members in members_by_viewer.values():
+        for member in members:
             known = newest.get(member.name)
             if known is None or member.newer(known):
                 newest[member.name] = member
-    for name in sorted(newest, key=lambda name: (len(name), name)):
-        member = newest[name]
-        row = {
-            "name": name,
-            "standing": member.standing.name.lower(),
-            "state": member.state,
-            "domain": member.domain,
-            "program": member.program,
-            "settings": member.settings,
-            "incarnation": member.incarnation,
-            "answers": name in views,
-        }
-        if as_json:
-            click.echo(json.dumps(row))
-        else:
-            heard = (
-                "" if name in views or member.standing is not MemberState.ALIVE else "  does not answer us"
-            )
-            click.echo(
-                f"{name:<12} {row['standing']:<8} {row['state']:<9} {row['domain']:<10} "
-                f"{row['program']:<20} {row['settings']:<13}{heard}".rstrip()
-            )
-    for split in differ:
-        if as_json:
-            click.echo(json.dumps({"split": split.name, **{word: list(who) for word, who in split.says}}))
-        else:
-            says = "; ".join(f"{word} as {', '.join(who)} see it" for word, who in split.says)
-            click.echo(f"views differ: {split.name}: {says}")
-    sys.exit(1 if differ else 0)
-
-
-def _views(reactor: Any, first: str) -> Deferred[dict[str, messages.View]]:
-    links = RpcNode(reactor)
-    found = dict[str, messages.View]()
-
-    def ask(address: str) -> Deferred[messages.View | None]:
-        asked: Deferred[Any] = links.ask(address, "view", b"", PATIENCE_S)
-        return asked.addCallback(lambda body: messages.decode(body, messages.View))
-
-    def others(view: messages.View | None) -> Deferred[Any]:
+    return [newest[name] for name in sorted(newest, key=lambda name: (len(name), name))]
+
+
+def _print_member(member: Member, answers: bool, as_json: bool) -> None:
+    row = {
+        "name": member.name,
+        "standing": member.standing.name.lower(),
+        "state": member.state,
+        "domain": member.domain,
+        "program": member.program,
+        "settings": member.settings,
+        "incarnation": member.incarnation,
+        "answers": answers,
+    }
+    if as_json:
+        click.echo(json.dumps(row))
+        return
+    unreachable = not answers and member.standing is MemberState.ALIVE
+    remark = "  does not answer us" if unreachable else ""
+    click.echo(
+        f"{member.name:<12} {row['standing']:<8} {row['state']:<9} {row['domain']:<10} "
+        f"{row['program']:<20} {row['settings']:<13}{remark}".rstrip()
+    )
+
+
+def _print_difference(difference: ViewDifference, as_json: bool) -> None:
+    if as_json:
+        opinions = {liveness.value: list(viewers) for liveness, viewers in difference.viewers}
+        click.echo(json.dumps({"split": difference.name, **opinions}))
+        return
+    opinions_text = "; ".join(
+        f"{liveness} as {', '.join(viewers)} see it" for liveness, viewers in difference.viewers
+    )
+    click.echo(f"views differ: {difference.name}: {opinions_text}")
+
+
+def _collect_views(node: RpcNode, first: str) -> Deferred[dict[str, messages.View]]:
+    """The views of one gateway and of all that it knows, by name; without those that do not reply."""
+    views = dict[str, messages.View]()
+
+    def request_view(address: str) -> Deferred[messages.View | None]:
+        reply: Deferred[Any] = node.ask(address, messages.VIEW_KIND, b"", REPLY_TIMEOUT_S)
+        return reply.addCallback(lambda body: messages.decode(body, messages.View))
+
+    def request_others(view: messages.View | None) -> Deferred[Any]:
         if view is None:
             raise ValueError(f"{first} gives no view that can be read")
-        found[view.name] = view
-        at = [
-            row.address
-            for row in view.rows
-            if row.name != view.name and row.address and row.standing != MemberState.LEFT
-        ]
-        return DeferredList([ask(address) for address in at], consumeErrors=True)
+        views[view.name] = view
+        others = [row for row in view.rows if row.name != view.name and _is_reachable(row)]
+        return DeferredList([request_view(row.address) for row in others], consumeErrors=True)
 
-    def ended(results: list[tuple[bool, Any]]) -> dict[str, messages.View]:
+    def finish(results: list[tuple[bool, Any]]) -> dict[str, messages.View]:
         for good, view in results:
             if good and view is not None:
-                found[view.name] = view
-        links.stop()
-        return found
+                views[view.name] = view
+        node.stop()
+        return views
 
-    return ask(first).addCallback(others).addCallback(ended)
+    return request_view(first).addCallback(request_others).addCallback(finish)
+
+
+def _is_reachable(row: messages.Row) -> bool:
+    return bool(row.address) and row.standing != MemberState.LEFT
 
 
 @fleet.command()
-@FILE
-@ADDRESS
-@click.option("--json", "as_json", is_flag=True, help="Tells JSON, an object a line.")
+@OPTIONS_OPTION
+@ADDRESS_OPTION
+@JSON_OPTION
 def leases(options: str | None, address: str | None, as_json: bool) -> None:
     """Who holds which task of the fleet, as each manager that answers says of itself, and how voters stand.
 
-    Exits with 1 where a task is held by nobody, or too few voters vote."""
-    first = asked_address(options, address)
-    views: dict[str, Any] = run(lambda reactor: _leases(reactor, first))
-    found = _held(views)
-    for row in found["tasks"]:
-        if as_json:
-            click.echo(json.dumps(row))
-        else:
-            number = f"{row['number'] >> 32}.{row['number'] & 0xFFFFFFFF}"
-            held = f"{row['holder']:<12} {number:<10} {row['left_ms'] / 1000:.1f} s left"
-            click.echo(f"{row['task']:<20} {held if row['holder'] else 'held by nobody'}")
-    for row in found["voters"]:
-        if as_json:
-            click.echo(json.dumps(row))
-        else:
-            why = f"  {row['why']}" if row["why"] else ""
-            click.echo(f"voter {row['voter']:<14} {row['memory']:<10} era {row['era']}{why}")
-    sys.exit(0 if found["good"] else 1)
-
-
-def _leases(reactor: Any, first: str) -> Deferred[dict[str, Any]]:
-    from vanerelay.leases import messages as lease_words
-
-    links = RpcNode(reactor)
-
-    def each(views: dict[str, messages.View]) -> Deferred[dict[str, Any]]:
-        at = {
-            row.name: row.address
-            for view in views.values()
-            for row in view.rows
-            if row.address and row.standing != MemberState.LEFT
-        }
-        names = sorted(at)
-        asked = [links.ask(at[name], "leases", b"", PATIENCE_S) for name in names]
-
-        def ended(results: list[tuple[bool, Any]]) -> dict[str, Any]:
-            links.stop()
-            told = [lease_words.decode(body, lease_words.View) for good, body in results if good]
-            return {view.name: view for view in told if view is not None}
-
-        return DeferredList(asked, consumeErrors=True).addCallback(ended)
-
-    return _views(reactor, first).addCallback(each)
-
-
-def _held(views: dict[str, Any]) -> dict[str, Any]:
-    """Of all views: tasks with their holders, voters with their standing, and whether all is well."""
-    from vanerelay.leases.voter import Voters
-
-    tasks, voters = dict[str, dict[str, Any]](), dict[str, dict[str, Any]]()
-    newest = max(views.values(), key=lambda view: view.version, default=None)
-    for name, view in sorted(views.items()):
-        for row in view.rows:
-            known = tasks.setdefault(row.task, {"task": row.task, "holder": "", "number": 0, "left_ms": 0})
-            if row.holds and row.number > known["number"]:
-                known |= {"holder": name, "number": row.number, "left_ms": row.left_ms}
-    counted = Voters(1, tuple(newest.voters), tuple(newest.before)) if newest is not None else Voters()
-    for name in counted.all:
-        view = views.get(name)
-        memory, era = (view.memory, view.era) if view is not None else ("no answer", 0)
-        voters[name] = {
-            "voter": name,
-            "memory": memory,
-            "era": era,
-            "why": view.why if view is not None else "",
+    Exits with 1 where a task is held by nobody, or too few voters vote.
+    """
+    first = gateway_address(options, address)
+    views = run_in_reactor(lambda reactor: _collect_lease_views(reactor, first))
+    summary = lease_summary.summarize(views)
+    for line in summary.json_lines() if as_json else summary.text_lines():
+        click.echo(line)
+    sys.exit(0 if summary.healthy else 1)
+
+
+def _collect_lease_views(reactor: Any, first: str) -> Deferred[dict[str, Any]]:
+    from vanerelay.leases import messages as lease_messages
+
+    node = RpcNode(reactor)
+
+    def request_all(views: dict[str, messages.View]) -> Deferred[dict[str, Any]]:
+        addresses = {
+            row.name: row.address for view in views.values() for row in view.rows if _is_reachable(row)
         }
-    enough = counted.enough(name for name, row in voters.items() if row["memory"] == "knows")
-    return {
-        "tasks": [tasks[name] for name in sorted(tasks)],
-        "voters": list(voters.values()),
-        "good": enough and bool(tasks) and all(row["holder"] for row in tasks.values()),
-    }
+        requests = [
+            node.ask(addresses[name], LEASES_KIND, b"", REPLY_TIMEOUT_S) for name in sorted(addresses)
+        ]
+
+        def finish(results: list[tuple[bool, Any]]) -> dict[str, Any]:
+            node.stop()
+            replies = [lease_messages.decode(body, lease_messages.View) for good, body in results if good]
+            return {view.name: view for view in replies if view is not None}
+
+        return DeferredList(requests, consumeErrors=True).addCallback(finish)
+
+    return _collect_views(RpcNode(reactor), first).addCallback(request_all)
--- a/vanerelay/fleet/config.py
+++ b/vanerelay/fleet/config.py
@@ -1,16 +1,19 @@
-"""The `fleet` block of the operators' file, into the arguments of each part."""
+"""The `fleet` block of the operators' file, typed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from vanerelay.config_field import config_field
 from vanerelay.fleet.failure_detector import FailureDetectorConfig
 from vanerelay.operator_config import Block
 
+PORT_LIMIT = 65_536
+
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """A manager that operators name, and where it is reached."""
+class SeedMember:
+    """A gateway that the operators name, and where it is reached."""
 
     name: str
     address: str
@@ -19,35 +22,53 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """`fleet`: which fleet, others are not listened to; `listen`: host and port for managers; `domain`: what
-    fails together with us; `folder`: where the incarnation is kept, if anywhere."""
+    """What the `fleet` block says.
+
+    Attributes:
+        listen: Host and port on which other gateways reach us.
+        fleet_name: Which fleet we belong to; messages of others are refused.
+        domain: Our region of failure: what fails together.
+        folder: Where the incarnation is kept; nowhere if empty.
+        known: Members that the operators name, to be probed first.
+        failure_detector: The tuned values of failure detection.
+    """
 
     listen: str
-    fleet: str = "fleet"
+    fleet_name: str = config_field("fleet", default="fleet")
     domain: str = ""
     folder: str = ""
-    known: tuple[Known, ...] = ()
-    pace: FailureDetectorConfig = FailureDetectorConfig()
+    known: tuple[SeedMember, ...] = ()
+    failure_detector: FailureDetectorConfig = FailureDetectorConfig()
 
 
 def read_config(block: Block) -> FleetConfig:
-    """Raises BadOptions with the line of what is wrong."""
-    pace, known = block.only("pace"), block.all("member")
-    found = block.fill(
+    """Reads the block; raises BadOptions with the line of what is wrong."""
+    detector_block, seed_blocks = block.only("pace"), block.all("member")
+    config = block.fill(
         FleetConfig,
-        known=tuple(one.fill(Known, name=one.label) for one in known),
-        pace=pace.fill(FailureDetectorConfig) if pace else FailureDetectorConfig(),
+        known=tuple(_read_seed(one) for one in seed_blocks),
+        failure_detector=(
+            detector_block.fill(FailureDetectorConfig) if detector_block else FailureDetectorConfig()
+        ),
     )
-    for name, text, at in (
-        ("listen", found.listen, block),
-        *(("address", told.address, one) for told, one in zip(found.known, known, strict=True)),
-    ):
-        host, _, port = text.rpartition(":")
-        if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
-            raise at.wrong(f'{name}: {text!r}, expected host and port, such as "127.0.0.1:7946"', name)
-    if any(not one.name for one in found.known):
+    _check_address(block, "listen", config.listen)
+    for seed, seed_block in zip(config.known, seed_blocks, strict=True):
+        _check_address(seed_block, "address", seed.address)
+    if any(not seed.name for seed in config.known):
         raise block.wrong('member: no name, expected one, such as member "m2"')
-    for one in (block, pace, *known):
+    for one in (block, detector_block, *seed_blocks):
         if one is not None:
             one.done()
-    return found
+    return config
+
+
+def _read_seed(block: Block) -> SeedMember:
+    return block.fill(SeedMember, name=block.label)
+
+
+def _check_address(block: Block, attribute: str, address: str) -> None:
+    host, _, port = address.rpartition(":")
+    if not host or not port.isdecimal() or not 0 < int(port) < PORT_LIMIT:
+        raise block.wrong(
+            f'{attribute}: {address!r}, expected host and port, such as "127.0.0.1:7946"', attribute
+        )
--- a/vanerelay/fleet/failure_detector.py
+++ b/vanerelay/fleet/failure_detector.py
@@ -1,10 +1,12 @@
-"""Who is alive: every choice of the detector. Pure: told the time in the module's unit, given its chance.
+"""Failure detection: which gateways of the fleet are alive. Pure: told the time, given its random source.
 
-SWIM (Das, Gupta, Motivala 2002) with suspicion and with Lifeguard's slower judgement of a manager that itself
-does badly (Dadgar, Phillips, Currey 2018): in a period each manager asks one other, in an order drawn anew
-each round; one that does not answer is asked through a few others; one that nobody reaches is suspected, and
-counts as gone only after a time in which it could have said otherwise. What is learned travels with these
-messages. So a manager sends a bounded number of messages whatever the size of the fleet."""
+This is SWIM (Das, Gupta, Motivala 2002) with suspicion, and with the local health awareness of Lifeguard
+(Dadgar, Phillips, Currey 2018). In each probe interval a gateway probes one other, in an order that is
+shuffled anew each round. One that does not reply is probed indirectly, through a few helpers. One that
+nobody reaches is suspected, and counts as gone only after a timeout in which it could have refuted the
+suspicion. Gossip is piggybacked on these messages, so a gateway sends a bounded number of messages whatever
+the size of the fleet. Times are whole tenths of a millisecond.
+"""
 
 from __future__ import annotations
 
@@ -12,269 +14,335 @@
 import random
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 
+from vanerelay.config_field import config_field
 from vanerelay.interface import MILLISECOND, SECOND, Duration
 
 
 class MemberState(IntEnum):
-    """Of two words on the same version of a member the later one here counts."""
+    """Whether a member is alive. Of two reports on one version of a member, the higher state counts."""
 
     ALIVE = 0
     SUSPECT = 1
     GONE = 2
-    LEFT = 3  # by its own word
+    LEFT = 3  # announced by the member itself
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """What is known of a manager. `incarnation`: of its process, never going back; `word`: counted up by the
-    member itself whenever it says something new of itself, and by nobody else."""
+    """What is known of a gateway.
+
+    `incarnation` is that of its process and never goes back. `sequence_number` is incremented by the member
+    itself whenever it announces something new of itself, and by nobody else.
+    """
 
     name: str
     incarnation: int
-    word: int = 0
+    sequence_number: int = 0
     standing: MemberState = MemberState.ALIVE
     domain: str = ""
     address: str = ""
     program: str = ""
     settings: str = ""
     state: str = "starting"
-    orders: str = ""  # the highest fence of operators' orders that it knows, and for which change
-
-    @property
-    def version(self) -> tuple[int, int]:
-        return self.incarnation, self.word
+    orders: str = ""  # the highest fencing token of rollout orders that it knows, and for which change
 
     def newer(self, other: Member) -> bool:
-        return (self.incarnation, self.word, self.standing) > (other.incarnation, other.word, other.standing)
+        """Whether this report supersedes another one on the same member."""
+        return (self.incarnation, self.sequence_number, self.standing) > (
+            other.incarnation,
+            other.sequence_number,
+            other.standing,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class FailureDetectorConfig:
-    """`period`: between questions; `patience`: until one is asked through others; `through`: how many others;
-    `suspicion`: periods, times the logarithm of the fleet's size, until a suspect is gone; `told`: pieces of
-    news in one message; `most`: members at all; `forget`: after which one that is gone is let go of."""
+    """Tuned values of the detector, the `pace` block of the operators' file.
+
+    Attributes:
+        probe_interval: Time between two probes.
+        probe_timeout: Time after which an unanswered probe is repeated through helpers.
+        indirect_probes: How many helpers are asked.
+        suspicion_factor: Probe intervals until a suspect is gone, times the logarithm of the fleet's size.
+        gossip_limit: Members of which one message carries reports.
+        max_members: Members that are known at all.
+        forget_after: Time after which a member that is gone is forgotten.
+    """
 
-    period: Duration = 500 * MILLISECOND
-    patience: Duration = 250 * MILLISECOND
-    through: int = 3
-    suspicion: float = 6.0
-    told: int = 12
-    most: int = 1000
-    forget: Duration = 600 * SECOND
+    probe_interval: Duration = config_field("period", default=500 * MILLISECOND)
+    probe_timeout: Duration = config_field("patience", default=250 * MILLISECOND)
+    indirect_probes: int = config_field("through", default=3)
+    suspicion_factor: float = config_field("suspicion", default=6.0)
+    gossip_limit: int = config_field("told", default=12)
+    max_members: int = config_field("most", default=1000)
+    forget_after: Duration = config_field("forget", default=600 * SECOND)
 
 
-REPEATS = 3.0  # times the logarithm of the fleet's size that a piece of news is told on
-WORST = 8  # of our own failing, in periods that everything takes longer
+RETRANSMIT_FACTOR = 3.0
+"""Times that a report is gossiped, per decimal logarithm of the fleet's size: SWIM's lambda."""
+
+MIN_TRANSMISSIONS = 2
+"""Times that a report is gossiped at least, in the smallest fleet."""
+
+MAX_LOCAL_HEALTH = 8
+"""Bound of Lifeguard's local health multiplier: a gateway never waits more than nine times as long."""
+
+STALL_PENALTY = 2
+"""What a stall of our own process adds to the multiplier: more than one failed probe does."""
 
 
 @dataclass(slots=True)
-class _News:
-    left: int
+class _Broadcast:
+    """A report that is still to be gossiped a number of times."""
+
+    transmissions_left: int
     member: Member
 
 
 class FailureDetector:
-    """One manager's view of the fleet."""
+    """One gateway's view of the fleet.
 
-    def __init__(self, own: Member, pace: FailureDetectorConfig, chance: random.Random) -> None:
-        self.pace, self._chance = pace, chance
+    The driver probes `next_probe_target` once per interval and reports the outcome with `probe_succeeded` or
+    `probe_failed`; it sends `gossip` with each message and passes on what it receives to `receive_gossip`.
+    """
+
+    def __init__(self, own: Member, config: FailureDetectorConfig, random_source: random.Random) -> None:
+        self.config, self._random = config, random_source
         self._own = own
         self.members = {own.name: own}
-        self._order = list[str]()  # whom to ask next, the last first
-        self._news = dict[str, _News]()
-        self._suspected = dict[str, int]()  # since when
-        self._gone = dict[str, int]()
+        self._probe_order = list[str]()  # the next one last
+        self._broadcasts = dict[str, _Broadcast]()
+        self._suspected_at = dict[str, int]()
+        self._gone_at = dict[str, int]()
         self._joined, self.replaced = False, False  # replaced: another process goes by our name
-        self._failing = 0  # our own, as Lifeguard counts it
-        self.changes = list[Member]()  # taken by the driver, for log and listeners
-        self._spread(own)
+        self._local_health = 0  # Lifeguard's multiplier: 0 is healthy
+        self._changes = list[Member]()
+        self._broadcast(own)
 
     @property
     def own(self) -> Member:
+        """Ourselves, as we announce ourselves."""
         return self._own
 
-    def say(self, **changed: str) -> None:
-        """Something new of ourselves: our state, release or settings."""
-        new = replace(self._own, word=self._own.word + 1, **changed)  # type: ignore[arg-type]
-        self._set(new)
+    @property
+    def has_joined(self) -> bool:
+        """Whether another member has acknowledged our present incarnation."""
+        return self._joined
+
+    def announce(self, **changed: str) -> None:
+        """Announces something new of ourselves: our state, release or settings."""
+        sequence_number = self._own.sequence_number + 1
+        self._update(replace(self._own, sequence_number=sequence_number, **changed))  # type: ignore[arg-type]
 
     def leave(self) -> None:
-        self._set(replace(self._own, word=self._own.word + 1, standing=MemberState.LEFT))
+        """Announces that we leave the fleet."""
+        sequence_number = self._own.sequence_number + 1
+        self._update(replace(self._own, sequence_number=sequence_number, standing=MemberState.LEFT))
 
-    def introduce(self, name: str, address: str, domain: str = "") -> None:
-        """One that operators name. Nothing is known of it: it is asked, and does not count as alive
-        before."""
+    def add_seed(self, name: str, address: str, domain: str = "") -> None:
+        """Adds a member that the operators name.
+
+        Nothing is known of it: it is probed, and does not count as alive before it replies.
+        """
         if name not in self.members:
             self.members[name] = Member(name, 0, 0, MemberState.GONE, domain, address)
 
-    # In turn.
+    def take_changes(self) -> list[Member]:
+        """Members that have changed since the last call, in order."""
+        changes, self._changes = self._changes, []
+        return changes
+
+    # Probes.
 
-    def next(self, now: int) -> Member | None:
-        """Whom to ask in this period. All in a drawn order before anybody again; those that are gone as well,
-        so that two halves of a fleet find each other again."""
-        self._settle(now)
+    def next_probe_target(self, now: int) -> Member | None:
+        """Whom to probe in this interval.
+
+        Everybody once, in shuffled order, before anybody again. Members that are gone are probed as well, so
+        that two halves of a partitioned fleet find each other again.
+        """
+        self._expire(now)
         others = self.members.keys() - {self._own.name}
         if not others:
             return None
-        self._order = [name for name in self._order if name in others]
-        if not self._order:
-            self._order = sorted(
+        self._probe_order = [name for name in self._probe_order if name in others]
+        if not self._probe_order:
+            self._probe_order = sorted(
                 name for name in others if self.members[name].standing is not MemberState.LEFT
             )
-            self._chance.shuffle(self._order)
-        return self.members[self._order.pop()] if self._order else None
+            self._random.shuffle(self._probe_order)
+        return self.members[self._probe_order.pop()] if self._probe_order else None
 
-    def helpers(self, target: str) -> list[Member]:
-        """Who is to ask the one that did not answer."""
-        sound = sorted(
+    def indirect_probe_helpers(self, target: str) -> list[Member]:
+        """Who is asked to probe a member that did not reply to us."""
+        alive = sorted(
             name
             for name, member in self.members.items()
             if member.standing is MemberState.ALIVE and name not in (target, self._own.name)
         )
-        return [self.members[name] for name in self._chance.sample(sound, min(self.pace.through, len(sound)))]
+        count = min(self.config.indirect_probes, len(alive))
+        return [self.members[name] for name in self._random.sample(alive, count)]
+
+    def probe_timeout(self) -> int:
+        """How long to wait for a reply: longer while our own health is poor."""
+        return self.config.probe_timeout * (1 + self._local_health)
+
+    def suspicion_timeout(self) -> int:
+        """How long a suspect has to refute the suspicion."""
+        size_factor = max(1.0, math.log10(max(1, len(self.members))))
+        timeout = int(self.config.suspicion_factor * size_factor * self.config.probe_interval)
+        return timeout * (1 + self._local_health)
+
+    def probe_succeeded(self) -> None:
+        """Some member replied. A suspect refutes its suspicion itself, under a later sequence number."""
+        self._local_health = max(0, self._local_health - 1)
+
+    def probe_failed(self, name: str, now: int) -> None:
+        """Neither we nor the helpers reached a member."""
+        self._degrade(1)
+        member = self.members.get(name)
+        if member is not None and member.standing is MemberState.ALIVE:
+            self._update(replace(member, standing=MemberState.SUSPECT))
+            self._suspected_at[name] = now
 
-    def patience(self) -> int:
-        """For an answer: longer while we ourselves do badly."""
-        return self.pace.patience * (1 + self._failing)
+    def process_stalled(self) -> None:
+        """Our own process stood still: nobody else is to blame for replies that were late."""
+        self._degrade(STALL_PENALTY)
 
-    def answered(self) -> None:
-        """Somebody did. That a suspect lives it says itself, in a newer word."""
-        self._failing = max(0, self._failing - 1)
+    # Gossip.
 
-    def unanswered(self, name: str, now: int) -> None:
-        """Neither we nor the helpers reached it."""
-        self._failing = min(WORST, self._failing + 1)
-        member = self.members.get(name)
-        if member is not None and member.standing is MemberState.ALIVE:
-            self._set(replace(member, standing=MemberState.SUSPECT))
-            self._suspected[name] = now
-
-    def stalled(self) -> None:
-        """Our own process stood still: nobody else is to blame for what was late."""
-        self._failing = min(WORST, self._failing + 2)
-
-    # What others say.
-
-    def news(self) -> list[Member]:
-        """What to tell with the next message, the least told first; ourselves always."""
-        least = sorted(self._news.values(), key=lambda one: (-one.left, one.member.name))[: self.pace.told]
-        for one in least:
-            one.left -= 1
-            if one.left <= 0:
-                del self._news[one.member.name]
-        told = [one.member for one in least if one.member.name != self._own.name]
-        return [self._own, *told]
-
-    def whole(self) -> list[Member]:
-        """All that is known, for one that has just come."""
+    def gossip(self) -> list[Member]:
+        """The reports to send with the next message: ourselves, then those that were sent least often."""
+        pending = sorted(
+            self._broadcasts.values(), key=lambda one: (-one.transmissions_left, one.member.name)
+        )
+        chosen = pending[: self.config.gossip_limit]
+        for broadcast in chosen:
+            broadcast.transmissions_left -= 1
+            if broadcast.transmissions_left <= 0:
+                del self._broadcasts[broadcast.member.name]
+        others = [one.member for one in chosen if one.member.name != self._own.name]
+        return [self._own, *others]
+
+    def gossip_reply(self, sender: Member) -> list[Member]:
+        """The reports to reply with: gossip, and what we know of the sender where that is newer."""
+        known = self.members.get(sender.name)
+        return [*self.gossip(), *([known] if known is not None and known.newer(sender) else [])]
+
+    def full_state(self) -> list[Member]:
+        """All members of which anything is known, for one that joins."""
         return [member for member in self.members.values() if member.incarnation]
 
-    def heard(self, told: Iterable[Member], now: int) -> None:
-        for member in told:
+    def receive_gossip(self, reports: Iterable[Member], now: int) -> None:
+        """Merges the reports of another member."""
+        for member in reports:
             if member.name == self._own.name:
-                self._of_us(member)
-                continue
-            known = self.members.get(member.name)
-            if (
-                known is None
-                and len(self.members) >= self.pace.most
-                or known is not None
-                and not member.newer(known)
-            ):
-                continue
-            self._set(member)
-            if member.standing is MemberState.SUSPECT:
-                self._suspected.setdefault(member.name, now)
-            else:
-                self._suspected.pop(member.name, None)
-            if member.standing in (MemberState.GONE, MemberState.LEFT):
-                self._gone[member.name] = now
-            else:
-                self._gone.pop(member.name, None)
-
-    def reply(self, sender: Member) -> list[Member]:
-        """What to answer one that has told us of itself: with it what we hold of it, where that is newer."""
-        known = self.members.get(sender.name)
-        return [*self.news(), *([known] if known is not None and known.newer(sender) else [])]
+                self._receive_own(member)
+            elif self._supersedes(member):
+                self._update(member)
+                self._note_state_times(member, now)
 
-    def joined(self, incarnation: int) -> None:
-        """Another has answered what we said under this incarnation, and knew of no later one."""
+    def acknowledged(self, incarnation: int) -> None:
+        """Another member has replied to this incarnation of ours, and knew of no later one."""
         self._joined = self._joined or incarnation == self._own.incarnation
 
-    @property
-    def has_joined(self) -> bool:
-        return self._joined
-
-    def _of_us(self, member: Member) -> None:
-        """What others say of us. A later incarnation than ours: before we have joined it is one from before a
-        lost disk, or a clock that was ahead, and we go past it; later it is our successor, and we are silent.
-        That we are suspect or gone is answered by a newer word."""
+    def _supersedes(self, member: Member) -> bool:
+        known = self.members.get(member.name)
+        if known is None:
+            return len(self.members) < self.config.max_members
+        return member.newer(known)
+
+    def _note_state_times(self, member: Member, now: int) -> None:
+        if member.standing is MemberState.SUSPECT:
+            self._suspected_at.setdefault(member.name, now)
+        else:
+            self._suspected_at.pop(member.name, None)
+        if member.standing in (MemberState.GONE, MemberState.LEFT):
+            self._gone_at[member.name] = now
+        else:
+            self._gone_at.pop(member.name, None)
+
+    def _receive_own(self, member: Member) -> None:
+        """Handles a report on ourselves.
+
+        A later incarnation than ours, before we have joined, is one from before a lost disk or from a clock
+        that was ahead: we go past it. After that it is our successor, and we fall silent. That we are suspect
+        or gone is refuted under a later sequence number.
+        """
         own = self._own
         if member.incarnation > own.incarnation and self._joined:
             self.replaced = True
         elif member.incarnation > own.incarnation:
-            self._set(replace(own, incarnation=member.incarnation + 1, word=0))
+            self._update(replace(own, incarnation=member.incarnation + 1, sequence_number=0))
         elif member.newer(own) and own.standing is not MemberState.LEFT:
-            self._failing = min(WORST, self._failing + 1)
-            self._set(replace(own, word=member.word + 1))
-
-    def _settle(self, now: int) -> None:
-        """Suspects whose time is over are gone; those long gone are let go of."""
-        for name, since in list(self._suspected.items()):
-            if now - since >= self.suspicion():
-                del self._suspected[name]
-                self._gone[name] = now
-                self._set(replace(self.members[name], standing=MemberState.GONE))
-        for name, since in list(self._gone.items()):
-            if now - since >= self.pace.forget:
-                del self._gone[name]
+            self._degrade(1)
+            self._update(replace(own, sequence_number=member.sequence_number + 1))
+
+    def _degrade(self, penalty: int) -> None:
+        self._local_health = min(MAX_LOCAL_HEALTH, self._local_health + penalty)
+
+    def _expire(self, now: int) -> None:
+        """Declares suspects gone whose timeout is over, and forgets members that are long gone."""
+        for name, since in list(self._suspected_at.items()):
+            if now - since >= self.suspicion_timeout():
+                del self._suspected_at[name]
+                self._gone_at[name] = now
+                self._update(replace(self.members[name], standing=MemberState.GONE))
+        for name, since in list(self._gone_at.items()):
+            if now - since >= self.config.forget_after:
+                del self._gone_at[name]
                 self.members.pop(name, None)
-                self._news.pop(name, None)
-
-    def suspicion(self) -> int:
-        """How long a suspect has to say that it lives."""
-        size = max(1.0, math.log10(max(1, len(self.members))))
-        return int(self.pace.suspicion * size * self.pace.period) * (1 + self._failing)
+                self._broadcasts.pop(name, None)
 
-    def _set(self, member: Member) -> None:
+    def _update(self, member: Member) -> None:
         known = self.members.get(member.name)
         self.members[member.name] = member
         if member.name == self._own.name:
             self._own = member
         if known is None or known != member:
-            self.changes.append(member)
-        self._spread(member)
+            self._changes.append(member)
+        self._broadcast(member)
 
-    def _spread(self, member: Member) -> None:
-        times = max(2, math.ceil(REPEATS * math.log10(len(self.members) + 1)))
-        self._news[member.name] = _News(times, member)
+    def _broadcast(self, member: Member) -> None:
+        scaled = math.ceil(RETRANSMIT_FACTOR * math.log10(len(self.members) + 1))
+        self._broadcasts[member.name] = _Broadcast(max(MIN_TRANSMISSIONS, scaled), member)
+
+
+class Liveness(StrEnum):
+    """Whether one viewer takes a member for alive, in the words that commands print."""
+
+    ALIVE = "alive"
+    GONE = "gone"
 
 
 @dataclass(frozen=True, slots=True)
-class Split:
-    """One member on which views differ: who says what."""
+class ViewDifference:
+    """A member on which views differ: for each opinion, the gateways that hold it."""
 
     name: str
-    says: tuple[tuple[str, tuple[str, ...]], ...]
+    viewers: tuple[tuple[Liveness, tuple[str, ...]], ...]
 
 
-def splits(views: Mapping[str, Iterable[Member]]) -> list[Split]:
-    """Members of whose life or release those asked hold different views; `views` by who was asked."""
-    says = dict[str, dict[str, list[str]]]()
+def view_differences(views: Mapping[str, Iterable[Member]]) -> list[ViewDifference]:
+    """Members that some viewers take for alive and others for gone; `views` by the name of the viewer."""
+    opinions = dict[str, dict[Liveness, list[str]]]()
     for viewer in sorted(views):
         for member in views[viewer]:
-            word = "alive" if member.standing in (MemberState.ALIVE, MemberState.SUSPECT) else "gone"
-            says.setdefault(member.name, {}).setdefault(word, []).append(viewer)
+            alive = member.standing in (MemberState.ALIVE, MemberState.SUSPECT)
+            liveness = Liveness.ALIVE if alive else Liveness.GONE
+            opinions.setdefault(member.name, {}).setdefault(liveness, []).append(viewer)
     return [
-        Split(name, tuple((word, tuple(who)) for word, who in sorted(told.items())))
-        for name, told in sorted(says.items())
-        if len(told) > 1
+        ViewDifference(name, tuple((liveness, tuple(who)) for liveness, who in sorted(held.items())))
+        for name, held in sorted(opinions.items())
+        if len(held) > 1
     ]
 
 
-def incarnation(kept: int, clock_ms: int) -> int:
-    """That of a process which starts: past what was kept, and about the time, so that it goes up without a
-    disk as well; where the clock was ahead before, others know, and `_of_us` goes past it."""
-    return max(kept + 1, clock_ms)
+def next_incarnation(stored: int, wall_clock_ms: int) -> int:
+    """The incarnation of a process that starts.
+
+    It is past the stored one, and about the time, so that it grows without a disk as well. Where the clock
+    was ahead before, other members know, and the detector goes past what they report.
+    """
+    return max(stored + 1, wall_clock_ms)
--- a/vanerelay/fleet/messages.py
+++ b/vanerelay/fleet/messages.py
@@ -1,7 +1,9 @@
-"""What managers say to each other, as bytes (MessagePack) and back. Pure.
+"""Messages between gateways of a fleet, as bytes (MessagePack) and back. Pure.
 
-A body of a later release may have more fields, which are passed over; of an earlier one fewer, which have
-their defaults. What can't be read is no body at all."""
+A body of a later release may have more fields, which are ignored; one of an earlier release has fewer, and
+the missing ones take their defaults. What cannot be decoded is no body at all. Field names are keys on the
+wire: one that is renamed here keeps its wire name with `msgspec.field(name=...)`.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +14,16 @@
 from vanerelay.fleet.failure_detector import Member, MemberState
 
 T = TypeVar("T")
-MAX_MESSAGE_BYTES = 60_000  # bytes of a body: AMP carries 65,535 in one value
-ROWS = 200  # members told at once
+
+MAX_MESSAGE_BYTES = 60_000
+"""Bytes of a body: AMP carries at most 65,535 in one value."""
+
+MAX_ROWS = 200
+"""Members in one message, which keeps the longest ones within `MAX_MESSAGE_BYTES`."""
+
+PING_KIND = "ping"
+INDIRECT_PING_KIND = "through"
+VIEW_KIND = "view"
 
 
 class Row(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -21,7 +31,7 @@
 
     name: str
     incarnation: int
-    word: int = 0
+    sequence_number: int = msgspec.field(default=0, name="word")
     standing: int = 0
     domain: str = ""
     address: str = ""
@@ -32,83 +42,98 @@
 
 
 class Ping(msgspec.Struct, frozen=True):
-    """`own`: the sender; `news`: what it tells on; `join`: it wants all that is known; `fleet`: of which
-    fleet it is."""
+    """A direct probe with gossip.
+
+    Attributes:
+        fleet: The fleet that the sender belongs to.
+        own: The sender.
+        gossip: Reports on other members.
+        join: Whether the sender wants the full state in reply.
+    """
 
     fleet: str
     own: Row
-    news: list[Row] = []
+    gossip: list[Row] = msgspec.field(default_factory=list, name="news")
     join: bool = False
 
 
-class Through(msgspec.Struct, frozen=True):
-    """Asks another to ask `target`, which the sender does not reach."""
+class IndirectPing(msgspec.Struct, frozen=True):
+    """Requests that the receiver probes `target`, which the sender does not reach."""
 
     fleet: str
     target: str
     address: str = ""
 
 
-class Heard(msgspec.Struct, frozen=True):
-    """The answer to both: `reached` whether the target answered."""
+class PingReply(msgspec.Struct, frozen=True):
+    """The reply to both kinds of probe: gossip, and whether the target was reached."""
 
-    news: list[Row] = []
+    gossip: list[Row] = msgspec.field(default_factory=list, name="news")
     reached: bool = True
 
 
 class View(msgspec.Struct, frozen=True):
-    """All that a manager knows of its fleet, for people."""
+    """All that a gateway knows of its fleet, for operators."""
 
     name: str
     fleet: str
     rows: list[Row]
     replaced: bool = False
-    asks: int = 0
-    answers: int = 0
+    requests_sent: int = msgspec.field(default=0, name="asks")
+    requests_answered: int = msgspec.field(default=0, name="answers")
 
 
-def row(member: Member) -> Row:
+def to_row(member: Member) -> Row:
+    """A member in its form on the wire."""
     return Row(
-        member.name,
-        member.incarnation,
-        member.word,
-        int(member.standing),
-        member.domain,
-        member.address,
-        member.program,
-        member.settings,
-        member.state,
-        member.orders,
+        name=member.name,
+        incarnation=member.incarnation,
+        sequence_number=member.sequence_number,
+        standing=int(member.standing),
+        domain=member.domain,
+        address=member.address,
+        program=member.program,
+        settings=member.settings,
+        state=member.state,
+        orders=member.orders,
     )
 
 
-def member(told: Row) -> Member | None:
-    """None where it is of a standing that we do not know."""
-    if not told.name or not 0 <= told.standing <= max(MemberState):
+def to_rows(members: list[Member]) -> list[Row]:
+    """Members in their form on the wire."""
+    return [to_row(member) for member in members]
+
+
+def to_member(row: Row) -> Member | None:
+    """A member out of its form on the wire; None where it has no name or a state that is not known."""
+    if not row.name or not 0 <= row.standing <= max(MemberState):
         return None
     return Member(
-        told.name,
-        told.incarnation,
-        told.word,
-        MemberState(told.standing),
-        told.domain,
-        told.address,
-        told.program,
-        told.settings,
-        told.state,
-        told.orders,
+        name=row.name,
+        incarnation=row.incarnation,
+        sequence_number=row.sequence_number,
+        standing=MemberState(row.standing),
+        domain=row.domain,
+        address=row.address,
+        program=row.program,
+        settings=row.settings,
+        state=row.state,
+        orders=row.orders,
     )
 
 
-def members(rows: list[Row]) -> list[Member]:
-    return [one for one in map(member, rows[:ROWS]) if one is not None]
+def to_members(rows: list[Row]) -> list[Member]:
+    """The members out of the first `MAX_ROWS` rows, without those that are not understood."""
+    return [member for member in map(to_member, rows[:MAX_ROWS]) if member is not None]
 
 
 def encode(body: msgspec.Struct) -> bytes:
+    """The bytes of a body."""
     return msgspec.msgpack.encode(body)
 
 
 def decode(data: bytes, kind: type[T]) -> T | None:
+    """The body of a kind out of its bytes; None where they cannot be decoded."""
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except msgspec.MsgspecError:
--- a/vanerelay/fleet/release.py
+++ b/vanerelay/fleet/release.py
@@ -1,5 +1,4 @@
-"""Which release a manager runs: the program with a digest of the files that decide, and a digest of its
-settings."""
+"""Digests that name a release: of the files that decide, and of a gateway's settings."""
 
 from __future__ import annotations
 
@@ -12,25 +11,25 @@
 from vanerelay import __version__
 
 POLICY = ("policy/gateway.py", "estimation.py")  # the files that decide, beside this package
-OWN = ("position", "az")  # settings that are each manager's own
-SHORT = 12  # hex digits that people are shown
+OWN = ("position", "az")  # settings that each gateway has of its own
+DIGEST_BYTES = 6  # twelve hex digits: few enough to read, enough to tell releases apart
 
 
 def program(root: Path = Path(__file__).parent.parent) -> str:
-    """Version and digest; the same wherever the same program lies."""
-    whole = hashlib.blake2b(digest_size=SHORT // 2)
+    """The version and a digest of the files that decide; the same wherever the same program is installed."""
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for name in POLICY:
-        whole.update((root / name).read_bytes())
-    return f"{__version__}-{whole.hexdigest()}"
+        digest.update((root / name).read_bytes())
+    return f"{__version__}-{digest.hexdigest()}"
 
 
-def settings(told: Mapping[str, Any]) -> str:
-    """The digest of what the whole fleet shares of its settings."""
-    shared = {name: value for name, value in told.items() if name not in OWN}
+def settings(profile: Mapping[str, Any]) -> str:
+    """The digest of those settings that the whole fleet shares."""
+    shared = {name: value for name, value in profile.items() if name not in OWN}
     text = json.dumps(shared, sort_keys=True, separators=(",", ":")).encode()
-    return hashlib.blake2b(text, digest_size=SHORT // 2).hexdigest()
+    return hashlib.blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def with_own(shared: Mapping[str, Any], own: Mapping[str, Any]) -> dict[str, Any]:
-    """Settings of the fleet, with what is one manager's own."""
+    """Settings of the fleet, with those that one gateway has of its own."""
     return {**shared, **{name: value for name, value in own.items() if name in OWN}}
--- a/vanerelay/fleet/rpc.py
+++ b/vanerelay/fleet/rpc.py
@@ -1,8 +1,9 @@
-"""Links between managers: questions and answers over Twisted's AMP, on connections that are kept while in
-use.
+"""RPC between gateways: requests and replies over Twisted's AMP, on connections that are kept while in use.
 
-One command carries all kinds of question, by name: a kind that the other side does not know is answered as
-that, and neither side is the worse for it. Weighed against gRPC in docs/design/fleet.md."""
+One AMP command carries requests of all kinds, by name. A kind that the other side does not know is answered
+with an error of its own, so that releases side by side do each other no harm. docs/design/fleet.md compares
+this with gRPC.
+"""
 
 from __future__ import annotations
 
@@ -18,25 +19,37 @@
 from twisted.protocols import amp
 from twisted.python.failure import Failure
 
-GONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
+CONNECTION_DONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
+
+MAX_OPENED_CONNECTIONS = 16
+"""Connections to other gateways; past these the least recently used is closed."""
+
+MAX_ACCEPTED_CONNECTIONS = 64
+"""Connections from other gateways; past these the least recently used is closed."""
+
+LISTEN_RETRY_S = 0.1
+"""Seconds between attempts to listen, while a predecessor of this process still does."""
+
+MIN_CONNECT_TIMEOUT_S = 1.0
+"""Seconds that a connection may take to open, where the request itself waits for less."""
 
 log = structlog.get_logger()
 
-MOST = 16  # connections that are kept to others
-ACCEPTED = 64  # and from others: the longest unused goes
-AGAIN_S = 0.1  # between tries to listen, while a process of before still does
+
+class RpcError(Exception):
+    """A request got no usable reply; the subclass says why."""
 
 
-class UnknownKindError(Exception):
-    """The other side knows no such question."""
+class UnknownKindError(RpcError):
+    """The other side does not know this kind of request."""
 
 
-class RequestRefusedError(Exception):
-    """The other side knows it and will not; why, in one line."""
+class RequestRefusedError(RpcError):
+    """The other side knows the request and refuses it; the message says why, in one line."""
 
 
-class NoReplyError(Exception):
-    """No answer in time, or no connection: whether it was heard is not known."""
+class NoReplyError(RpcError):
+    """No reply in time, or no connection: whether the request was received is not known."""
 
 
 class Call(amp.Command):
@@ -49,154 +62,184 @@
 
 
 Handler = Callable[[bytes], "bytes | Deferred[bytes]"]
+"""Answers the body of a request with the body of its reply, or raises RequestRefusedError."""
 
 
 class RpcConnection(amp.AMP):
-    """One connection. Faults of the other side end it; they are no reason for a traceback."""
+    """One connection. A protocol error of the other side ends it and is logged without a traceback."""
 
     transport: Any
 
-    def __init__(self, links: RpcNode) -> None:
+    def __init__(self, node: RpcNode) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
-        self._links, self.lost, self.asking = links, False, 0
+        self._node, self.lost, self.pending_calls = node, False, 0
 
     @Call.responder
-    def said(self, kind: str, body: bytes) -> Deferred[dict[str, bytes]]:
-        self._links.used(self)
-        handler = self._links.handlers.get(kind)
+    def handle_call(self, kind: str, body: bytes) -> Deferred[dict[str, bytes]]:
+        """Answers a request of the other side."""
+        self._node.connection_used(self)
+        handler = self._node.handlers.get(kind)
         if handler is None:
             raise UnknownKindError(kind)
-        answer: Deferred[bytes] = maybeDeferred(handler, body)  # type: ignore[call-overload]
-        return answer.addCallback(lambda told: {"body": told})
+        reply: Deferred[bytes] = maybeDeferred(handler, body)  # type: ignore[call-overload]
+        return reply.addCallback(lambda reply_body: {"body": reply_body})
 
     def unhandledError(self, failure: Any) -> None:
-        log.warning("a link is ended", why=failure.getErrorMessage())
+        """Ends the connection, as AMP asks for after an error that has no code."""
+        log.warning("rpc connection aborted", why=failure.getErrorMessage())
         if self.transport is not None:
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Any = GONE) -> None:
+    def connectionLost(self, reason: Any = CONNECTION_DONE) -> None:
+        """Fails the requests that wait for a reply."""
         self.lost = True
-        self._links.gone(self)
+        self._node.connection_lost(self)
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
 
 class RpcNode(Factory):
-    """All links of one manager: those it opened, by address, and those others opened."""
+    """All connections of one gateway: those it opened, by address, and those it accepted."""
 
     noisy = False
 
     def __init__(self, reactor: Any) -> None:
-        self._reactor = reactor
+        self.reactor = reactor
         self.handlers = dict[str, Handler]()
-        self._open: OrderedDict[str, RpcConnection] = OrderedDict()  # the longest unused first
+        # Both with the least recently used first.
+        self._opened: OrderedDict[str, RpcConnection] = OrderedDict()
         self._accepted: OrderedDict[RpcConnection, None] = OrderedDict()
         self._port: Any = None
-        self._stopped = self._waiting = False
+        self._stopped = self._listen_failed = False
 
-    # What others ask.
+    # Requests of others.
 
     def listen(self, address: str, then: Callable[[], None] = lambda: None) -> None:
-        """Listens, as soon as nobody else does there; then calls."""
+        """Listens as soon as nobody else does at that address; calls `then` afterwards."""
         if self._stopped:
             return
         host, _, port = address.rpartition(":")
         try:
-            self._port = self._reactor.listenTCP(int(port), self, interface=host)
-        except CannotListenError as fault:
-            if not self._waiting:
-                log.warning("the fleet cannot reach us yet", why=str(fault))
-            self._waiting = True
-            self._reactor.callLater(AGAIN_S, self.listen, address, then)
+            self._port = self.reactor.listenTCP(int(port), self, interface=host)
+        except CannotListenError as error:
+            if not self._listen_failed:
+                log.warning("fleet listener not available yet", why=str(error))
+            self._listen_failed = True
+            self.reactor.callLater(LISTEN_RETRY_S, self.listen, address, then)
             return
-        self._waiting = False
+        self._listen_failed = False
         then()
 
     def buildProtocol(self, addr: Any) -> RpcConnection:
-        link = RpcConnection(self)
-        self._accepted[link] = None
-        if len(self._accepted) > ACCEPTED:
+        """Accepts a connection."""
+        connection = RpcConnection(self)
+        self._accepted[connection] = None
+        if len(self._accepted) > MAX_ACCEPTED_CONNECTIONS:
             oldest, _ = self._accepted.popitem(last=False)
             oldest.transport.loseConnection()
-        return link
-
-    def used(self, link: RpcConnection) -> None:
-        if link in self._accepted:
-            self._accepted.move_to_end(link)
-
-    def gone(self, link: RpcConnection) -> None:
-        self._accepted.pop(link, None)
-        self._leave(link)
-
-    def _leave(self, link: RpcConnection) -> None:
-        for address, other in list(self._open.items()):
-            if other is link:
-                del self._open[address]
-
-    # What we ask.
-
-    def ask(self, address: str, kind: str, body: bytes, patience_s: float) -> Deferred[bytes]:
-        """Fails with Unknown, Refused or Unanswered."""
-        result: Deferred[bytes] = Deferred()
-        used = list[RpcConnection]()  # the link it went by, while it is out
-
-        def end(told: Any) -> None:
-            if timer.active():
-                timer.cancel()
-            if used:
-                used.pop().asking -= 1
-            if not result.called:
-                (result.errback if isinstance(told, Exception) else result.callback)(told)
-
-        def late() -> None:
-            # The next question goes by a new connection; this one ends once nothing else waits on it.
-            for link in used:
-                self._leave(link)
-                if link.asking == 1:
-                    link.transport.abortConnection()
-            end(NoReplyError(f"nothing came from {address} within {patience_s:.1f} s"))
-
-        def failed(failure: Any) -> None:
-            known = failure.check(UnknownKindError, RequestRefusedError)
-            end(failure.value if known else NoReplyError(f"{address}: {failure.getErrorMessage()}"))
-
-        def linked(link: RpcConnection) -> None:
-            if result.called:
-                return
-            used.append(link)
-            link.asking += 1
-            asked: Deferred[dict[str, bytes]] = link.callRemote(  # type: ignore[no-untyped-call]
-                Call, kind=kind, body=body
-            )
-            asked.addCallbacks(lambda told: end(told["body"]), failed)
-
-        timer = self._reactor.callLater(patience_s, late)
-        self._link(address, patience_s).addCallbacks(linked, failed)
-        return result
-
-    def _link(self, address: str, patience_s: float) -> Deferred[RpcConnection]:
-        link = self._open.get(address)
-        if link is not None and not link.lost:
-            self._open.move_to_end(address)
-            return succeed(link)
+        return connection
+
+    def connection_used(self, connection: RpcConnection) -> None:
+        """A request came in on a connection."""
+        if connection in self._accepted:
+            self._accepted.move_to_end(connection)
+
+    def connection_lost(self, connection: RpcConnection) -> None:
+        """A connection has ended."""
+        self._accepted.pop(connection, None)
+        self.release_connection(connection)
+
+    # Requests of our own.
+
+    def ask(self, address: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
+        """Sends a request; fires with the body of the reply, or fails with an RpcError."""
+        call = _PendingCall(self, address, timeout_s)
+        self._connect(address, timeout_s).addCallbacks(
+            lambda found: call.send(found, kind, body), call.failed
+        )
+        return call.result
+
+    def release_connection(self, connection: RpcConnection) -> None:
+        """Sends no further request over a connection."""
+        for address, other in list(self._opened.items()):
+            if other is connection:
+                del self._opened[address]
+
+    def _connect(self, address: str, timeout_s: float) -> Deferred[RpcConnection]:
+        connection = self._opened.get(address)
+        if connection is not None and not connection.lost:
+            self._opened.move_to_end(address)
+            return succeed(connection)
         host, _, port = address.rpartition(":")
-        endpoint = TCP4ClientEndpoint(self._reactor, host, int(port), timeout=max(1.0, patience_s))
+        timeout_s = max(MIN_CONNECT_TIMEOUT_S, timeout_s)
+        endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=timeout_s)
         opening: Deferred[RpcConnection] = connectProtocol(endpoint, RpcConnection(self))  # type: ignore[no-untyped-call]
-        return opening.addCallback(self._opened, address)
+        return opening.addCallback(self._connected, address)
 
-    def _opened(self, link: RpcConnection, address: str) -> RpcConnection:
+    def _connected(self, connection: RpcConnection, address: str) -> RpcConnection:
         if self._stopped:
-            link.transport.loseConnection()
-            return link
-        self._open[address] = link
-        while len(self._open) > MOST:
-            _, oldest = self._open.popitem(last=False)
+            connection.transport.loseConnection()
+            return connection
+        self._opened[address] = connection
+        while len(self._opened) > MAX_OPENED_CONNECTIONS:
+            _, oldest = self._opened.popitem(last=False)
             oldest.transport.loseConnection()
-        return link
+        return connection
 
     def stop(self) -> None:
+        """Stops listening and aborts all connections."""
         self._stopped = True
         if self._port is not None:
             self._port.stopListening()
-        for link in (*self._open.values(), *self._accepted):
-            if link.transport is not None:
-                link.transport.abortConnection()
+        for connection in (*self._opened.values(), *self._accepted):
+            if connection.transport is not None:
+                connection.transport.abortConnection()
+
+
+class _PendingCall:
+    """One request, from before its connection is open until its reply, its error or its timeout."""
+
+    def __init__(self, node: RpcNode, address: str, timeout_s: float) -> None:
+        self.result: Deferred[bytes] = Deferred()
+        self._node, self._address, self._timeout_s = node, address, timeout_s
+        self._connection: RpcConnection | None = None  # while the request is in flight
+        self._timer = node.reactor.callLater(timeout_s, self._timed_out)
+
+    def send(self, connection: RpcConnection, kind: str, body: bytes) -> None:
+        """The connection is open: sends the request over it, unless it is too late."""
+        if self.result.called:
+            return
+        self._connection = connection
+        connection.pending_calls += 1
+        reply: Deferred[dict[str, bytes]] = connection.callRemote(  # type: ignore[no-untyped-call]
+            Call, kind=kind, body=body
+        )
+        reply.addCallbacks(lambda arguments: self._end(arguments["body"]), self.failed)
+
+    def failed(self, failure: Any) -> None:
+        """The other side answered with an error, or there is no connection."""
+        if failure.check(UnknownKindError, RequestRefusedError):
+            self._end(failure.value)
+        else:
+            self._end(NoReplyError(f"{self._address}: {failure.getErrorMessage()}"))
+
+    def _timed_out(self) -> None:
+        """The next request goes over a new connection; this one ends once nothing else waits on it."""
+        connection = self._connection
+        if connection is not None:
+            self._node.release_connection(connection)
+            if connection.pending_calls == 1:
+                connection.transport.abortConnection()
+        self._end(NoReplyError(f"nothing came from {self._address} within {self._timeout_s:.1f} s"))
+
+    def _end(self, outcome: bytes | RpcError) -> None:
+        if self._timer.active():
+            self._timer.cancel()
+        if self._connection is not None:
+            self._connection.pending_calls -= 1
+            self._connection = None
+        if self.result.called:
+            return
+        if isinstance(outcome, RpcError):
+            self.result.errback(outcome)
+        else:
+            self.result.callback(outcome)
--- a/vanerelay/fleet/service.py
+++ b/vanerelay/fleet/service.py
@@ -1,13 +1,10 @@
-"""One manager's place in its fleet: a thin driver of `alive.py` over `links.py`."""
+"""One gateway's place in its fleet: the driver of `failure_detector` over `rpc`."""
 
 from __future__ import annotations
 
-import contextlib
-import os
 import random
 import time
 from collections.abc import Callable
-from pathlib import Path
 from typing import Any
 
 import structlog
@@ -16,258 +13,281 @@
 from vanerelay.clock import Clock
 from vanerelay.fleet import messages
 from vanerelay.fleet.config import FleetConfig
-from vanerelay.fleet.failure_detector import FailureDetector, Member, MemberState, incarnation
+from vanerelay.fleet.failure_detector import FailureDetector, Member, MemberState, next_incarnation
 from vanerelay.fleet.rpc import RequestRefusedError, RpcNode
+from vanerelay.fleet.store import IncarnationStore
 from vanerelay.interface import MILLISECOND, SECOND
 
-KEPT = "incarnation"
-STALLED = 100 * MILLISECOND  # that our own turn came late, past which nobody else is blamed
-FAREWELLS = 3  # others that are told directly when we leave
+SERVING_STATE = "serving"
+DRAINING_STATE = "draining"
+
+STALL_THRESHOLD = 100 * MILLISECOND
+"""How late our own turn may come before late replies are laid on ourselves."""
+
+DIRECT_ANNOUNCEMENTS = 3
+"""Members that are told directly that we join or leave; the others hear of it by gossip."""
+
+INDIRECT_TIMEOUT_FACTOR = 2
+"""Probe timeouts that an indirect probe may take: it is two probes, one after the other."""
 
 log = structlog.get_logger()
 
 
 class Fleet:
-    """`seen` are told of each change of a member, `replaced` once that another process goes by our name."""
+    """The gateways that know each other, as this one sees them.
+
+    Attributes:
+        links: The RPC node; other subsystems add handlers of their own kinds of request to it.
+        alive: The failure detector, which knows the members.
+        seen: Called with each member that changes.
+        replaced: Called once another process goes by our name.
+    """
 
     def __init__(
         self,
         reactor: Any,
         clock: Clock,
-        parts: FleetConfig,
+        config: FleetConfig,
         name: str,
         program: str,
         settings: str,
         seed: int,
     ) -> None:
-        self._reactor, self._clock, self.parts, self.name = reactor, clock, parts, name
-        self._chance = random.Random(f"{seed}/fleet")
+        self._reactor, self._clock, self.parts, self.name = reactor, clock, config, name
+        self._random = random.Random(f"{seed}/fleet")
         self.links = RpcNode(reactor)
+        self._incarnations = IncarnationStore(config.folder)
         own = Member(
-            name, self._incarnation(), 0, MemberState.ALIVE, parts.domain, parts.listen, program, settings
+            name=name,
+            incarnation=self._new_incarnation(),
+            domain=config.domain,
+            address=config.listen,
+            program=program,
+            settings=settings,
         )
-        self.alive = FailureDetector(own, parts.pace, self._chance)
-        self._reach = {known.name: known.address for known in parts.known}
-        for known in parts.known:
-            self.alive.introduce(known.name, known.address, known.domain)
+        self.alive = FailureDetector(own, config.failure_detector, self._random)
+        self._seed_addresses = {one.name: one.address for one in config.known}
+        for one in config.known:
+            self.alive.add_seed(one.name, one.address, one.domain)
         self.seen = list[Callable[[Member], None]]()
         self.replaced = list[Callable[[], None]]()
-        self.asks = self.answers = 0
+        self._requests_sent = self._requests_answered = 0
         self._timer: Any = None
-        self._due, self._stopped, self._silent = 0, False, False
-        self.links.handlers |= {"ping": self._pinged, "through": self._asked_through, "view": self._viewed}
+        self._next_turn_at, self._stopped, self._silent = 0, False, False
+        self.links.handlers |= {
+            messages.PING_KIND: self._handle_ping,
+            messages.INDIRECT_PING_KIND: self._handle_indirect_ping,
+            messages.VIEW_KIND: self._handle_view,
+        }
 
     def start(self) -> None:
-        """Listens, as soon as it can, and only then begins to ask: while a manager of before still listens,
-        the fleet hears of that one."""
+        """Listens as soon as it can, and begins to probe after that.
+
+        While a predecessor still listens under our name, the fleet hears of that one alone.
+        """
         self.links.listen(self.parts.listen, self._begin)
 
     def _begin(self) -> None:
-        self._due = self._clock.now()
+        self._next_turn_at = self._clock.now()
         self._turn()
-        for known in self._chance.sample(self.parts.known, min(FAREWELLS, len(self.parts.known))):
-            self._ping(self._address(known.name, known.address), known.name, join=True)
+        seeds = self.parts.known
+        for one in self._random.sample(seeds, min(DIRECT_ANNOUNCEMENTS, len(seeds))):
+            self._ping(self._address_of(one.name, one.address), join=True)
 
     def say(self, **changed: str) -> None:
-        """Our state, settings or program as they are now."""
+        """Announces our state, settings, program or orders, if they have changed."""
         own = self.alive.own
         if any(getattr(own, name) != value for name, value in changed.items()):
-            self.alive.say(**changed)
-            self._tell()
+            self.alive.announce(**changed)
+            self._notify_changes()
 
     def hand_over(self) -> None:
-        """Our successor under the same name takes the place: we say no more."""
+        """Falls silent: our successor under the same name takes our place."""
         self._silent = True
         self.links.stop()
 
     def leave(self) -> Deferred[Any]:
-        """Says that we go. Fires once a few have been told, or could not be."""
+        """Announces that we leave. Fires once a few members have replied, or could not be reached."""
         if self._silent:
             return succeed(None)
         self.alive.leave()
         others = [
-            one
-            for one in self.alive.members.values()
-            if one.standing is MemberState.ALIVE and one.name != self.name
+            member
+            for member in self.alive.members.values()
+            if member.standing is MemberState.ALIVE and member.name != self.name
         ]
-        told = [
-            self._ping(self._address(one.name, one.address), one.name)
-            for one in self._chance.sample(others, min(FAREWELLS, len(others)))
-        ]
-        return DeferredList(told)
+        chosen = self._random.sample(others, min(DIRECT_ANNOUNCEMENTS, len(others)))
+        return DeferredList([self._ping(self._address_of(one.name, one.address)) for one in chosen])
 
     def stop(self) -> None:
+        """Ends all probes and connections."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self.links.stop()
 
     def address(self, name: str) -> str | None:
-        """Where a member is reached: as operators say, else as it says itself."""
+        """Where a member is reached: as the operators say, else as it says itself."""
+        if name in self._seed_addresses:
+            return self._seed_addresses[name]
         member = self.alive.members.get(name)
-        if name in self._reach:
-            return self._reach[name]
         return member.address or None if member is not None else None
 
-    def ask(self, name: str, kind: str, body: bytes, patience_s: float) -> Deferred[bytes]:
-        """A question of another subsystem to a member by name. Fails as `Links.ask`, with Refused where
-        nobody goes by that name."""
+    def ask(self, name: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
+        """Sends a request of another subsystem to a member by name.
+
+        Fails with an RpcError; with RequestRefusedError where no address of that name is known.
+        """
         address = self.address(name)
         if address is None:
             failed: Deferred[bytes] = Deferred()
             failed.errback(RequestRefusedError(f"no address of {name} is known"))
             return failed
-        return self.links.ask(address, kind, body, patience_s)
+        return self.links.ask(address, kind, body, timeout_s)
 
-    # In turn.
+    # Probes, one in each interval.
 
     def _turn(self) -> None:
         if self._stopped:
             return
-        now, pace = self._clock.now(), self.parts.pace
-        if now - self._due > STALLED:
-            self.alive.stalled()
-        self._due = now + pace.period
-        self._timer = self._reactor.callLater(pace.period / SECOND, self._turn)
+        now, interval = self._clock.now(), self.parts.failure_detector.probe_interval
+        if now - self._next_turn_at > STALL_THRESHOLD:
+            self.alive.process_stalled()
+        self._next_turn_at = now + interval
+        self._timer = self._reactor.callLater(interval / SECOND, self._turn)
         if self._silent:
             return
-        target = self.alive.next(now)
+        target = self.alive.next_probe_target(now)
         if target is not None:
-            self._question(target)
-        self._tell()
+            self._probe(target)
+        self._notify_changes()
 
-    def _question(self, target: Member) -> None:
-        asked = self._ping(
-            self._address(target.name, target.address), target.name, join=target.standing is MemberState.GONE
-        )
+    def _probe(self, target: Member) -> None:
+        is_gone = target.standing is MemberState.GONE
+        probing = self._ping(self._address_of(target.name, target.address), join=is_gone)
+        if not is_gone:
+            probing.addCallback(self._probed, target)
 
-        def direct(reached: bool) -> None:
-            if reached or self._stopped or target.standing is MemberState.GONE:
-                return
-            helpers = self.alive.helpers(target.name)
-            body = messages.encode(messages.Through(self.parts.fleet, target.name, target.address))
-            through = [self._ask(self._address(one.name, one.address), "through", body, 2) for one in helpers]
-            DeferredList(through).addCallback(indirect)
-
-        def indirect(results: list[tuple[bool, Any]]) -> None:
-            heard = [
-                messages.decode(told, messages.Heard) for good, told in results if good and told is not None
-            ]
-            if not any(one is not None and one.reached for one in heard):
-                self.alive.unanswered(target.name, self._clock.now())
-                self._tell()
-
-        asked.addCallback(direct)
-
-    def _ping(self, address: str, name: str, join: bool = False) -> Deferred[bool]:
+    def _probed(self, reached: bool, target: Member) -> None:
+        if reached or self._stopped:
+            return
+        helpers = self.alive.indirect_probe_helpers(target.name)
+        request = messages.IndirectPing(self.parts.fleet_name, target.name, target.address)
+        replies = [
+            self._request(
+                self._address_of(helper.name, helper.address),
+                messages.INDIRECT_PING_KIND,
+                messages.encode(request),
+                INDIRECT_TIMEOUT_FACTOR,
+            )
+            for helper in helpers
+        ]
+        DeferredList(replies).addCallback(self._probed_indirectly, target)
+
+    def _probed_indirectly(self, results: list[tuple[bool, Any]], target: Member) -> None:
+        replies = [
+            messages.decode(body, messages.PingReply) for good, body in results if good and body is not None
+        ]
+        if not any(reply is not None and reply.reached for reply in replies):
+            self.alive.probe_failed(target.name, self._clock.now())
+            self._notify_changes()
+
+    def _ping(self, address: str, join: bool = False) -> Deferred[bool]:
+        """Sends a probe; fires with whether it was answered."""
         own = self.alive.own
-        news = self.alive.whole()[: messages.ROWS] if join else self.alive.news()
-        ping = messages.Ping(self.parts.fleet, messages.row(own), [messages.row(one) for one in news], join)
+        reports = self.alive.full_state()[: messages.MAX_ROWS] if join else self.alive.gossip()
+        ping = messages.Ping(self.parts.fleet_name, messages.to_row(own), messages.to_rows(reports), join)
 
-        def heard(told: bytes | None) -> bool:
-            answer = messages.decode(told, messages.Heard) if told is not None else None
-            if answer is None:
+        def replied(body: bytes | None) -> bool:
+            reply = messages.decode(body, messages.PingReply) if body is not None else None
+            if reply is None:
                 return False
-            self._heard(answer.news)
-            self.alive.joined(own.incarnation)
-            self.alive.answered()
+            self._receive_gossip(reply.gossip)
+            self.alive.acknowledged(own.incarnation)
+            self.alive.probe_succeeded()
             return True
 
-        return self._ask(address, "ping", messages.encode(ping), 1).addCallback(heard)
+        return self._request(address, messages.PING_KIND, messages.encode(ping)).addCallback(replied)
 
-    def _ask(self, address: str, kind: str, body: bytes, times: int) -> Deferred[bytes | None]:
-        """None where no answer came."""
-        self.asks += 1
-        patience_s = self.alive.patience() * times / SECOND
-        asked: Deferred[Any] = self.links.ask(address, kind, body, patience_s)
-        return asked.addErrback(lambda _: None)
+    def _request(
+        self, address: str, kind: str, body: bytes, timeout_factor: int = 1
+    ) -> Deferred[bytes | None]:
+        """Sends a request of the detector; fires with None where no reply came."""
+        self._requests_sent += 1
+        timeout_s = self.alive.probe_timeout() * timeout_factor / SECOND
+        reply: Deferred[Any] = self.links.ask(address, kind, body, timeout_s)
+        return reply.addErrback(lambda _: None)
 
-    # What others ask.
+    # Requests of others.
 
-    def _pinged(self, body: bytes) -> bytes:
+    def _handle_ping(self, body: bytes) -> bytes:
         ping = messages.decode(body, messages.Ping)
-        if ping is None or ping.fleet != self.parts.fleet or self._silent:
+        if ping is None or ping.fleet != self.parts.fleet_name or self._silent:
             raise RequestRefusedError("not of this fleet" if ping is not None else "unreadable")
-        self.answers += 1
-        sender = messages.member(ping.own)
-        self._heard([ping.own, *ping.news])
+        self._requests_answered += 1
+        sender = messages.to_member(ping.own)
+        self._receive_gossip([ping.own, *ping.gossip])
         if sender is None:
-            return messages.encode(messages.Heard())
-        told = (
-            [*self.alive.whole()[: messages.ROWS], *self.alive.reply(sender)]
-            if ping.join
-            else self.alive.reply(sender)
-        )
-        return messages.encode(messages.Heard([messages.row(one) for one in told]))
-
-    def _asked_through(self, body: bytes) -> Deferred[bytes]:
-        through = messages.decode(body, messages.Through)
-        if through is None or through.fleet != self.parts.fleet or self._silent:
+            return messages.encode(messages.PingReply())
+        full_state = self.alive.full_state()[: messages.MAX_ROWS] if ping.join else []
+        reports = [*full_state, *self.alive.gossip_reply(sender)]
+        return messages.encode(messages.PingReply(messages.to_rows(reports)))
+
+    def _handle_indirect_ping(self, body: bytes) -> Deferred[bytes]:
+        request = messages.decode(body, messages.IndirectPing)
+        if request is None or request.fleet != self.parts.fleet_name or self._silent:
             raise RequestRefusedError("not of this fleet")
-        self.answers += 1
-        asked = self._ping(self._address(through.target, through.address), through.target)
-        return asked.addCallback(lambda reached: messages.encode(messages.Heard([], reached)))
-
-    def _viewed(self, body: bytes) -> bytes:
-        rows = [messages.row(one) for one in self.alive.members.values()][: messages.ROWS]
-        return messages.encode(
-            messages.View(self.name, self.parts.fleet, rows, self.alive.replaced, self.asks, self.answers)
+        self._requests_answered += 1
+        probing = self._ping(self._address_of(request.target, request.address))
+        return probing.addCallback(lambda reached: messages.encode(messages.PingReply([], reached)))
+
+    def _handle_view(self, body: bytes) -> bytes:
+        rows = messages.to_rows(list(self.alive.members.values()))[: messages.MAX_ROWS]
+        view = messages.View(
+            name=self.name,
+            fleet=self.parts.fleet_name,
+            rows=rows,
+            replaced=self.alive.replaced,
+            requests_sent=self._requests_sent,
+            requests_answered=self._requests_answered,
         )
+        return messages.encode(view)
 
-    def _heard(self, rows: list[messages.Row]) -> None:
-        before = self.alive.own.incarnation
-        self.alive.heard(messages.members(rows), self._clock.now())
-        if self.alive.own.incarnation != before:
-            self._keep(self.alive.own.incarnation)
+    def _receive_gossip(self, rows: list[messages.Row]) -> None:
+        incarnation_before = self.alive.own.incarnation
+        self.alive.receive_gossip(messages.to_members(rows), self._clock.now())
+        if self.alive.own.incarnation != incarnation_before:
+            self._incarnations.save(self.alive.own.incarnation)
         if self.alive.replaced and not self._silent:
             self._silent = True
-            log.warning("another process goes by our name, the fleet hears no more of us", name=self.name)
-            for call in self.replaced:
-                call()
-        self._tell()
-
-    def _tell(self) -> None:
-        changes, self.alive.changes = self.alive.changes, []
-        for member in changes:
+            log.warning("another process has joined under our name, falling silent", name=self.name)
+            for listener in self.replaced:
+                listener()
+        self._notify_changes()
+
+    def _notify_changes(self) -> None:
+        for member in self.alive.take_changes():
             if member.name != self.name:
-                log.info(
-                    "member",
-                    member=member.name,
-                    standing=member.standing.name.lower(),
-                    state=member.state,
-                    program=member.program,
-                    settings=member.settings,
-                    incarnation=member.incarnation,
-                )
-            for call in self.seen:
-                call(member)
-
-    def _address(self, name: str, told: str) -> str:
-        return self._reach.get(name, told)
-
-    # The incarnation, where there is a folder.
-
-    def _incarnation(self) -> int:
-        kept = 0
-        if self.parts.folder:
-            with contextlib.suppress(OSError, ValueError):
-                kept = int(Path(self.parts.folder, KEPT).read_text(encoding="ascii"))
-        found = incarnation(kept, int(time.time() * 1000))
-        self._keep(found)
-        return found
-
-    def _keep(self, number: int) -> None:
-        """Whole or not at all. That it can't be kept is no reason not to serve: others know it."""
-        if not self.parts.folder:
-            return
-        path = Path(self.parts.folder, KEPT)
-        try:
-            path.parent.mkdir(parents=True, exist_ok=True)
-            new = path.with_suffix(".new")
-            with new.open("w", encoding="ascii") as file:
-                file.write(str(number))
-                file.flush()
-                os.fsync(file.fileno())
-            new.rename(path)
-        except OSError as fault:
-            log.warning("incarnation not kept", why=str(fault))
+                _log_change(member)
+            for listener in self.seen:
+                listener(member)
+
+    def _address_of(self, name: str, announced: str) -> str:
+        return self._seed_addresses.get(name, announced)
+
+    def _new_incarnation(self) -> int:
+        number = next_incarnation(self._incarnations.load(), int(time.time() * 1000))
+        self._incarnations.save(number)
+        return number
+
+
+def _log_change(member: Member) -> None:
+    log.info(
+        "member changed",
+        member=member.name,
+        standing=member.standing.name.lower(),
+        state=member.state,
+        program=member.program,
+        settings=member.settings,
+        incarnation=member.incarnation,
+    )
