--- a/Makefile
+++ b/Makefile
@@ -12,8 +12,10 @@
 	test -x $(DEV)/python || python3 -m venv .venv-dev
 	$(DEV)/pip -q install --disable-pip-version-check -r requirements.txt -r requirements-xds.txt -r requirements-lab.txt -r requirements-dev.txt
 
+# The tests that start no process on several workers, then the others in one.
 test: lint
-	$(DEV)/python -m pytest -q
+	$(DEV)/python -m pytest -q -n auto -m "not processes"
+	$(DEV)/python -m pytest -q -m processes
 
 lint: dev
 	$(DEV)/ruff format --check -q vanerelay tests bench
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,10 +10,36 @@
 pytest_plugins = ["pytester"]
 
 
+PROCESS_FIXTURES = {"plays", "program", "run", "started"}
+"""Fixtures whose tests start processes of the program or of pytest."""
+
+PROCESS_FILES = {
+    "test_crossings.py",
+    "test_guard.py",
+    "test_known_red.py",
+    "test_members_sockets.py",
+    "test_plays.py",
+    "test_soak.py",
+    "test_sockets.py",
+    "test_system_calls.py",
+    "test_wall_clock.py",
+    "test_xds_sockets.py",
+}
+"""Files whose tests start processes, or depend on the time that passes."""
+
+
 def pytest_configure(config: pytest.Config) -> None:
+    config.addinivalue_line("markers", "processes: starts processes, so that it runs in one worker alone")
     known_red.configure(config)
 
 
+def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
+    """Marks the tests that start processes: `make test` runs the others on several workers first."""
+    for item in items:
+        if item.path.name in PROCESS_FILES or PROCESS_FIXTURES & set(getattr(item, "fixturenames", ())):
+            item.add_marker(pytest.mark.processes)
+
+
 @pytest.fixture
 def started(tmp_path):
     """Starts nodes and engines, and ends them whatever the test came to."""
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,11 @@
-"""Tests that are known to fail: the lines of KNOWN-RED.txt, and the pytest hooks that pass over just them.
+"""Tests that are known to fail: the entries of KNOWN-RED.txt, and the pytest hooks that pass over just them.
 
-A line is `test, cause, issue`: the whole node id of the test, why it fails, and the issue that mends it.
+An entry is four lines, entries are separated by an empty line:
+
+    test: the whole node id of the test
+    command: what runs it by itself, with the seed
+    seen: what was seen when it failed
+    issue: the number of the open issue
 """
 
 from __future__ import annotations
@@ -13,11 +18,16 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST_LINES = 3
-LINE = re.compile(r"(?P<test>tests/[^,\s]+\.py::\S.*?), (?P<cause>\S.*), (?P<issue>[0-9]+)")
+MAX_ENTRIES = 3
+ENTRY = re.compile(
+    r"test: (?P<test>tests/\S+\.py::\S.*)\n"
+    r"command: (?P<command>\S.*\bseed\b.*)\n"
+    r"seen: (?P<seen>\S.*)\n"
+    r"issue: (?P<issue>[0-9]+)"
+)
 
 
-class Malformed(Exception):
+class MalformedFileError(Exception):
     """The file can't be used: the run has to fail, with this as the reason."""
 
 
@@ -26,23 +36,28 @@
     """One test that is known to fail."""
 
     test: str
-    cause: str
+    command: str
+    seen: str
     issue: int
 
 
 def parse(text: str) -> dict[str, KnownRed]:
-    """The lines of the file by their test; none where it is empty."""
-    lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST_LINES:
-        raise Malformed(f"{FILE_NAME}: {len(lines)} lines, expected {MOST_LINES} at most")
+    """The entries of the file by their test; none where it is empty.
+
+    Raises:
+        MalformedFileError: An entry is not in the form above, or there are too many of them.
+    """
+    entries = [entry for entry in re.split(r"\n\s*\n", text.strip()) if entry]
+    if len(entries) > MAX_ENTRIES:
+        raise MalformedFileError(f"{FILE_NAME}: {len(entries)} entries, expected {MAX_ENTRIES} at most")
     known = dict[str, KnownRed]()
-    for line in lines:
-        match = LINE.fullmatch(line)
+    for entry in entries:
+        match = ENTRY.fullmatch(entry)
         if match is None:
-            raise Malformed(f"{FILE_NAME}: {line!r}, expected `test, cause, issue`")
-        known[match["test"]] = KnownRed(match["test"], match["cause"], int(match["issue"]))
-    if len(known) < len(lines):
-        raise Malformed(f"{FILE_NAME}: a test is named twice")
+            raise MalformedFileError(f"{FILE_NAME}: {entry!r}, expected test, command with seed, seen, issue")
+        known[match["test"]] = KnownRed(match["test"], match["command"], match["seen"], int(match["issue"]))
+    if len(known) < len(entries):
+        raise MalformedFileError(f"{FILE_NAME}: a test is named twice")
     return known
 
 
@@ -66,6 +81,7 @@
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> None:
+        """Fails the run where the file names a test that does not exist."""
         if any("::" in argument for argument in config.args):
             return  # a part of a file was asked for, which tells nothing of the rest
         gone = missing(self._known, [item.nodeid for item in items], config.rootpath)
@@ -74,15 +90,19 @@
 
     @pytest.hookimpl(wrapper=True)
     def pytest_runtest_makereport(self, item: pytest.Item) -> Iterator[None]:
+        """Reports the failure of a known test as an expected one."""
         report = yield
         known = self._known.get(item.nodeid)
         if known is not None and report.failed:
-            report.outcome, report.wasxfail = "skipped", f"known red: {known.cause}"
+            report.outcome, report.wasxfail = "skipped", f"known red: {known.seen}"
         return report
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
+        """Prints every entry at the end of the run."""
         for known in self._known.values():
-            terminalreporter.write_line(f"known red: {known.test}, {known.cause}, {known.issue}")
+            terminalreporter.write_line(
+                f"known red: {known.test} ({known.command}): {known.seen}, issue {known.issue}"
+            )
 
 
 def configure(config: pytest.Config) -> None:
@@ -90,7 +110,7 @@
     path = config.rootpath / FILE_NAME
     try:
         known = parse(path.read_text(encoding="utf-8")) if path.is_file() else {}
-    except (Malformed, UnicodeDecodeError) as fault:
-        raise pytest.UsageError(str(fault)) from None
+    except (MalformedFileError, UnicodeDecodeError) as error:
+        raise pytest.UsageError(str(error)) from None
     if known:
         config.pluginmanager.register(Plugin(known), "known-red")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,6 +19,10 @@
 RED, GREEN = "tests/test_one.py::test_red", "tests/test_one.py::test_green"
 
 
+def entry(test: str, command: str = "pytest --seed 1", seen: str = "a cause", issue: str = "39") -> str:
+    return f"test: {test}\ncommand: {command}\nseen: {seen}\nissue: {issue}\n\n"
+
+
 @pytest.fixture
 def run(pytester):
     """Runs a small tree of its own, with this file of known tests."""
@@ -40,27 +44,27 @@
 
 
 @pytest.mark.parametrize("known", [None, "", "\n"])
-def test_without_lines_every_failure_counts(run, known):
+def test_without_entries_every_failure_counts(run, known):
     result = run(known)
     assert result.ret == 1
     result.assert_outcomes(passed=2, failed=1)
 
 
 def test_a_known_test_runs_and_is_passed_over_and_printed(run):
-    result = run(f"{RED}, the cause is not found, 39\n")
+    result = run(entry(RED, "pytest -x, seed 7", "the cause is not found"))
     assert result.ret == 0
     result.assert_outcomes(passed=2, xfailed=1)
-    result.stdout.fnmatch_lines([f"known red: {RED}, the cause is not found, 39"])
+    result.stdout.fnmatch_lines([f"known red: {RED} (pytest -x, seed 7): the cause is not found, issue 39"])
 
 
 def test_a_new_failure_beside_a_known_one_fails_the_run(run):
-    result = run(f"{RED}, a cause, 39\n", new=False)
+    result = run(entry(RED), new=False)
     assert result.ret == 1
     result.assert_outcomes(passed=1, failed=1, xfailed=1)
 
 
 def test_a_known_test_that_passes_is_a_pass(run):
-    result = run(f"{GREEN}, a cause, 39\n{RED}, a cause, 39\n")
+    result = run(entry(GREEN) + entry(RED))
     assert result.ret == 0
     result.assert_outcomes(passed=2, xfailed=1)
 
@@ -68,14 +72,17 @@
 @pytest.mark.parametrize(
     "known",
     [
-        "\n".join(f"tests/test_one.py::test_{name}, a cause, 39" for name in ("red", "green", "new", "x")),
-        f"{RED}, a cause",
-        f"{RED}, , 39",
-        f"{RED}, a cause, soon",
-        "test_red, a cause, 39",
-        f"{RED}, a cause, 39\n{RED}, another, 40",
-        "tests/test_one.py::test_none, a cause, 39",
-        "tests/test_none.py::test_red, a cause, 39",
+        "".join(entry(f"tests/test_one.py::test_{name}") for name in ("red", "green", "new", "x")),
+        f"test: {RED}\ncommand: pytest, seed 1\nseen: a cause\n",
+        entry(RED, command=""),
+        entry(RED, command="pytest"),
+        entry(RED, seen=""),
+        entry(RED, issue="soon"),
+        entry("test_red"),
+        entry(RED) + entry(RED, seen="another"),
+        entry("tests/test_one.py::test_none"),
+        entry("tests/test_none.py::test_red"),
+        f"{RED}, a cause, 39\n",
     ],
 )
 def test_a_file_that_cannot_be_used_fails_the_run(run, known):
@@ -85,5 +92,5 @@
 
 
 def test_a_part_of_the_tests_can_be_run_by_itself(run):
-    result = run(f"{RED}, a cause, 39\n", True, GREEN)
+    result = run(entry(RED), True, GREEN)
     assert result.ret == 0
