--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -196,6 +196,7 @@
     assert messages.member(messages.Row("m1", 1, standing=9)) is None
 
 
+@pytest.mark.processes
 def test_ordered_settings_and_the_fence_outlive_the_process_but_not_another_configuration(tmp_path):
     """A manager with options, started on what was ordered before; shown by the command line."""
     folder, listen, feed = tmp_path / "orders", free_address(), Feed()
