--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -201,6 +201,7 @@
     assert messages.to_member(messages.Row("m1", 1, standing=9)) is None
 
 
+@pytest.mark.processes
 def test_ordered_settings_and_the_fencing_token_survive_a_restart_but_not_another_configuration(tmp_path):
     """A gateway with operators' options, started on settings ordered before; shown by the command line."""
     folder, listen, feed = tmp_path / "orders", free_address(), Feed()
