--- a/tests/test_compatibility_stores.py
+++ b/tests/test_compatibility_stores.py
@@ -20,7 +20,7 @@
 from vanerelay.leases.durable_store import DurableStore
 from vanerelay.leases.voter import LeaseTerms, VoterRecord, Voters
 from vanerelay.leases.voter_service import VoterService
-from vanerelay.membership.store import Loaded, open_store
+from vanerelay.membership.store import StoredList, open_store
 from vanerelay.rollout.agent_store import AgentStore
 from vanerelay.rollout.change_log import ChangeLog
 from vanerelay.rollout.fence import Fence
@@ -67,10 +67,10 @@
 def test_the_lists_that_an_earlier_release_accepted_are_read(old):
     store = open_store(str(old), 50)
     loaded = store.load("main", store_samples.LOCATIONS, store_samples.KINDS)
-    assert isinstance(loaded, Loaded)
-    assert (loaded.record.source, loaded.record.revision, loaded.record.why) == ("main", 7, "accepted")
+    assert isinstance(loaded, StoredList)
+    assert (loaded.record.source, loaded.record.revision, loaded.record.reason) == ("main", 7, "accepted")
     assert store.pins() == {"main": 7}
-    first, second = loaded.files["/engines.json"].members.values()
+    first, second = loaded.files["/engines.json"].engines.values()
     assert [first.name, first.address, first.cell, first.size, first.weight] == [
         "e1",
         "10.0.0.1:6565",
@@ -79,7 +79,7 @@
         0.5,
     ]
     assert [second.name, second.started_at, second.weight] == ["e2", 0, 1.0]
-    assert [row.why for row in store.history(5)] == ["accepted"]
+    assert [row.reason for row in store.history(5)] == ["accepted"]
     store.close()
 
 
--- a/tests/test_members_parts.py
+++ b/tests/test_members_parts.py
@@ -1,4 +1,4 @@
-"""List files, options, the console's lines and the store: whole, cut off anywhere, broken."""
+"""List files, options, the control socket's lines and the store: complete, cut off anywhere, damaged."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from vanerelay import operator_config
 from vanerelay.interface import SECOND, EngineState
 from vanerelay.membership import control_protocol, list_codec, store
-from vanerelay.membership.list_codec import EngineList, Unusable
+from vanerelay.membership.errors import ListFileError, StoreError
 
-PLACES = {"east": 0, "west": 1}, {"std": 0}
+KNOWN = {"east": 0, "west": 1}, {"std": 0}
 NAMES = ["east", "west"], ["std"]
 
 
@@ -36,12 +36,12 @@
     return json.dumps({"revision": 7, "members": list(rows), **other}).encode()
 
 
-def test_a_list_file_in_the_feed_s_terms():
+def test_a_list_file_is_read_as_written():
     found = list_codec.read(
-        text(row(weight=50), row("e-2", host_port="10.1.0.9:1", phase="DRAINING"), count=2), *PLACES
+        text(row(weight=50), row("e-2", host_port="10.1.0.9:1", phase="DRAINING"), count=2), *KNOWN
     )
-    assert isinstance(found, EngineList) and found.revision == 7
-    one, two = found.members["e-1"], found.members["e-2"]
+    assert found.revision == 7
+    one, two = found.engines["e-1"], found.engines["e-2"]
     assert (one.zone, one.machine_kind, one.cell, one.size, one.started_at, one.weight) == (
         1,
         0,
@@ -51,8 +51,8 @@
         0.5,
     )
     assert (two.state, two.weight, two.entry(3).weight) == (EngineState.DRAINING, 1.0, 1.0)
-    assert list_codec.told(one, *NAMES) == row(weight=50.0, size=4.0, up_since_ms=7)
-    assert list_codec.unpack(list_codec.pack({"p": found}, *NAMES), *PLACES) == {"p": found}
+    assert list_codec.to_row(one, *NAMES) == row(weight=50.0, size=4.0, up_since_ms=7)
+    assert list_codec.unpack(list_codec.pack({"p": found}, *NAMES), *KNOWN) == {"p": found}
 
 
 @pytest.mark.parametrize(
@@ -95,15 +95,17 @@
         ),
     ],
 )
-def test_a_list_file_that_cannot_be_used_is_refused_in_one_line(data, says):
-    found = list_codec.read(data, *PLACES)
-    assert isinstance(found, Unusable) and says in found.why and "\n" not in found.why
+def test_a_list_file_that_cannot_be_used_is_rejected_in_one_line(data, says):
+    with pytest.raises(ListFileError) as error:
+        list_codec.read(data, *KNOWN)
+    assert says in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_list_file_cut_off_at_any_byte_is_refused():
+def test_a_list_file_cut_off_at_any_byte_is_rejected():
     whole = text(row(), row("e-2", host_port="10.1.0.9:1"))
     for end in range(len(whole)):
-        assert isinstance(list_codec.read(whole[:end], *PLACES), Unusable), end
+        with pytest.raises(ListFileError):
+            list_codec.read(whole[:end], *KNOWN)
 
 
 # Options.
@@ -137,14 +139,16 @@
     return str(file)
 
 
-def test_options_go_to_each_part(tmp_path):
+def test_options_are_read_into_each_config(tmp_path):
     found = operator_config.subsystems(written(tmp_path, GOOD))["membership"]
-    main, other = found.watched
+    main, other = found.files
     assert (found.feed.stale_after, found.feed.precedence) == (20 * SECOND, 20)
-    assert main.standing.complete and main.standing.precedence == 10 and other.standing.precedence == 15
-    assert (main.checks.most_lost, main.checks.confirm_after, main.stillness.still) == (0.5, 90 * SECOND, 800)
-    assert (found.flapping.returns, found.kept.folder, found.kept.keep) == (5, "/var/lib/vanerelay", 50)
-    assert found.console == "/run/x" and not operator_config.subsystems(written(tmp_path, ""))
+    assert main.source.complete and main.source.precedence == 10 and other.source.precedence == 15
+    assert (main.acceptance.max_lost_fraction, main.acceptance.confirm_after) == (0.5, 90 * SECOND)
+    assert main.stability.quiet_period == 800
+    assert (found.flap_damping.max_returns, found.store.folder) == (5, "/var/lib/vanerelay")
+    assert found.store.max_lists == 50
+    assert found.control_socket == "/run/x" and not operator_config.subsystems(written(tmp_path, ""))
 
 
 @pytest.mark.parametrize(
@@ -171,7 +175,7 @@
         ("membership {", "members {", 2, "members in the file"),
     ],
 )
-def test_what_is_wrong_with_options_is_told_by_file_and_line(tmp_path, old, new, line, says):
+def test_what_is_wrong_with_options_is_reported_by_file_and_line(tmp_path, old, new, line, says):
     assert old in GOOD
     path = written(tmp_path, GOOD.replace(old, new))
     with pytest.raises(operator_config.BadOptions) as fault:
@@ -183,22 +187,23 @@
 def test_the_example_that_is_delivered_can_be_used():
     assert operator_config.subsystems(
         os.path.join(os.path.dirname(__file__), "..", "deploy", "operator.hcl")
-    )["membership"].watched
+    )["membership"].files
 
 
-# The console's lines.
+# The control socket's lines.
 
 
-def test_console_lines_whole_and_byte_by_byte():
+def test_requests_are_parsed_at_once_and_byte_by_byte():
     asked = b'{"v":1,"op":"show"}\n{"v":1,"op":"pin","revision":4,"source":"m"}\n'
-    whole = control_protocol.Lines().feed(asked)
-    lines = control_protocol.Lines()
-    assert [one for at in range(len(asked)) for one in lines.feed(asked[at : at + 1])] == whole
-    assert (whole[0].op, whole[1].op, whole[1].revision, whole[1].source) == ("show", "pin", 4, "m")
+    at_once = control_protocol.RequestParser().feed(asked)
+    parser = control_protocol.RequestParser()
+    assert [one for at in range(len(asked)) for one in parser.feed(asked[at : at + 1])] == at_once
+    show, pin = at_once
+    assert (show.operation, pin.operation, pin.revision, pin.source) == ("show", "pin", 4, "m")
 
 
 @pytest.mark.parametrize(
-    ("data", "says", "last"),
+    ("data", "says", "fatal"),
     [
         (b"nonsense\n", "malformed", False),
         (b'{"v":2,"op":"show"}\n', "version 2, expected 1", False),
@@ -210,33 +215,34 @@
         (b"\xff\n", "", False),
     ],
 )
-def test_console_lines_that_cannot_be_answered(data, says, last):
-    (found,) = control_protocol.Lines().feed(data)
-    assert isinstance(found, control_protocol.Wrong) and says in found.why and found.last is last
+def test_lines_that_are_no_requests(data, says, fatal):
+    (found,) = control_protocol.RequestParser().feed(data)
+    assert isinstance(found, control_protocol.InvalidRequest)
+    assert says in found.reason and found.fatal is fatal
 
 
 # The store.
 
 
-def held(revision, *names):
+def list_files(revision, *names):
     return {
         "/f": list_codec.read(
             text(
                 *(row(n, host_port=f"10.1.0.9:{1 + place}") for place, n in enumerate(names)),
                 revision=revision,
             ),
-            *PLACES,
+            *KNOWN,
         )
     }
 
 
 def save(at, revision, *names):
-    return at.save("main", revision, 1000 + revision, "", held(revision, *names), *NAMES)
+    return at.save("main", revision, 1000 + revision, "", list_files(revision, *names), *NAMES)
 
 
 def test_the_store_keeps_a_bounded_history_and_what_is_pinned(tmp_path):
     at = store.open_store(str(tmp_path / "new"), 3)
-    assert at.load("main", *PLACES) is None and at.history(9) == []
+    assert at.load("main", *KNOWN) is None and at.history(9) == []
     save(at, 1, "a")
     assert at.pin("main", 1) is None
     for revision in range(2, 8):
@@ -244,8 +250,8 @@
     assert [one.revision for one in at.history(9)] == [7, 6, 5, 1]
     at.close()
     again = store.open_store(str(tmp_path / "new"), 3)
-    assert again.load("main", *PLACES).files == held(7, "a", "b") and again.pins() == {"main": 1}
-    assert set(again.load("main", *PLACES, 1).files["/f"].members) == {"a"}
+    assert again.load("main", *KNOWN).files == list_files(7, "a", "b") and again.pins() == {"main": 1}
+    assert set(again.load("main", *KNOWN, 1).files["/f"].engines) == {"a"}
     again.pin("main", None)
     save(again, 8, "a")
     assert [one.revision for one in again.history(9)] == [8, 7, 6]
@@ -256,13 +262,15 @@
     save(at, 1, "a")
     save(at, 2, "b")
     at.close()
-    with sqlite3.connect(tmp_path / store.FILE) as other:
+    with sqlite3.connect(tmp_path / store.FILE_NAME) as other:
         other.execute("UPDATE lists SET body = CAST(REPLACE(body, 'b', 'x') AS BLOB) WHERE revision = 2")
     at = store.open_store(str(tmp_path), 9)
-    assert at.load("main", *PLACES).record.revision == 1
-    assert "checksum" in at.load("main", *PLACES, 2).why
+    assert at.load("main", *KNOWN).record.revision == 1
+    with pytest.raises(StoreError, match="checksum"):
+        at.load("main", *KNOWN, 2)
     at.pin("main", 1)
-    assert "expected one of north" in at.load("main", {"north": 0}, PLACES[1], 1).why  # places known no more
+    with pytest.raises(StoreError, match="expected one of north"):  # zones that are known no more
+        at.load("main", {"north": 0}, KNOWN[1], 1)
 
 
 def foreign(path):
@@ -271,7 +279,7 @@
         other.execute("CREATE TABLE t (x)")
 
 
-def torn(path):
+def damaged(path):
     at = store.open_store(str(path.parent), 9)
     for revision in range(1, 20):
         save(at, revision, *(f"n{n}" for n in range(60)))
@@ -293,16 +301,17 @@
         (lambda path: path.write_bytes(b"some text"), "left alone", False),
         (foreign, "left alone", False),
         (later, "left alone", False),
-        (torn, "set aside", True),
+        (damaged, "set aside", True),
         (lambda path: path.mkdir(), "", False),
     ],
 )
-def test_a_torn_or_foreign_file_is_refused_with_one_line(tmp_path, make, says, aside):
-    path = tmp_path / store.FILE
+def test_a_damaged_or_foreign_file_is_rejected_with_one_line(tmp_path, make, says, aside):
+    path = tmp_path / store.FILE_NAME
     make(path)
     before = path.read_bytes() if path.is_file() else None
-    found = store.open_store(str(tmp_path), 9)
-    assert isinstance(found, Unusable) and says in found.why and "\n" not in found.why
+    with pytest.raises(StoreError) as error:
+        store.open_store(str(tmp_path), 9)
+    assert says in str(error.value) and "\n" not in str(error.value)
     if aside:
         assert not path.exists() and isinstance(store.open_store(str(tmp_path), 9), store.Store)
     elif before is not None:
@@ -312,19 +321,23 @@
 def test_a_full_disk_and_one_that_cannot_be_written_leave_what_was_kept(tmp_path):
     at = store.open_store(str(tmp_path), 9)
     save(at, 1, "a")
-    at._connection.execute(
-        f"PRAGMA max_page_count = {at._connection.execute('PRAGMA page_count').fetchone()[0]}"
-    )
-    assert "full" in save(at, 2, *(f"n{n}" for n in range(200))).why
-    assert at.load("main", *PLACES).record.revision == 1
-    at._connection.execute("PRAGMA max_page_count = 100000")
-    at._connection.execute("PRAGMA query_only = ON")
-    assert "readonly" in save(at, 2, "a").why and "readonly" in at.pin("main", 1).why
-    at._connection.execute("PRAGMA query_only = OFF")
-    assert save(at, 2, "b") is None and at.load("main", *PLACES).record.revision == 2
+    page_count = at.connection.execute("PRAGMA page_count").fetchone()[0]
+    at.connection.execute(f"PRAGMA max_page_count = {page_count}")
+    with pytest.raises(StoreError, match="full"):
+        save(at, 2, *(f"n{n}" for n in range(200)))
+    assert at.load("main", *KNOWN).record.revision == 1
+    at.connection.execute("PRAGMA max_page_count = 100000")
+    at.connection.execute("PRAGMA query_only = ON")
+    with pytest.raises(StoreError, match="readonly"):
+        save(at, 2, "a")
+    with pytest.raises(StoreError, match="readonly"):
+        at.pin("main", 1)
+    at.connection.execute("PRAGMA query_only = OFF")
+    assert save(at, 2, "b") is None and at.load("main", *KNOWN).record.revision == 2
     (tmp_path / "file").write_text("")
     for folder in (tmp_path / "file" / "under", "/proc/none"):
-        assert isinstance(store.open_store(str(folder), 9), Unusable)
+        with pytest.raises(StoreError):
+            store.open_store(str(folder), 9)
 
 
 def test_killed_between_any_two_steps_of_a_write_the_last_list_or_the_one_before_is_there(tmp_path):
@@ -345,14 +358,14 @@
 
             try:
                 mine = store.open_store(str(tmp_path), 2)
-                mine._connection.set_progress_handler(count, 1)
+                mine.connection.set_progress_handler(count, 1)
                 save(mine, 2, "a", "b")
             finally:
                 os._exit(0)
         _, status = os.waitpid(child, 0)
         after = store.open_store(str(tmp_path), 9)
-        found = after.load("main", *PLACES)
-        assert found.files == held(*{1: (1, "a"), 2: (2, "a", "b")}[found.record.revision])
+        found = after.load("main", *KNOWN)
+        assert found.files == list_files(*{1: (1, "a"), 2: (2, "a", "b")}[found.record.revision])
         seen.add((os.WIFSIGNALED(status), found.record.revision))
         after.close()
     assert (True, 1) in seen and (False, 2) in seen
--- a/tests/test_members_sockets.py
+++ b/tests/test_members_sockets.py
@@ -12,12 +12,14 @@
 import pytest
 
 from tests.helpers import ROOT, Engine, Feed, Node, member, until
+from vanerelay.membership import control_socket
+from vanerelay.membership.control_protocol import Operation
 
 BOUND = 2.0  # seconds from a change until no engine gets new work against it
 
 
 class Site:
-    """A node that watches one list file, beside a feed that knows the engines of `fed`."""
+    """A gateway that watches one list file, beside a feed that lists the engines of `fed`."""
 
     def __init__(self, folder, fed=(), files="", **blocks):
         self.folder, self.made, self.revision = folder, [], 0
@@ -47,35 +49,34 @@
         )
 
     def put(self, *rows, revision=None, path=None):
-        """A list, by renaming a whole file over the old one."""
+        """Writes a list by renaming a complete file over the old one."""
         new = self.folder / "new"
         new.write_text(self.text(*rows, revision=revision))
         new.rename(path or self.path)
         return time.monotonic()
 
-    def ask(self, *words, code=0):
-        told = subprocess.run(
-            [sys.executable, "-m", "vanerelay", "members", *words],
+    def members_command(self, *arguments, code=0):
+        completed = subprocess.run(
+            [sys.executable, "-m", "vanerelay", "members", *arguments],
             cwd=ROOT,
             capture_output=True,
             text=True,
             env={**os.environ, "VANERELAY_CONSOLE": str(self.console)},
             check=False,
         )
-        assert told.returncode == code, told.stderr + told.stdout
-        return told.stdout if code == 0 else told.stderr
+        assert completed.returncode == code, completed.stderr + completed.stdout
+        return completed.stdout if code == 0 else completed.stderr
 
     def engines(self):
         """What is in force, by id."""
-        from vanerelay.membership import control_socket
-
-        return {row["id"]: row for row in control_socket.ask(str(self.console), op="show")[1]}
+        _, rows = control_socket.send_request(str(self.console), Operation.SHOW)
+        return {row["id"]: row for row in rows}
 
-    def trouble(self):
-        from vanerelay.membership import control_socket
-
-        told = control_socket.ask(str(self.console), op="show")[0]["sources"]
-        return {path: why for source in told for path, why in source.get("trouble", {}).items()}
+    def problems(self):
+        head, _ = control_socket.send_request(str(self.console), Operation.SHOW)
+        return {
+            path: problem for source in head["sources"] for path, problem in source.get("trouble", {}).items()
+        }
 
     def close(self):
         if hasattr(self, "node"):
@@ -100,8 +101,8 @@
         one.close()
 
 
-def work(client, numbers, pause=0.005):
-    """Sends look-ups one after the other; what they came to."""
+def run_queries(client, numbers, pause=0.005):
+    """Sends queries one after the other; their result codes."""
     codes = []
     for number in numbers:
         client.ask(number, f"w{number}")
@@ -115,12 +116,12 @@
     one, two = s.engine(), s.engine()
     s.put(member(one, "e-1"), {**member(two, "e-2"), "weight": 0})
     client = s.start().client()
-    assert work(client, range(1, 11)) == [0] * 10
+    assert run_queries(client, range(1, 11)) == [0] * 10
     until(lambda: set(s.engines()) == {"e-1", "e-2"}, "both engines in force")
     assert len(one.served()) == 10 and not two.served()  # a weight of 0 gets nothing new
     s.put(member(one, "e-1"), member(two, "e-2"))
     until(lambda: s.engines()["e-2"]["weight"] == 100, "the weight in force")
-    assert work(client, range(11, 61)) == [0] * 50
+    assert run_queries(client, range(11, 61)) == [0] * 50
     assert two.served()
 
 
@@ -134,7 +135,7 @@
         file.write(told[len(told) // 2 :])
 
 
-def over(site, rows):
+def overwritten(site, rows):
     """Writes over the old bytes, both of one length, so that every state of the file parses."""
     old = site.path.read_text()
     told = site.text(*rows)
@@ -158,7 +159,7 @@
     site.path.write_text(site.text(*rows))
 
 
-def folder_anew(site, rows):
+def folder_recreated(site, rows):
     shutil.rmtree(site.lists)
     time.sleep(0.7)
     site.lists.mkdir()
@@ -187,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    "write", [renamed, in_place, over, recreated, folder_anew, folder_moved, link_swapped]
+    "write", [renamed, in_place, overwritten, recreated, folder_recreated, folder_moved, link_swapped]
 )
 def test_every_kind_of_writer_and_no_new_work_for_a_removed_engine(site, write):
     s = site()
@@ -198,11 +199,11 @@
     write(s, [member(two, "e-2")])
     end, number = time.monotonic() + BOUND, 1
     while time.monotonic() < end:
-        assert work(client, [number]) == [0]
+        assert run_queries(client, [number]) == [0]
         number += 1
     served = len(one.served())
-    assert work(client, range(number, number + 50)) == [0] * 50
-    assert len(one.served()) == served and set(s.engines()) == {"e-2"} and not s.trouble()
+    assert run_queries(client, range(number, number + 50)) == [0] * 50
+    assert len(one.served()) == served and set(s.engines()) == {"e-2"} and not s.problems()
 
 
 def test_bad_files_leave_the_old_list_in_force_and_are_reported(site):
@@ -213,27 +214,26 @@
     client = s.start().client()
     until(lambda: len(s.engines()) == 4, "the engines")
     whole = s.text(*rows)
-    stream = 0
-    for bad, says in (
+    bad_files = (
         (whole[:-20], "line 1"),
         ("", "line 1"),
         (s.text(), "empty"),
         (s.text(*rows, rows[0]), "second"),
         (s.text(*rows, revision=0), "revision 0"),
         (s.text(*rows[:2]), "2 of 4"),
-    ):
+    )
+    for stream, (bad, says) in enumerate(bad_files, 1):
         s.path.write_text(bad)
-        until(lambda says=says: says in str(s.trouble()), says)
-        stream += 1
-        assert len(s.engines()) == 4 and work(client, [stream]) == [0]
-    assert "2 of 4" in s.ask("show") and "held" in s.ask("show")
-    assert "in force" in s.ask("confirm") and len(s.engines()) == 2 and not s.trouble()
-    assert "nothing is held" in s.ask("confirm", code=2)
-    warned = [line for line in s.node.log.read_text().splitlines() if "list file not taken" in line]
+        until(lambda says=says: says in str(s.problems()), says)
+        assert len(s.engines()) == 4 and run_queries(client, [stream]) == [0]
+    assert "2 of 4" in s.members_command("show") and "held" in s.members_command("show")
+    assert "in force" in s.members_command("confirm") and len(s.engines()) == 2 and not s.problems()
+    assert "nothing is held" in s.members_command("confirm", code=2)
+    warned = [line for line in s.node.log.read_text().splitlines() if "list file rejected" in line]
     assert 1 <= len(warned) <= 6
 
 
-def test_an_engine_removed_with_batches_out_answers_them_and_gets_nothing_new(site):
+def test_an_engine_removed_with_queries_in_flight_answers_them_and_gets_nothing_new(site):
     s = site()
     held = []
     slow, two = Engine(lambda e, connection, ident: held.append((connection, ident))), s.engine()
@@ -243,10 +243,10 @@
     until(lambda: s.engines(), "the engine")
     for number in range(1, 6):
         client.ask(number, f"s{number}")
-    until(lambda: len(held) == 5, "five batches out")
+    until(lambda: len(held) == 5, "five queries in flight")
     s.put(member(two, "e-2"))
     until(lambda: set(s.engines()) == {"e-2"}, "the other list")
-    assert work(s.node.client(), range(1, 31)) == [0] * 30 and len(held) == 5
+    assert run_queries(s.node.client(), range(1, 31)) == [0] * 30 and len(held) == 5
     # The same id at the same address comes back within a second, and what it runs is still answered.
     s.put(member(slow, "e-1"))
     for connection, ident in list(held):
@@ -267,46 +267,46 @@
     client = s.start().client()
     until(lambda: set(s.engines()) == {"e-1", "e-2"}, "both")
     s.put(member(one, "e-9"))
-    # the feed's e-1 was taken off by the file
+    # the feed's e-1 was removed by the file
     until(lambda: set(s.engines()) == {"e-9", "e-2"}, "the new id")
-    assert "taken off" in s.ask("show", "e-1")
+    assert "taken off" in s.members_command("show", "e-1")
     s.feed.tell(member(two, "e-2", "DRAINING"))
     until(lambda: s.engines()["e-2"]["phase"] == "DRAINING", "the feed's drain")
     s.put(member(one, "e-9"), member(two, "e-2"))
     until(lambda: '"changed": 1' in s.node.log.read_text(), "the file that says otherwise")
     before = len(two.served())
-    assert work(client, range(1, 31)) == [0] * 30 and len(two.served()) == before
+    assert run_queries(client, range(1, 31)) == [0] * 30 and len(two.served()) == before
     s.feed.tell(member(two, "e-2"))
     until(lambda: s.engines()["e-2"]["phase"] == "SERVING", "the end of the drain")
 
 
-def test_what_was_last_good_and_what_is_pinned_outlive_a_crash(site):
+def test_the_last_good_list_and_the_pinned_one_survive_a_crash(site):
     s = site(store=f'folder = "{site.__name__}"')
     s.options = s.options.replace(site.__name__, str(s.folder / "kept"))
     one, two = s.engine(), s.engine()
     s.put(member(one, "e-1"), member(two, "e-2"))
     s.start()
-    until(lambda: len(s.engines()) == 2 and "1" in s.ask("history"), "a list that is kept")
+    until(lambda: len(s.engines()) == 2 and "1" in s.members_command("history"), "a list that is kept")
     s.path.write_text("{")
-    until(s.trouble, "the broken file")
+    until(s.problems, "the broken file")
 
-    def again():
+    def crash_and_restart():
         s.node.process.kill()
         s.node.process.wait()
         s.node.start()
         until(s.node._ready, "readiness")
 
-    again()
-    assert len(s.engines()) == 2 and work(s.node.client(), range(1, 9)) == [0] * 8
+    crash_and_restart()
+    assert len(s.engines()) == 2 and run_queries(s.node.client(), range(1, 9)) == [0] * 8
     s.put(member(one, "e-1"))
     until(lambda: len(s.engines()) == 1, "the next list")
-    until(lambda: "\nmain" in s.ask("history").split("2", 1)[1], "two lists kept")
-    assert "pinned at revision 1" in s.ask("pin", "1") and len(s.engines()) == 2
-    again()
-    assert len(s.engines()) == 2 and "pinned: main at revision 1" in s.ask("show")
-    assert json.loads(s.ask("unpin", "--json")) == {"source": "main", "pinned": None}
-    assert len(s.engines()) == 1 and "not kept" in s.ask("pin", "77", code=2)
-    listed = json.loads(s.ask("list"))
+    until(lambda: "\nmain" in s.members_command("history").split("2", 1)[1], "two lists kept")
+    assert "pinned at revision 1" in s.members_command("pin", "1") and len(s.engines()) == 2
+    crash_and_restart()
+    assert len(s.engines()) == 2 and "pinned: main at revision 1" in s.members_command("show")
+    assert json.loads(s.members_command("unpin", "--json")) == {"source": "main", "pinned": None}
+    assert len(s.engines()) == 1 and "not kept" in s.members_command("pin", "77", code=2)
+    listed = json.loads(s.members_command("list"))
     assert listed["revision"] == 2 and [row["id"] for row in listed["members"]] == ["e-1"]
     assert oct(s.console.stat().st_mode & 0o777) == "0o600"
 
@@ -319,11 +319,11 @@
     s.start()
     until(lambda: set(s.engines()) == {"e-1", "e-2"}, "both files")
     s.put(member(one, "e-1"), member(two, "e-2"), path=s.lists / "a.json")
-    until(lambda: "b.json" in str(s.trouble()), "the engine in two files is reported")
+    until(lambda: "b.json" in str(s.problems()), "the engine in two files is reported")
     assert len(s.engines()) == 2
 
 
-def test_events_that_are_lost_are_made_up_for_by_looking(site, monkeypatch):
+def test_polling_makes_up_for_lost_events(site, monkeypatch):
     """With no watch to be had at all (the limit on instances reached), the bound still holds."""
     s = site()
     one, two = s.engine(), s.engine()
@@ -342,7 +342,7 @@
     until(lambda: len(s.engines()) == 2, "both engines")
     told = s.put(member(two, "e-2"))
     until(lambda: set(s.engines()) == {"e-2"}, "the list without events")
-    assert time.monotonic() - told < BOUND + 1 and work(client, range(1, 31)) == [0] * 30
+    assert time.monotonic() - told < BOUND + 1 and run_queries(client, range(1, 31)) == [0] * 30
     assert s.node.log.read_text().count("files are polled") == 1
 
 
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -194,8 +194,7 @@
     click.echo(f"engines known: {len(engines)}")
     parts = _subsystems(options)
     if "membership" in parts:
-        watched = (one.standing for one in parts["membership"].watched)
-        sources = sorted([parts["membership"].feed, *watched], key=lambda source: source.precedence)
+        sources = sorted(parts["membership"].sources, key=lambda source: source.precedence)
         click.echo(f"sources of engines: {', '.join(source.name for source in sources)}")
     if "xds" in parts:
         click.echo(f"proxies: {parts['xds'].listen}")
--- a/vanerelay/membership/config.py
+++ b/vanerelay/membership/config.py
@@ -1,68 +1,82 @@
-"""The `membership` block of the operators' file, into the arguments of each part."""
+"""The `membership` block of the operators' file, typed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from vanerelay.membership.file_stability import Stillness
-from vanerelay.membership.list_acceptance import Checks
-from vanerelay.membership.merged_view import FEED, FILES, Flapping, Standing
+from vanerelay.config_field import config_field
+from vanerelay.membership.file_stability import StabilityConfig
+from vanerelay.membership.flap_damping import FlapDampingConfig
+from vanerelay.membership.list_acceptance import AcceptanceConfig
+from vanerelay.membership.sources import FEED_PRECEDENCE, FILES_PRECEDENCE, SourceConfig
 from vanerelay.operator_config import Block
 
+FEED_SOURCE = "feed"
+"""The name of the control feed among the sources."""
+
 
 @dataclass(frozen=True, slots=True)
-class Watched:
-    """One source of list files."""
+class WatchedFilesConfig:
+    """One source of list files, a `files` block."""
 
-    standing: Standing
+    source: SourceConfig
     paths: tuple[str, ...]
-    checks: Checks
-    stillness: Stillness
+    acceptance: AcceptanceConfig
+    stability: StabilityConfig
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """Where accepted lists are kept: a folder of this gateway's own, and how many a source."""
+class StoreConfig:
+    """Where accepted lists are kept: a folder of this gateway's own, and how many of a source."""
 
     folder: str
-    keep: int = 50
+    max_lists: int = config_field("keep", default=50)
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
     """What of the subsystem is switched on."""
 
-    feed: Standing
-    watched: tuple[Watched, ...]
-    flapping: Flapping
-    kept: Kept | None = None
-    console: str = ""
+    feed: SourceConfig
+    files: tuple[WatchedFilesConfig, ...]
+    flap_damping: FlapDampingConfig
+    store: StoreConfig | None = None
+    control_socket: str = ""
+
+    @property
+    def sources(self) -> tuple[SourceConfig, ...]:
+        """All sources."""
+        return (self.feed, *(files.source for files in self.files))
 
 
 def read_config(block: Block) -> MembershipConfig:
-    """Raises BadOptions with the line of what is wrong."""
+    """Reads the block; raises BadOptions with the line of what is wrong."""
     feed = block.only("feed")
-    standing = feed.fill(Standing, name="feed", **_precedence(feed, FEED)) if feed else Standing("feed", FEED)
-    watched = tuple(_watched(one) for one in block.all("files"))
-    flapping, kept, console = block.only("flapping"), block.only("store"), block.only("console")
-    found = MembershipConfig(
-        feed=standing,
-        watched=watched,
-        flapping=flapping.fill(Flapping) if flapping else Flapping(),
-        kept=kept.fill(Kept) if kept else None,
-        console=console.take("socket", str, "") if console else "",
+    feed_config = (
+        feed.fill(SourceConfig, name=FEED_SOURCE, precedence=_precedence(feed, FEED_PRECEDENCE))
+        if feed
+        else SourceConfig(FEED_SOURCE, FEED_PRECEDENCE)
+    )
+    files = tuple(_read_files(one) for one in block.all("files"))
+    flapping, store, console = block.only("flapping"), block.only("store"), block.only("console")
+    config = MembershipConfig(
+        feed=feed_config,
+        files=files,
+        flap_damping=flapping.fill(FlapDampingConfig) if flapping else FlapDampingConfig(),
+        store=store.fill(StoreConfig) if store else None,
+        control_socket=console.take("socket", str, "") if console else "",
     )
-    if console is not None and not found.console:
+    if console is not None and not config.control_socket:
         raise console.wrong("console: no socket, expected the path of one")
-    for one in (block, feed, flapping, kept, console):
+    for one in (block, feed, flapping, store, console):
         if one is not None:
             one.done()
-    return found
+    return config
 
 
-def _watched(block: Block) -> Watched:
+def _read_files(block: Block) -> WatchedFilesConfig:
     name = block.label
-    if not name or name == "feed":
+    if not name or name == FEED_SOURCE:
         raise block.wrong(f'files {name!r}, expected a name of its own, such as files "main"')
     checks, stillness = block.only("checks"), block.only("stillness")
     paths = tuple(block.take("paths", list[str], []))
@@ -70,17 +84,18 @@
         raise block.wrong(
             'paths: expected a list of whole paths, such as ["/etc/vanerelay/engines.json"]', "paths"
         )
-    found = Watched(
-        standing=block.fill(Standing, name=name, **_precedence(block, FILES)),
+    config = WatchedFilesConfig(
+        source=block.fill(SourceConfig, name=name, precedence=_precedence(block, FILES_PRECEDENCE)),
         paths=paths,
-        checks=checks.fill(Checks) if checks else Checks(),
-        stillness=stillness.fill(Stillness) if stillness else Stillness(),
+        acceptance=checks.fill(AcceptanceConfig) if checks else AcceptanceConfig(),
+        stability=stillness.fill(StabilityConfig) if stillness else StabilityConfig(),
     )
     for one in (block, checks, stillness):
         if one is not None:
             one.done()
-    return found
+    return config
 
 
-def _precedence(block: Block, default: int) -> dict[str, int]:
-    return {"precedence": block.take("precedence", int, default)}
+def _precedence(block: Block, default: int) -> int:
+    precedence: int = block.take("precedence", int, default)
+    return precedence
--- a/vanerelay/membership/control_socket.py
+++ b/vanerelay/membership/control_socket.py
@@ -1,5 +1,4 @@
-"""The console's socket: a Unix socket for the operators of this machine, and the call that speaks to it.
-Thin."""
+"""The control socket: a Unix socket for the operators of this machine, and the client that speaks to it."""
 
 from __future__ import annotations
 
@@ -9,7 +8,7 @@
 import socket
 import stat
 from collections.abc import Callable, Iterator
-from typing import Any
+from typing import Any, cast
 
 import structlog
 from twisted.internet.defer import Deferred, maybeDeferred
@@ -21,159 +20,197 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from vanerelay.membership import control_protocol
+from vanerelay.membership.control_protocol import InvalidRequest, Request, RequestParser
+from vanerelay.membership.errors import ControlSocketError, MembershipError, RequestError
 
-SILENT_S = 10  # a connection on which nothing moves for so long is ended
-MOST = 8  # connections
-ROWS = 100  # written at a time: a millisecond or so
+IDLE_TIMEOUT_S = 10
+"""A connection on which nothing moves for so long is ended."""
+
+MAX_CONNECTIONS = 8
+MAX_QUEUED_REQUESTS = 8
+"""Requests of one connection that may wait for their turn."""
+
+ROWS_PER_WRITE = 100
+"""Rows written at a time, which takes a millisecond or so."""
+
+PROBE_TIMEOUT_S = 1.0
+"""How long another program may take to accept a connection on the path of our socket."""
+
+SOCKET_MODE = 0o600
+SOCKET_UMASK = 0o177
 
 log = structlog.get_logger()
 
+Row = dict[str, Any]
+
 
-class Answer:
-    """What is told of a request: a head, and rows made as they are written."""
+class Reply:
+    """The reply to a request: the keys of its head, and rows made as they are written."""
 
-    def __init__(self, rows: Iterator[dict[str, Any]] | None = None, **told: Any) -> None:
-        self.told, self.rows = told, rows or iter(())
+    def __init__(self, rows: Iterator[Row] | None = None, **head: Any) -> None:
+        self.head, self.rows = head, rows or iter(())
 
 
-Answers = Callable[[control_protocol.Request], Any]  # an Answer, a Wrong, or a Deferred of either
+RequestHandler = Callable[[Request], "Reply | Deferred[Reply]"]
+"""Answers a request; raises a MembershipError whose message goes to the operator."""
 
 
 @implementer(IPullProducer)
-class Desk(Protocol, TimeoutMixin):
-    """One connection: a request at a time, its rows as fast as they are taken."""
+class ControlConnection(Protocol, TimeoutMixin):
+    """One connection: a request at a time, its rows as fast as the other side reads them."""
 
     transport: Any
 
-    def __init__(self, factory: DeskFactory) -> None:
-        self._factory, self._lines = factory, control_protocol.Lines()
-        self._waiting: list[control_protocol.Request | control_protocol.Wrong] = []
-        self._rows: Iterator[dict[str, Any]] | None = None
+    def __init__(self, factory: ControlFactory) -> None:
+        self._factory, self._parser = factory, RequestParser()
+        self._queue: list[Request | InvalidRequest] = []
+        self._rows: Iterator[Row] | None = None
         self._busy = False
 
     def connectionMade(self) -> None:
-        self._factory.open.add(self)
-        if len(self._factory.open) > MOST:
-            self.transport.write(control_protocol.refusal("too many connections"))
+        """Accepts the connection, or refuses one too many."""
+        self._factory.connections.add(self)
+        if len(self._factory.connections) > MAX_CONNECTIONS:
+            self.transport.write(control_protocol.encode_error("too many connections"))
             self.transport.loseConnection()
-        self.setTimeout(SILENT_S)  # type: ignore[no-untyped-call]
+        self.setTimeout(IDLE_TIMEOUT_S)  # type: ignore[no-untyped-call]
 
     def dataReceived(self, data: bytes) -> None:
+        """Queues the requests that are complete."""
         self.resetTimeout()  # type: ignore[no-untyped-call]
-        self._waiting += self._lines.feed(data)
-        if len(self._waiting) > MOST:
-            self._waiting = [control_protocol.Wrong("too many requests at once", True)]
-        self._next()
+        self._queue += self._parser.feed(data)
+        if len(self._queue) > MAX_QUEUED_REQUESTS:
+            self._queue = [InvalidRequest("too many requests at once", fatal=True)]
+        self._answer_next()
 
-    def _next(self) -> None:
-        if self._busy or not self._waiting:
+    def _answer_next(self) -> None:
+        if self._busy or not self._queue:
             return
-        self._busy, request = True, self._waiting.pop(0)
-        if isinstance(request, control_protocol.Wrong):
-            self._told(request)
+        self._busy, request = True, self._queue.pop(0)
+        if isinstance(request, InvalidRequest):
+            self._write_error(request)
             return
-        going: Deferred[Any] = maybeDeferred(self._factory.answers, request)
-        going.addErrback(self._fault)
-        going.addCallback(self._told)
+        reply: Deferred[Any] = maybeDeferred(self._factory.handler, request)
+        reply.addErrback(self._request_failed)
+        reply.addCallback(self._write_reply)
 
-    def _fault(self, fault: Failure) -> control_protocol.Wrong:
-        log.error("a console request met a fault", fault=fault.getTraceback())
-        return control_protocol.Wrong("a fault, see the log")
+    def _request_failed(self, failure: Failure) -> InvalidRequest:
+        if isinstance(failure.value, MembershipError):
+            return InvalidRequest(str(failure.value))
+        log.error("control request failed", error=failure.getTraceback())
+        return InvalidRequest("a fault, see the log")
 
-    def _told(self, answer: Answer | control_protocol.Wrong) -> None:
+    def _write_reply(self, reply: Reply | InvalidRequest) -> None:
         if not self.connected:
             return
-        if isinstance(answer, control_protocol.Wrong):
-            self.transport.write(control_protocol.refusal(answer.why))
-            self._busy = False
-            if answer.last:
-                self.transport.loseConnection()
-                return
-            self._next()
+        if isinstance(reply, InvalidRequest):
+            self._write_error(reply)
             return
-        self.transport.write(control_protocol.head(**answer.told))
-        self._rows = answer.rows
+        self.transport.write(control_protocol.encode_head(**reply.head))
+        self._rows = reply.rows
         self.transport.registerProducer(self, False)
 
+    def _write_error(self, error: InvalidRequest) -> None:
+        if not self.connected:
+            return
+        self.transport.write(control_protocol.encode_error(error.reason))
+        self._busy = False
+        if error.fatal:
+            self.transport.loseConnection()
+            return
+        self._answer_next()
+
     def resumeProducing(self) -> None:
+        """Writes the next rows, or the end of the reply."""
         self.resetTimeout()  # type: ignore[no-untyped-call]
-        written = []
+        lines = []
         for row in self._rows or ():
-            written.append(control_protocol.line(row))
-            if len(written) >= ROWS:
-                self.transport.write(b"".join(written))
+            lines.append(control_protocol.encode_line(row))
+            if len(lines) >= ROWS_PER_WRITE:
+                self.transport.write(b"".join(lines))
                 return
-        self.transport.write(b"".join(written) + control_protocol.END)
+        self.transport.write(b"".join(lines) + control_protocol.END_LINE)
         self.transport.unregisterProducer()
         self._rows, self._busy = None, False
-        self._next()
+        self._answer_next()
 
     def stopProducing(self) -> None:
+        """Writes no further rows."""
         self._rows = None
 
     def timeoutConnection(self) -> None:
+        """Ends a connection on which nothing moves."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        self._factory.open.discard(self)
+        """Forgets the connection."""
+        self._factory.connections.discard(self)
         self.connected, self._rows = 0, None
         self.setTimeout(None)  # type: ignore[no-untyped-call]
 
 
-class DeskFactory(Factory):
-    """All connections of the console."""
+class ControlFactory(Factory):
+    """All connections of the control socket."""
 
     noisy = False
 
-    def __init__(self, answers: Answers) -> None:
-        self.answers, self.open = answers, set[Desk]()
-
-    def buildProtocol(self, addr: Any) -> Desk:
-        return Desk(self)
-
-
-def listen(reactor: Any, path: str, answers: Answers) -> Any:
-    """Listens, for the own user alone; a line saying why not, if it can't. A socket left by one that died is
-    replaced, one that answers is not."""
-    with contextlib.suppress(FileNotFoundError, OSError):
-        if stat.S_ISSOCK(os.stat(path).st_mode):
-            with socket.socket(socket.AF_UNIX) as probe:
-                probe.settimeout(1.0)
-                try:
-                    probe.connect(path)
-                    return f"{path}: another program listens there"
-                except ConnectionRefusedError:
-                    os.unlink(path)
-    before = os.umask(0o177)
+    def __init__(self, handler: RequestHandler) -> None:
+        self.handler, self.connections = handler, set[ControlConnection]()
+
+    def buildProtocol(self, addr: Any) -> ControlConnection:
+        """Accepts a connection."""
+        return ControlConnection(self)
+
+
+def listen(reactor: Any, path: str, handler: RequestHandler) -> Any:
+    """Listens, for the own user alone, and returns the port; raises ControlSocketError.
+
+    A socket left by a process that died is replaced, one on which a program answers is not.
+    """
+    _remove_dead_socket(path)
+    umask_before = os.umask(SOCKET_UMASK)
     try:
-        return reactor.listenUNIX(path, DeskFactory(answers), mode=0o600)
-    except (CannotListenError, OSError) as fault:
-        return f"{path}: {fault}"
+        return reactor.listenUNIX(path, ControlFactory(handler), mode=SOCKET_MODE)
+    except (CannotListenError, OSError) as error:
+        raise ControlSocketError(f"{path}: {error}") from error
     finally:
-        os.umask(before)
+        os.umask(umask_before)
+
 
+def _remove_dead_socket(path: str) -> None:
+    with contextlib.suppress(OSError):
+        if not stat.S_ISSOCK(os.stat(path).st_mode):
+            return
+        with socket.socket(socket.AF_UNIX) as probe:
+            probe.settimeout(PROBE_TIMEOUT_S)
+            try:
+                probe.connect(path)
+            except ConnectionRefusedError:
+                os.unlink(path)
+                return
+        raise ControlSocketError(f"{path}: another program listens there")
 
-class Unanswered(Exception):
-    """Why a running instance could not be asked, in one line."""
 
+def send_request(path: str, operation: str, **values: Any) -> tuple[Row, list[Row]]:
+    """Asks a running instance: the head of its reply and all rows. Blocks; for the command line.
 
-def ask(path: str, **request: Any) -> tuple[dict[str, Any], list[dict[str, Any]]]:
-    """Asks a running instance: the head of its answer and all rows. Waits; for the command line."""
+    Raises ControlSocketError where it cannot be reached, RequestError where it does not answer the request.
+    """
     try:
-        with socket.socket(socket.AF_UNIX) as at:
-            at.settimeout(SILENT_S)
-            at.connect(path)
-            at.sendall(control_protocol.line({"v": control_protocol.VERSION, **request}))
-            with at.makefile("rb") as file:
+        with socket.socket(socket.AF_UNIX) as connection:
+            connection.settimeout(IDLE_TIMEOUT_S)
+            connection.connect(path)
+            connection.sendall(control_protocol.encode_request(operation, **values))
+            with connection.makefile("rb") as file:
                 head = json.loads(file.readline() or b"{}")
                 if not head.get("ok"):
-                    raise Unanswered(str(head.get("why", "the connection ended")))
-                rows = list[dict[str, Any]]()
+                    raise RequestError(str(head.get("why", "the connection ended")))
+                rows = list[Row]()
                 for line in file:
-                    row = json.loads(line)
-                    if row == {"end": True}:
+                    row = cast(Row, json.loads(line))
+                    if row == control_protocol.END_ROW:
                         return head, rows
                     rows.append(row)
-    except (OSError, ValueError) as fault:
-        raise Unanswered(f"{path}: {fault}") from None
-    raise Unanswered(f"{path}: the answer stopped short")
+    except (OSError, ValueError) as error:
+        raise ControlSocketError(f"{path}: {error}") from error
+    raise ControlSocketError(f"{path}: the answer stopped short")
--- a/vanerelay/membership/file_reader.py
+++ b/vanerelay/membership/file_reader.py
@@ -1,90 +1,119 @@
-"""What the file system says of watched paths. Called in a worker thread: a disk that hangs must not stop the
-loop."""
+"""Reads watched files and scans for them.
+
+Called in a worker thread: a disk that hangs must not stop the event loop.
+"""
 
 from __future__ import annotations
 
 import glob
 import os
 import stat
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+
+from vanerelay.membership.errors import FileReadError
+from vanerelay.membership.file_stability import FileSignature
+
+MAX_LINK_DEPTH = 20
+"""Symbolic links that are followed for folders to watch, in case they lead in a circle."""
+
+DeviceAndInode = tuple[int, int]
+
+
+@dataclass(slots=True)
+class FileScan:
+    """What one scan found.
+
+    Attributes:
+        signatures: The files that exist, by path.
+        real_paths: The paths that these stand for, without symbolic links.
+        folders: Folders in which a change would show.
+        problem: Why not all files are in the scan, if so.
+    """
 
-from vanerelay.membership.file_stability import Mark
+    signatures: dict[str, FileSignature] = field(default_factory=dict)
+    real_paths: dict[str, str] = field(default_factory=dict)
+    folders: dict[str, DeviceAndInode] = field(default_factory=dict)
+    problem: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Looked:
-    """One look: the files there by path, with the paths they stand for and whether a pattern found them;
-    folders in which a change would show, by device and inode."""
+class FileContent:
+    """A file's bytes, and its signature before and after they were read; None where it has gone."""
 
-    marks: dict[str, Mark]
-    real: dict[str, str]
-    folders: dict[str, tuple[int, int]]
-    trouble: str | None
+    before: FileSignature
+    data: bytes
+    after: FileSignature | None
 
 
-def look(paths: tuple[str, ...], most: int) -> Looked:
+def scan(paths: tuple[str, ...], max_files: int) -> FileScan:
     """Looks for all files of a source. A path may be a pattern (`*`, `?`, `[...]`) in its last part."""
-    marks, real, folders, trouble = dict[str, Mark](), dict[str, str](), dict[str, tuple[int, int]](), None
+    result = FileScan()
     for path in paths:
-        found = sorted(glob.glob(path)) if is_pattern(path) else [path]
-        if len(found) > most:
-            trouble, found = f"{path}: {len(found)} files, expected {most} at most", found[:most]
-        for one in found:
-            mark = look_at(one)
-            if mark is not None:
-                marks[one], real[one] = mark, os.path.realpath(one)
-        for one in [path, *found]:
-            for folder in _folders(one):
-                told = os.stat(folder)
-                folders[folder] = told.st_dev, told.st_ino
-    return Looked(marks, real, folders, trouble)
+        matches = sorted(glob.glob(path)) if is_pattern(path) else [path]
+        if len(matches) > max_files:
+            result.problem = f"{path}: {len(matches)} files, expected {max_files} at most"
+            matches = matches[:max_files]
+        for match in matches:
+            signature = signature_of(match)
+            if signature is not None:
+                result.signatures[match], result.real_paths[match] = signature, os.path.realpath(match)
+        for match in [path, *matches]:
+            for folder in _folders_to_watch(match):
+                status = os.stat(folder)
+                result.folders[folder] = status.st_dev, status.st_ino
+    return result
 
 
 def is_pattern(path: str) -> bool:
+    """Whether the last part of a path is a pattern."""
     return glob.has_magic(os.path.basename(path))
 
 
-def look_at(path: str) -> Mark | None:
-    """The mark of a file; None where there is none that could be read."""
+def signature_of(path: str) -> FileSignature | None:
+    """The signature of a regular file; None where there is none that can be looked at."""
     try:
-        told = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return None
-    return _mark(told) if stat.S_ISREG(told.st_mode) else None
+    return _signature(status) if stat.S_ISREG(status.st_mode) else None
 
 
-def read(path: str, most: int) -> tuple[Mark, bytes, Mark | None] | str:
-    """A file's bytes between two marks; or why it could not be read."""
+def read(path: str, max_bytes: int) -> FileContent:
+    """Reads a file; raises FileReadError."""
     try:
-        # Without waiting: a name may have become a pipe since it was looked at.
+        # Without blocking: the name may have become that of a pipe since the scan.
         with open(os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC), "rb") as file:
-            told = os.fstat(file.fileno())
-            if not stat.S_ISREG(told.st_mode):
-                return "not a file"
-            if told.st_size > most:
-                return f"{told.st_size} bytes, expected {most} at most"
-            data = file.read(most + 1)
-            after = _mark(os.fstat(file.fileno()))
-    except OSError as fault:
-        return fault.strerror or str(fault)
-    before, there = _mark(told), look_at(path)
-    return before, data, after if there == after and len(data) == after.size else there
-
-
-def _mark(told: os.stat_result) -> Mark:
-    return Mark(told.st_dev, told.st_ino, told.st_size, told.st_mtime_ns, told.st_ctime_ns)
-
-
-def _folders(path: str, depth: int = 0) -> dict[str, None]:
-    """The folders in which a change of a path shows: that of the file, and that of each symbolic link on the
-    way; in place of one that is not there, the nearest above it."""
+            status = os.fstat(file.fileno())
+            if not stat.S_ISREG(status.st_mode):
+                raise FileReadError("not a file")
+            if status.st_size > max_bytes:
+                raise FileReadError(f"{status.st_size} bytes, expected {max_bytes} at most")
+            data = file.read(max_bytes + 1)
+            after = _signature(os.fstat(file.fileno()))
+    except OSError as error:
+        raise FileReadError(error.strerror or str(error)) from error
+    present = signature_of(path)
+    same_file = present == after and len(data) == after.size
+    return FileContent(_signature(status), data, after if same_file else present)
+
+
+def _signature(status: os.stat_result) -> FileSignature:
+    return FileSignature(status.st_dev, status.st_ino, status.st_size, status.st_mtime_ns, status.st_ctime_ns)
+
+
+def _folders_to_watch(path: str, depth: int = 0) -> dict[str, None]:
+    """The folders in which a change of a path shows, in order.
+
+    These are the folder of the file and that of each symbolic link on the way; in place of one that does not
+    exist, the nearest above it.
+    """
     found, head = dict[str, None](), "/"
     for part in os.path.abspath(path).split("/")[1:]:
         full = os.path.join(head, part)
         if os.path.islink(full):
             found[head] = None
-            if depth < 20:
-                found.update(_folders(os.path.join(head, os.readlink(full)), depth + 1))
+            if depth < MAX_LINK_DEPTH:
+                found.update(_folders_to_watch(os.path.join(head, os.readlink(full)), depth + 1))
             full = os.path.realpath(full)
         head = full
     head = os.path.dirname(head)
--- a/vanerelay/membership/file_stability.py
+++ b/vanerelay/membership/file_stability.py
@@ -1,81 +1,95 @@
-"""When what is seen of a watched file may be believed: pure, with the tuned figures.
+"""When the content of a watched file is stable: pure, with the tuned values.
 
-A file counts once it has been still, and its bytes once the same marks stood before and after they were read.
-A writer known to have it open is waited for a little longer. Times are whole tenths of a millisecond."""
+A file counts once it has not changed for a while, and its bytes once the same signature was found before and
+after they were read. A file that a writer is known to have open is waited for a little longer. Times are
+whole tenths of a millisecond.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from vanerelay.config_field import config_field
 from vanerelay.interface import MILLISECOND, SECOND, Duration
 
-GATHERED = 20 * MILLISECOND  # events of one write are gathered for so long before the files are looked at
-# a thread that reads gives way to the loop as often: a pass may wait for several turns
-TURNS_S = 0.0005
-RENEWED = 60 * SECOND  # how often events are asked for again where they were not to be had
+EVENT_BATCH_DELAY = 20 * MILLISECOND
+"""For so long the events of one write are gathered before the files are scanned."""
 
+THREAD_SWITCH_INTERVAL_S = 0.0005
+"""How often a thread that reads gives way to the event loop, which may wait for several such turns."""
 
-@dataclass(frozen=True, slots=True)
-class Stillness:
-    """`still`: how long a file must not have changed; `writer`: the same while a writer has it open, the
-    longest that an unclosed file is waited for; `poll`: how often files are looked at without an event. A
-    removal is in force within `poll` + the longer of the two + the time of reading, however many events were
-    lost."""
-
-    still: Duration = 150 * MILLISECOND
-    writer: Duration = SECOND
-    poll: Duration = SECOND // 2
+WATCH_RETRY_INTERVAL = 60 * SECOND
+"""How often file system events are asked for again where they were not to be had."""
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
-    """What tells one state of a file from another: device, inode, size, times of change in nanoseconds."""
-
-    device: int
-    inode: int
-    size: int
-    changed_ns: int
-    status_ns: int
+class StabilityConfig:
+    """When files are scanned and read.
 
+    A removal is in force within `poll_interval` + the longer of the other two + the time of reading, however
+    many events were lost.
 
-class Settling:
-    """One path."""
+    Attributes:
+        quiet_period: How long a file must not have changed.
+        writer_quiet_period: The same while a writer has it open: the longest wait for an unclosed file.
+        poll_interval: How often files are scanned without an event.
+    """
 
-    def __init__(self, terms: Stillness) -> None:
-        self._terms = terms
-        self._mark: Mark | None = None
-        self._since, self._written = 0, 0  # seen as it is now; last told of a writer
-        self._open = self._done = False  # a writer has it open; what is there was read and told
-        self.there = False
+    quiet_period: Duration = config_field("still", default=150 * MILLISECOND)
+    writer_quiet_period: Duration = config_field("writer", default=SECOND)
+    poll_interval: Duration = config_field("poll", default=SECOND // 2)
 
-    def seen(self, now: int, mark: Mark | None) -> None:
-        """The file as a look found it; None: not there."""
-        self.there = mark is not None
-        if mark != self._mark:
-            self._mark, self._since, self._done = mark, now, False
 
-    def writing(self, now: int) -> None:
-        """A writer changed it; the mark tells whether anything came of that."""
-        self._open, self._written = True, now
-
-    def closed(self) -> None:
-        """A writer has closed it, or another file took its name."""
-        self._open = False
+@dataclass(frozen=True, slots=True)
+class FileSignature:
+    """What tells one state of a file from another; both times in nanoseconds."""
 
-    def due(self) -> int | None:
-        """When it has been still for long enough; None while there is nothing to read."""
-        if self._mark is None or self._done:
+    device: int
+    inode: int
+    size: int
+    modified_ns: int
+    status_changed_ns: int
+
+
+class StabilityTracker:
+    """Follows one path until its content may be read and believed."""
+
+    def __init__(self, config: StabilityConfig) -> None:
+        self._config = config
+        self._signature: FileSignature | None = None
+        self._unchanged_since, self._written_at = 0, 0
+        self._writer_open = False
+        self._read = False  # the present content was read completely
+        self.exists = False
+
+    def observed(self, now: int, signature: FileSignature | None) -> None:
+        """The file as a scan found it; None where there is none."""
+        self.exists = signature is not None
+        if signature != self._signature:
+            self._signature, self._unchanged_since, self._read = signature, now, False
+
+    def writer_active(self, now: int) -> None:
+        """A writer changed the file; the signature tells whether anything came of that."""
+        self._writer_open, self._written_at = True, now
+
+    def writer_closed(self) -> None:
+        """A writer has closed the file, or another file took its name."""
+        self._writer_open = False
+
+    def stable_at(self) -> int | None:
+        """When the file may be read; None while there is nothing to read."""
+        if self._signature is None or self._read:
             return None
-        if self._open:
-            return max(self._since, self._written) + self._terms.writer
-        return self._since + self._terms.still
-
-    def read(self, now: int, before: Mark, after: Mark | None) -> bool:
-        """Whether bytes read between two marks are one state of the file, the one that was still."""
-        self.seen(now, after)
-        self._done = before == after == self._mark
-        return self._done
-
-    def again(self) -> None:
-        """Reading failed: it is read again once it was still anew."""
-        self._mark = None
+        if self._writer_open:
+            return max(self._unchanged_since, self._written_at) + self._config.writer_quiet_period
+        return self._unchanged_since + self._config.quiet_period
+
+    def read_completed(self, now: int, before: FileSignature, after: FileSignature | None) -> bool:
+        """Whether bytes read between two signatures are one state of the file, the one that was stable."""
+        self.observed(now, after)
+        self._read = before == after == self._signature
+        return self._read
+
+    def read_failed(self) -> None:
+        """The file is read again once it is stable anew."""
+        self._signature = None
--- a/vanerelay/membership/files.py
+++ b/vanerelay/membership/files.py
@@ -1,4 +1,4 @@
-"""Watched list files of one source: looks, reads and checks off the loop, and hands on what came of it."""
+"""Watched list files of one source: scanned, read and checked off the event loop."""
 
 from __future__ import annotations
 
@@ -12,192 +12,235 @@
 from vanerelay.clock import Clock
 from vanerelay.interface import SECOND
 from vanerelay.membership import file_reader, list_codec
-from vanerelay.membership.file_stability import GATHERED, RENEWED, Mark, Settling, Stillness
-from vanerelay.membership.inotify_watch import Watch
-from vanerelay.membership.list_acceptance import Checks, Delta, Kind, Lists, Verdict
-from vanerelay.membership.list_codec import EngineList, Unusable
+from vanerelay.membership.config import WatchedFilesConfig
+from vanerelay.membership.errors import FileReadError, ListFileError
+from vanerelay.membership.file_reader import FileContent, FileScan
+from vanerelay.membership.file_stability import EVENT_BATCH_DELAY, WATCH_RETRY_INTERVAL, StabilityTracker
+from vanerelay.membership.inotify_watch import FileEvent, InotifyWatch
+from vanerelay.membership.list_acceptance import Acceptance, AcceptanceResult, ListAcceptance, ListDelta
+from vanerelay.membership.list_codec import EngineList
 from vanerelay.net.rate_limited_log import RateLimitedLog
 
+SOURCE_AS_A_WHOLE = ""
+"""Stands for a path where a result or a problem is not that of one file."""
+
 log = structlog.get_logger()
 
 
 class WatchedFiles:
-    """One source. `told(delta, why)` comes on the loop for each list that is in force from then on; `alive()`
-    for each look that found its files."""
+    """One source of list files.
+
+    Attributes:
+        acceptance: Which files are accepted. Worker threads use it, one at a time.
+        counts: How often each result has come about.
+    """
 
     def __init__(
         self,
         reactor: Any,
         clock: Clock,
-        name: str,
-        paths: tuple[str, ...],
-        checks: Checks,
-        stillness: Stillness,
-        locations: Mapping[str, int],
-        kinds: Mapping[str, int],
-        told: Callable[[Delta, str], None],
-        alive: Callable[[], None],
+        config: WatchedFilesConfig,
+        zones: Mapping[str, int],
+        machine_kinds: Mapping[str, int],
+        on_change: Callable[[ListDelta, str], None],
+        on_alive: Callable[[], None],
     ) -> None:
-        self.name, self._paths, self._checks, self._terms = name, paths, checks, stillness
-        self._reactor, self._clock, self._locations, self._kinds = reactor, clock, locations, kinds
-        self._told, self._alive = told, alive
-        single = len(paths) == 1 and not file_reader.is_pattern(paths[0])
-        self.lists, self.lock = Lists(checks, single), DeferredLock()
-        self._settling = {path: Settling(stillness) for path in paths if not file_reader.is_pattern(path)}
-        # where events tell of a path, against the paths it is listed under
-        self._real: dict[str, list[str]] = {}
-        self._watch = Watch(reactor, self._hint)
-        self._timer: Any = None
-        self._going = self._again = self._stopped = False
+        """`on_change` is called with what changes in force, and why; `on_alive` where a scan finds files."""
+        self.name, self._paths, self._config = config.source.name, config.paths, config
+        self._reactor, self._clock = reactor, clock
+        self._zones, self._machine_kinds = zones, machine_kinds
+        self._on_change, self._on_alive = on_change, on_alive
+        single_file = len(config.paths) == 1 and not file_reader.is_pattern(config.paths[0])
+        self.acceptance = ListAcceptance(config.acceptance, single_file)
+        self._lock = DeferredLock()
+        self._trackers = {
+            path: StabilityTracker(config.stability)
+            for path in config.paths
+            if not file_reader.is_pattern(path)
+        }
+        self._paths_by_real_path: dict[str, list[str]] = {}
+        self._watch = InotifyWatch(reactor, self._file_event)
         self._watched_at = 0
-        self._said: dict[str, str] = {}  # the trouble that the log was told of, by path
+        self._timer: Any = None
+        self._scanning = self._scan_again = self._stopped = False
+        self._reported: dict[str, str] = {}  # the problems that were logged, by path
         self._warnings: dict[str, RateLimitedLog] = {}
-        self.counts = {kind: 0 for kind in Kind}
+        self.counts = dict.fromkeys(Acceptance, 0)
 
     def start(self) -> None:
-        self._wake(0)
+        """Begins to watch."""
+        self._schedule_scan(0)
 
     def stop(self) -> None:
+        """Ends all watches; a scan in progress has no further effect."""
         self._stopped = True
         self._watch.stop()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def _hint(self, path: str, writing: bool, closed: bool) -> None:
-        for one in self._real.get(path, ()):
-            if writing:
-                self._settling[one].writing(self._clock.now())
-            elif closed:
-                self._settling[one].closed()
-        self._wake(GATHERED)
+    # Requests of the operators.
+
+    def confirm(self) -> Deferred[AcceptanceResult]:
+        """Accepts the list that waits for confirmation."""
 
-    def _wake(self, delay: int) -> None:
-        """Looks after that delay, or sooner if that was planned."""
+        def apply(result: AcceptanceResult) -> AcceptanceResult:
+            self._apply(SOURCE_AS_A_WHOLE, result)
+            return result
+
+        return self._lock.run(lambda: deferToThread(self.acceptance.confirm).addCallback(apply))
+
+    def pin(self, revision: int, files: Mapping[str, EngineList]) -> Deferred[None]:
+        """Holds an earlier list in force."""
+        return self._lock.run(
+            lambda: deferToThread(self.acceptance.pin, revision, files).addCallback(
+                self._on_change, "pinned by the operator"
+            )
+        )
+
+    def unpin(self) -> Deferred[None]:
+        """Puts the accepted list in force again."""
+        return self._lock.run(
+            lambda: deferToThread(self.acceptance.unpin).addCallback(self._on_change, "no longer pinned")
+        )
+
+    # When files are scanned.
+
+    def _file_event(self, event: FileEvent) -> None:
+        for path in self._paths_by_real_path.get(event.path, ()):
+            if event.writing:
+                self._trackers[path].writer_active(self._clock.now())
+            elif event.closed:
+                self._trackers[path].writer_closed()
+        self._schedule_scan(EVENT_BATCH_DELAY)
+
+    def _schedule_scan(self, delay: int) -> None:
+        """Scans after that delay, or sooner if that is planned."""
         if self._stopped:
             return
-        if self._going:
-            self._again = True
+        if self._scanning:
+            self._scan_again = True
             return
         seconds = delay / SECOND
         if self._timer is not None and self._timer.active():
             if self._timer.getTime() <= self._reactor.seconds() + seconds:
                 return
             self._timer.cancel()
-        self._timer = self._reactor.callLater(seconds, self._look)
+        self._timer = self._reactor.callLater(seconds, self._begin_scan)
 
-    def _look(self) -> None:
-        self._going, self._again = True, False
-        going = self.lock.run(self._round)
-        going.addErrback(lambda fault: log.error("a look at list files failed", fault=fault.getTraceback()))
-        going.addBoth(lambda _: self._looked())
+    def _begin_scan(self) -> None:
+        self._scanning, self._scan_again = True, False
+        scanning = self._lock.run(self._scan)
+        scanning.addErrback(lambda failure: log.error("list file scan failed", error=failure.getTraceback()))
+        scanning.addBoth(lambda _: self._end_scan())
 
-    def _looked(self) -> None:
-        self._going = False
+    def _end_scan(self) -> None:
+        self._scanning = False
         now = self._clock.now()
-        moments = [due for one in self._settling.values() if (due := one.due()) is not None]
-        moments += [due] if (due := self.lists.due()) is not None else []
-        soon = min([now + self._terms.poll, *(max(now + GATHERED, moment) for moment in moments)])
-        self._wake(GATHERED if self._again else soon - now)
+        deadlines = [tracker.stable_at() for tracker in self._trackers.values()]
+        deadlines.append(self.acceptance.next_deadline())
+        soonest = now + EVENT_BATCH_DELAY
+        next_scan_at = min(
+            [
+                now + self._config.stability.poll_interval,
+                *(max(soonest, deadline) for deadline in deadlines if deadline is not None),
+            ]
+        )
+        self._schedule_scan(EVENT_BATCH_DELAY if self._scan_again else next_scan_at - now)
+
+    # One scan.
 
     @inlineCallbacks
-    def _round(self) -> Generator[Deferred[Any], Any, None]:
-        looked: file_reader.Looked = yield deferToThread(
-            file_reader.look, self._paths, self._checks.most_files
-        )
+    def _scan(self) -> Generator[Deferred[Any], Any, None]:
+        scan: FileScan = yield deferToThread(file_reader.scan, self._paths, self._config.acceptance.max_files)
         if self._stopped:
             return
         now = self._clock.now()
-        if self._watch.works or now - self._watched_at >= RENEWED or not self._watched_at:
-            if self._watch.follow(looked.folders):
-                self._again = True  # what came between the look and the watch is looked for once more
-            self._watched_at = now
-        self._report("", looked.trouble)
-        self._real = {}
-        for path, real in looked.real.items():
-            self._real.setdefault(real, []).append(path)
-        for path in looked.marks.keys() - self._settling.keys():
-            self._settling[path] = Settling(self._terms)
-        for path, settling in list(self._settling.items()):
-            settling.seen(now, looked.marks.get(path))
-            due = settling.due()
-            if not settling.there:
-                by_pattern = path not in self._paths
-                self._act(path, (yield deferToThread(self.lists.missing, now, path, by_pattern)))
-                if by_pattern and path not in self.lists.files:
-                    del self._settling[path]
-                    self._warnings.pop(path, None)
-            elif due is not None and due <= now:
-                yield from self._read(path, settling)
-        self._act("", (yield deferToThread(self.lists.look, now)))
-        if looked.marks:
-            self._alive()
-
-    def _read(self, path: str, settling: Settling) -> Generator[Deferred[Any], Any, None]:
-        found: tuple[Mark, bytes, Mark | None] | str
-        found = yield deferToThread(file_reader.read, path, self._checks.most_bytes)
-        now = self._clock.now()
-        if isinstance(found, str):
-            settling.again()
-            self._act(path, (yield deferToThread(self.lists.offer, now, path, Unusable(found))))
+        self._follow_folders(now, scan)
+        self._report_problem(SOURCE_AS_A_WHOLE, scan.problem)
+        self._track_paths(scan)
+        for path, tracker in list(self._trackers.items()):
+            tracker.observed(now, scan.signatures.get(path))
+            stable_at = tracker.stable_at()
+            if not tracker.exists:
+                yield from self._handle_missing(now, path)
+            elif stable_at is not None and stable_at <= now:
+                yield from self._read(path, tracker)
+        self._apply(SOURCE_AS_A_WHOLE, (yield deferToThread(self.acceptance.advance, now)))
+        if scan.signatures:
+            self._on_alive()
+
+    def _follow_folders(self, now: int, scan: FileScan) -> None:
+        retry_at = self._watched_at + WATCH_RETRY_INTERVAL
+        if not self._watch.is_active and self._watched_at and now < retry_at:
+            return
+        if self._watch.follow(scan.folders):
+            self._scan_again = True  # for what changed between the scan and the new watch
+        self._watched_at = now
+
+    def _track_paths(self, scan: FileScan) -> None:
+        self._paths_by_real_path = {}
+        for path, real_path in scan.real_paths.items():
+            self._paths_by_real_path.setdefault(real_path, []).append(path)
+        for path in scan.signatures.keys() - self._trackers.keys():
+            self._trackers[path] = StabilityTracker(self._config.stability)
+
+    def _handle_missing(self, now: int, path: str) -> Generator[Deferred[Any], Any, None]:
+        by_pattern = path not in self._paths
+        result = yield deferToThread(self.acceptance.file_missing, now, path, by_pattern)
+        self._apply(path, result)
+        if by_pattern and path not in self.acceptance.files:
+            del self._trackers[path]
+            self._warnings.pop(path, None)
+
+    def _read(self, path: str, tracker: StabilityTracker) -> Generator[Deferred[Any], Any, None]:
+        max_bytes = self._config.acceptance.max_file_bytes
+        try:
+            content: FileContent = yield deferToThread(file_reader.read, path, max_bytes)
+        except FileReadError as error:
+            tracker.read_failed()
+            self._apply(path, (yield deferToThread(self.acceptance.reject, path, str(error))))
             return
-        before, data, after = found
-        if not settling.read(now, before, after):
-            return  # it changed meanwhile: once it is still again
-        self._act(path, (yield deferToThread(self._take, now, path, data)))
-
-    def _take(self, now: int, path: str, data: bytes) -> Verdict:
-        return self.lists.offer(now, path, list_codec.read(data, self._locations, self._kinds))
-
-    def _act(self, path: str, verdict: Verdict) -> None:
-        if verdict.kind is not Kind.UNCHANGED:
-            repeated = verdict.kind is not Kind.ACCEPTED and self._said.get(path) == verdict.why
-            self.counts[verdict.kind] += 0 if repeated else 1
-        if verdict.kind is Kind.ACCEPTED:
-            self._told(verdict.delta, verdict.why or "list file")
+        now = self._clock.now()
+        if tracker.read_completed(now, content.before, content.after):
+            self._apply(path, (yield deferToThread(self._offer, now, path, content.data)))
+
+    def _offer(self, now: int, path: str, data: bytes) -> AcceptanceResult:
+        try:
+            offered = list_codec.read(data, self._zones, self._machine_kinds)
+        except ListFileError as error:
+            return self.acceptance.reject(path, str(error))
+        return self.acceptance.offer(now, path, offered)
+
+    # What comes of it.
+
+    def _apply(self, path: str, result: AcceptanceResult) -> None:
+        accepted = result.acceptance is Acceptance.ACCEPTED
+        repeated = not accepted and self._reported.get(path) == result.reason
+        if result.acceptance is not Acceptance.UNCHANGED and not repeated:
+            self.counts[result.acceptance] += 1
+        if accepted:
+            self._on_change(result.delta, result.reason or "list file")
             log.info(
-                "list taken",
+                "list accepted",
                 source=self.name,
-                revision=verdict.revision,
-                why=verdict.why,
-                changed=len(verdict.delta.changed),
-                withdrawn=len(verdict.delta.withdrawn),
+                revision=result.revision,
+                why=result.reason,
+                changed=len(result.delta.changed),
+                withdrawn=len(result.delta.removed),
             )
-        for one in {path, *self._said, *self.lists.trouble}:
-            if one:
-                self._report(one, self.lists.trouble.get(one))
+        for reported_path in {path, *self._reported, *self.acceptance.problems}:
+            if reported_path:
+                self._report_problem(reported_path, self.acceptance.problems.get(reported_path))
 
-    def _report(self, path: str, why: str | None) -> None:
-        """Once per state."""
-        if self._said.get(path) == why:
+    def _report_problem(self, path: str, problem: str | None) -> None:
+        """Logs a problem once, and its end."""
+        if self._reported.get(path) == problem:
             return
-        if why is None:
-            del self._said[path]
-            log.info("list file is in order again", source=self.name, path=path)
+        if problem is None:
+            del self._reported[path]
+            log.info("list file is usable again", source=self.name, path=path)
         else:
-            self._said[path] = why
+            self._reported[path] = problem
             if path not in self._warnings:
-                self._warnings[path] = RateLimitedLog(self._reactor, "list file not taken")
-            self._warnings[path].warn(source=self.name, path=path, why=why)
-
-    # The operator's word, from the console.
-
-    def confirm(self) -> Deferred[Verdict]:
-        def done(verdict: Verdict) -> Verdict:
-            self._act("", verdict)
-            return verdict
-
-        return self.lock.run(lambda: deferToThread(self.lists.confirm, self._clock.now()).addCallback(done))
-
-    def pin(self, revision: int, files: Mapping[str, EngineList]) -> Deferred[None]:
-        return self.lock.run(
-            lambda: deferToThread(self.lists.pin, revision, files).addCallback(
-                lambda delta: self._told(delta, "pinned by the operator")
-            )
-        )
-
-    def unpin(self) -> Deferred[None]:
-        return self.lock.run(
-            lambda: deferToThread(self.lists.unpin).addCallback(
-                lambda delta: self._told(delta, "no longer pinned")
-            )
-        )
+                self._warnings[path] = RateLimitedLog(self._reactor, "list file rejected")
+            self._warnings[path].warn(source=self.name, path=path, why=problem)
--- a/vanerelay/membership/list_acceptance.py
+++ b/vanerelay/membership/list_acceptance.py
@@ -1,7 +1,9 @@
-"""What of a source's list files is believed: pure, with every check and tuned figure.
+"""Which list files of a source are accepted: pure, with every check and tuned value.
 
-`Lists` holds one source's files, those in force and those that wait. A file is taken whole or not at all, and
-what is refused leaves all as it was. Times are whole tenths of a millisecond."""
+`ListAcceptance` holds the files of one source: those accepted and those that are not yet. A file is accepted
+completely or not at all, and one that is rejected leaves everything as it was. Times are whole tenths of a
+millisecond.
+"""
 
 from __future__ import annotations
 
@@ -12,257 +14,318 @@
 
 import msgspec
 
+from vanerelay.config_field import config_field
 from vanerelay.engine_list import ListedEngine
 from vanerelay.interface import SECOND, Duration, EngineState
-from vanerelay.membership.list_codec import EngineList, Unusable
+from vanerelay.membership.list_codec import EngineList
 
 
 @dataclass(frozen=True, slots=True)
-class Checks:
-    """The operators' limits on a change. `most_lost`: the part of the engines that one change may take away;
-    `least_lost`: losing this many or fewer is never held; `confirm_after`: how long a list held back waits
-    until it is believed all the same (0: never by time alone); `missing_after`: how long a file matched by a
-    pattern may be missing before its engines are; `most_members`, `most_files`, `most_bytes`: what a source
-    may list, in how many files, and how long one may be."""
-
-    most_lost: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.3
-    least_lost: int = 1
+class AcceptanceConfig:
+    """The operators' limits on a change, the `checks` block.
+
+    Attributes:
+        max_lost_fraction: The part of the engines in service that one change may take away.
+        always_allowed_loss: Losing this many or fewer needs no confirmation.
+        confirm_after: How long a list waits for confirmation until it is accepted all the same; 0: never.
+        missing_after: How long a file matched by a pattern may be missing before its engines are removed.
+        max_engines: Engines of one source.
+        max_files: Files of one source.
+        max_file_bytes: Bytes of one file.
+    """
+
+    max_lost_fraction: Annotated[float, msgspec.Meta(ge=0, le=1)] = config_field("most_lost", default=0.3)
+    always_allowed_loss: int = config_field("least_lost", default=1)
     confirm_after: Duration = 60 * SECOND
     missing_after: Duration = 10 * SECOND
-    most_members: int = 100_000
-    most_files: int = 100
-    most_bytes: int = 64 * 2**20
+    max_engines: int = config_field("most_members", default=100_000)
+    max_files: int = config_field("most_files", default=100)
+    max_file_bytes: int = config_field("most_bytes", default=64 * 2**20)
 
 
-class Kind(Enum):
+class Acceptance(Enum):
+    """What became of a file or a list; the values are keys of the control socket."""
+
     ACCEPTED = "accepted"
     UNCHANGED = "unchanged"
-    REFUSED = "refused"
-    HELD = "held"
+    REJECTED = "refused"
+    PENDING = "held"  # waits for confirmation
 
 
 @dataclass(frozen=True, slots=True)
-class Delta:
-    """From one list to the next: engines that are new or told otherwise, and names told no more."""
+class ListDelta:
+    """From one list to the next: engines that are new or changed, and names that are no longer listed."""
 
     changed: dict[str, ListedEngine]
-    withdrawn: frozenset[str]
+    removed: frozenset[str]
 
 
-NOTHING = Delta({}, frozenset())
+NO_CHANGE = ListDelta({}, frozenset())
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """What became of an offer. `revision` is the source's, after it; `delta` what is now in force
-    otherwise."""
+class AcceptanceResult:
+    """What became of an offer.
+
+    Attributes:
+        reason: Why, in words; empty where nothing is to be said.
+        revision: The source's revision afterwards.
+        delta: What has changed in force.
+    """
 
-    kind: Kind
-    why: str
+    acceptance: Acceptance
+    reason: str
     revision: int
-    delta: Delta = NOTHING
+    delta: ListDelta = NO_CHANGE
+
+
+@dataclass(frozen=True, slots=True)
+class PendingList:
+    """A list that waits for confirmation: since when, its files by path, and the engines that it loses."""
 
+    since: int
+    files: dict[str, EngineList]
+    lost_engines: int
 
-def delta(before: Mapping[str, ListedEngine], after: Mapping[str, ListedEngine]) -> Delta:
-    changed = {name: member for name, member in after.items() if before.get(name) != member}
-    return Delta(changed, frozenset(before.keys() - after.keys()))
 
+def compare(before: Mapping[str, ListedEngine], after: Mapping[str, ListedEngine]) -> ListDelta:
+    """The changes between two lists."""
+    changed = {name: engine for name, engine in after.items() if before.get(name) != engine}
+    return ListDelta(changed, frozenset(before.keys() - after.keys()))
 
-def lost(before: Mapping[str, ListedEngine], after: Mapping[str, ListedEngine]) -> int:
-    """Engines in service before that are not after: gone, told gone or draining, or with nothing new to be
-    sent."""
-    serving = (n for n, m in before.items() if _serves(m))
-    return sum(1 for name in serving if name not in after or not _serves(after[name]))
 
+def count_lost(before: Mapping[str, ListedEngine], after: Mapping[str, ListedEngine]) -> int:
+    """How many engines in service before are not in service after."""
+    serving = (name for name, engine in before.items() if _in_service(engine))
+    return sum(1 for name in serving if name not in after or not _in_service(after[name]))
 
-def _serves(member: ListedEngine) -> bool:
-    return member.state is EngineState.UP and member.weight != 0
 
+def _in_service(engine: ListedEngine) -> bool:
+    """Whether an engine may be sent anything new."""
+    return engine.state is EngineState.UP and engine.weight != 0
 
-class Lists:
-    """The files of one source."""
 
-    def __init__(self, checks: Checks, single: bool) -> None:
-        """`single`: one file by its path, whose revision is the source's; else the source counts its own."""
-        self._checks, self._single = checks, single
+class ListAcceptance:
+    """The files of one source.
+
+    Attributes:
+        files: The accepted files by path.
+        accepted: The engines of these.
+        in_force: The engines in force: those accepted, or those of a pinned list.
+        revision: The revision of what is accepted.
+        pinned_revision: The revision that the operators hold in force, if any.
+        problems: What is rejected or pending, and why, by path.
+    """
+
+    def __init__(self, config: AcceptanceConfig, single_file: bool) -> None:
+        """`single_file`: one file by its path, whose revision is the source's; else revisions are counted."""
+        self._config, self._single_file = config, single_file
         self.files: dict[str, EngineList] = {}
         self.accepted: dict[str, ListedEngine] = {}
         self.in_force: dict[str, ListedEngine] = {}
-        self.revision, self.pinned = 0, None  # type: int, int | None
-        self._waiting: dict[str, EngineList | None] = {}  # refused or held, by path; None: missing
-        # since, the files as they would be, lost
-        self._held: tuple[int, dict[str, EngineList], int] | None = None
-        self._missing: dict[str, int] = {}  # since when
-        self.trouble: dict[str, str] = {}  # by path: what is refused or held, and why
-
-    def restore(self, files: Mapping[str, EngineList], revision: int) -> Delta:
-        """What was in force before a restart; it was checked then."""
+        self.revision = 0
+        self.pinned_revision: int | None = None
+        self.problems: dict[str, str] = {}
+        self._candidates: dict[str, EngineList | None] = {}  # not accepted yet; None: the file is missing
+        self._pending: PendingList | None = None
+        self._missing_since: dict[str, int] = {}
+
+    @property
+    def pending(self) -> PendingList | None:
+        """The list that waits for confirmation."""
+        return self._pending
+
+    def restore(self, files: Mapping[str, EngineList], revision: int) -> ListDelta:
+        """Takes what was in force before a restart, which was checked then."""
         self.files, self.revision = dict(files), revision
-        self.accepted = _joined(self.files.values())
-        return self._show()
-
-    def offer(self, now: int, path: str, offered: EngineList | Unusable) -> Verdict:
-        """A file as it is now."""
-        self._missing.pop(path, None)
-        if isinstance(offered, Unusable):
-            return self._refuse(path, offered.why)
+        self.accepted = _merge_files(self.files.values())
+        return self._apply()
+
+    def offer(self, now: int, path: str, offered: EngineList) -> AcceptanceResult:
+        """Considers a file as it is now."""
+        self._missing_since.pop(path, None)
         known = self.files.get(path)
-        if known is not None and known.digest == offered.digest:
-            self._waiting.pop(path, None)
-            self.trouble.pop(path, None)
-            if self._held is not None and self._held[1].get(path) is not known:
-                self._held = None  # what was held is taken back
-            return self._say(Kind.UNCHANGED, "")
-        if known is not None and offered.revision < known.revision:
-            return self._refuse(
-                path, f"revision {offered.revision} after {known.revision}, expected a later one"
-            )
-        if known is not None and offered.revision == known.revision and offered.members != known.members:
-            return self._refuse(
-                path, f"another list under revision {known.revision}, expected a later revision"
-            )
-        self._waiting[path] = offered
+        if known is not None:
+            if known.digest == offered.digest:
+                return self._unchanged_file(path, known)
+            if offered.revision < known.revision:
+                return self._reject(
+                    path, f"revision {offered.revision} after {known.revision}, expected a later one"
+                )
+            if offered.revision == known.revision and offered.engines != known.engines:
+                return self._reject(
+                    path, f"another list under revision {known.revision}, expected a later revision"
+                )
+        self._candidates[path] = offered
         return self._consider(now, path)
 
-    def missing(self, now: int, path: str, by_pattern: bool) -> Verdict:
-        """A file that is not there. Its engines stay; those of a pattern's file until it was missing long
-        enough."""
+    def reject(self, path: str, reason: str) -> AcceptanceResult:
+        """A file that cannot be read, or is no list."""
+        self._missing_since.pop(path, None)
+        return self._reject(path, reason)
+
+    def file_missing(self, now: int, path: str, by_pattern: bool) -> AcceptanceResult:
+        """A file that does not exist.
+
+        Its engines stay in force; those of a file that a pattern had matched until it was missing for long.
+        """
         if path not in self.files:
-            self._waiting.pop(path, None)  # refused before, and gone: nothing is left to say of it
-            self.trouble.pop(path, None)
+            self._candidates.pop(path, None)  # rejected before, and gone: there is nothing left to report
+            self.problems.pop(path, None)
             if not by_pattern:
-                return self._refuse(path, "missing")
-            return self._say(Kind.UNCHANGED, "")
-        if path in self._waiting and self._waiting[path] is None:
-            return self._say(Kind.UNCHANGED, "")  # considered already
-        since = self._missing.setdefault(path, now) if by_pattern else now
-        if now - since < self._checks.missing_after or not by_pattern:
-            return self._refuse(path, "missing; its last good list stays in force")
-        del self._missing[path]
-        self._waiting[path] = None
+                return self._reject(path, "missing")
+            return self._result(Acceptance.UNCHANGED)
+        if path in self._candidates and self._candidates[path] is None:
+            return self._result(Acceptance.UNCHANGED)  # considered already
+        since = self._missing_since.setdefault(path, now) if by_pattern else now
+        if now - since < self._config.missing_after or not by_pattern:
+            return self._reject(path, "missing; its last good list stays in force")
+        del self._missing_since[path]
+        self._candidates[path] = None
         return self._consider(now, path)
 
-    def confirm(self, now: int) -> Verdict:
-        """The operator's word that a held list is meant."""
-        if self._held is None:
-            return self._say(Kind.REFUSED, "nothing is held")
-        return self._take(self._held[1], "confirmed by the operator")
-
-    def look(self, now: int) -> Verdict:
-        """What time alone has decided."""
-        after = self._checks.confirm_after
-        if self._held is not None and after and now - self._held[0] >= after:
-            return self._take(self._held[1], "confirmed by time")
-        return self._say(Kind.UNCHANGED, "")
-
-    def due(self) -> int | None:
-        """When `look` has something to decide, or a missing file becomes an engine's end."""
-        moments = [since + self._checks.missing_after for since in self._missing.values()]
-        if self._held is not None and self._checks.confirm_after:
-            moments.append(self._held[0] + self._checks.confirm_after)
-        return min(moments, default=None)
-
-    def held(self) -> tuple[int, int] | None:
-        """Since when a list waits to be confirmed, and how many engines it takes away."""
-        return None if self._held is None else (self._held[0], self._held[2])
-
-    def pin(self, revision: int, files: Mapping[str, EngineList]) -> Delta:
+    def confirm(self) -> AcceptanceResult:
+        """Accepts the pending list, as an operator confirms it."""
+        if self._pending is None:
+            return self._result(Acceptance.REJECTED, "nothing is held")
+        return self._accept(self._pending.files, "confirmed by the operator")
+
+    def advance(self, now: int) -> AcceptanceResult:
+        """Accepts the pending list where it has waited for long enough."""
+        wait = self._config.confirm_after
+        if self._pending is not None and wait and now - self._pending.since >= wait:
+            return self._accept(self._pending.files, "confirmed by time")
+        return self._result(Acceptance.UNCHANGED)
+
+    def next_deadline(self) -> int | None:
+        """When `advance` has something to accept, or a missing file takes its engines with it."""
+        deadlines = [since + self._config.missing_after for since in self._missing_since.values()]
+        if self._pending is not None and self._config.confirm_after:
+            deadlines.append(self._pending.since + self._config.confirm_after)
+        return min(deadlines, default=None)
+
+    def pin(self, revision: int, files: Mapping[str, EngineList]) -> ListDelta:
         """Holds an earlier list in force, whatever the files say, until `unpin`."""
-        self.pinned = revision
-        return self._show(_joined(files.values()))
-
-    def unpin(self) -> Delta:
-        self.pinned = None
-        return self._show()
-
-    def _consider(self, now: int, path: str) -> Verdict:
-        """The whole list as it would be, with all that waits; else with this file alone."""
-        for paths in dict.fromkeys((tuple(self._waiting), (path,))):
-            wanted = dict(self.files)
-            for one in paths:
-                waiting = self._waiting[one]
-                wanted.pop(one, None)
-                if waiting is not None:
-                    wanted[one] = waiting
-            wrong = self._clash(wanted)
-            if wrong is None:
-                return self._weigh(now, path, wanted)
-        assert wrong is not None
-        self.trouble[path] = wrong
-        return Verdict(Kind.REFUSED, wrong, self.revision)
-
-    def _clash(self, files: Mapping[str, EngineList]) -> str | None:
-        seen, addresses = dict[str, str](), dict[str, str]()
-        for path, one in files.items():
-            for name, member in one.members.items():
-                if seen.setdefault(name, path) != path:
-                    return f"id {name!r} stands in {seen[name]} too, expected each id once"
-                if len(files) > 1 and member.state is not EngineState.GONE:
-                    if addresses.setdefault(member.address, name) != name:
-                        return f"{name!r} and {addresses[member.address]!r} at {member.address}, expected one"
-        if len(seen) > self._checks.most_members:
-            return f"{len(seen)} engines, expected {self._checks.most_members} at most"
-        if not any(
-            member.state is not EngineState.GONE for one in files.values() for member in one.members.values()
+        self.pinned_revision = revision
+        return self._apply(_merge_files(files.values()))
+
+    def unpin(self) -> ListDelta:
+        """Puts the accepted list in force again."""
+        self.pinned_revision = None
+        return self._apply()
+
+    def _unchanged_file(self, path: str, known: EngineList) -> AcceptanceResult:
+        self._candidates.pop(path, None)
+        self.problems.pop(path, None)
+        if self._pending is not None and self._pending.files.get(path) is not known:
+            self._pending = None  # the file has been put back
+        return self._result(Acceptance.UNCHANGED)
+
+    def _consider(self, now: int, path: str) -> AcceptanceResult:
+        """Considers the list with all candidates; where that cannot be, with this file alone."""
+        problem = None
+        for paths in dict.fromkeys((tuple(self._candidates), (path,))):
+            wanted = self._with_candidates(paths)
+            problem = self._conflict(wanted)
+            if problem is None:
+                return self._check_loss(now, path, wanted)
+        assert problem is not None
+        self.problems[path] = problem
+        return self._result(Acceptance.REJECTED, problem)
+
+    def _with_candidates(self, paths: tuple[str, ...]) -> dict[str, EngineList]:
+        wanted = dict(self.files)
+        for path in paths:
+            candidate = self._candidates[path]
+            wanted.pop(path, None)
+            if candidate is not None:
+                wanted[path] = candidate
+        return wanted
+
+    def _conflict(self, files: Mapping[str, EngineList]) -> str | None:
+        """Why these files together are no list."""
+        duplicate, engine_count = self._duplicate(files)
+        if duplicate is not None:
+            return duplicate
+        if engine_count > self._config.max_engines:
+            return f"{engine_count} engines, expected {self._config.max_engines} at most"
+        if all(
+            engine.state is EngineState.GONE for file in files.values() for engine in file.engines.values()
         ):
             return "an empty list, expected one engine at least"
         return None
 
-    def _weigh(self, now: int, path: str, wanted: dict[str, EngineList]) -> Verdict:
-        """Losing too much at once is believed when a second revision says so too, or it was said long
-        enough."""
-        members = _joined(wanted.values())
-        gone, serving = lost(self.accepted, members), sum(map(_serves, self.accepted.values()))
-        if gone <= self._checks.least_lost or gone <= self._checks.most_lost * serving:
-            return self._take(wanted, "")
-        if self._held is not None:
-            since, before, _ = self._held
-            again = any(
-                before.get(p) is not None and one.revision > before[p].revision for p, one in wanted.items()
-            )
-            if again and lost(_joined(before.values()), members) <= max(
-                self._checks.least_lost, self._checks.most_lost * serving
-            ):
-                return self._take(wanted, "confirmed by a second revision")
-            self._held = since, wanted, gone
-        else:
-            self._held = now, wanted, gone
-        self.trouble[path] = why = (
-            f"{gone} of {serving} engines lost at once, over the share {self._checks.most_lost}"
+    def _duplicate(self, files: Mapping[str, EngineList]) -> tuple[str | None, int]:
+        """Which id or address is in two files, if any; and how many engines there are."""
+        paths, owners = dict[str, str](), dict[str, str]()
+        for path, file in files.items():
+            for name, engine in file.engines.items():
+                if paths.setdefault(name, path) != path:
+                    return f"id {name!r} stands in {paths[name]} too, expected each id once", len(paths)
+                if len(files) == 1 or engine.state is EngineState.GONE:
+                    continue
+                owner = owners.setdefault(engine.address, name)
+                if owner != name:
+                    return f"{name!r} and {owner!r} at {engine.address}, expected one", len(paths)
+        return None, len(paths)
+
+    def _check_loss(self, now: int, path: str, wanted: dict[str, EngineList]) -> AcceptanceResult:
+        """Accepts a list that does not lose too many engines at once; the others wait for confirmation."""
+        engines = _merge_files(wanted.values())
+        lost, serving = count_lost(self.accepted, engines), sum(map(_in_service, self.accepted.values()))
+        allowed = max(self._config.always_allowed_loss, self._config.max_lost_fraction * serving)
+        if lost <= allowed:
+            return self._accept(wanted, "")
+        pending = self._pending
+        if pending is not None and _has_later_revision(pending.files, wanted):
+            lost_since = count_lost(_merge_files(pending.files.values()), engines)
+            if lost_since <= allowed:
+                return self._accept(wanted, "confirmed by a second revision")
+        self._pending = PendingList(pending.since if pending is not None else now, wanted, lost)
+        self.problems[path] = reason = (
+            f"{lost} of {serving} engines lost at once, over the share {self._config.max_lost_fraction}"
             ": held until a second revision, the operator or time confirms it"
         )
-        return Verdict(Kind.HELD, why, self.revision)
-
-    def _take(self, wanted: dict[str, EngineList], why: str) -> Verdict:
-        for path, waiting in list(self._waiting.items()):
-            if wanted.get(path) is waiting:
-                del self._waiting[path]
-                self._missing.pop(path, None)
-                self.trouble.pop(path, None)
-        self.files, self._held = wanted, None
-        self.accepted = _joined(wanted.values())
-        self.revision = max(one.revision for one in wanted.values()) if self._single else self.revision + 1
-        return Verdict(Kind.ACCEPTED, why, self.revision, self._show())
-
-    def _refuse(self, path: str, why: str) -> Verdict:
-        self._waiting.pop(path, None)
-        if self._held is not None and self._held[1].get(path) is not self.files.get(path):
-            self._held = None  # the file no longer says what was held
-        self.trouble[path] = why
-        return Verdict(Kind.REFUSED, why, self.revision)
-
-    def _say(self, kind: Kind, why: str) -> Verdict:
-        return Verdict(kind, why, self.revision)
-
-    def _show(self, pinned: dict[str, ListedEngine] | None = None) -> Delta:
-        """What is in force from now on, against what was."""
+        return self._result(Acceptance.PENDING, reason)
+
+    def _accept(self, wanted: dict[str, EngineList], reason: str) -> AcceptanceResult:
+        for path, candidate in list(self._candidates.items()):
+            if wanted.get(path) is candidate:
+                del self._candidates[path]
+                self._missing_since.pop(path, None)
+                self.problems.pop(path, None)
+        self.files, self._pending = wanted, None
+        self.accepted = _merge_files(wanted.values())
+        if self._single_file:
+            self.revision = max(file.revision for file in wanted.values())
+        else:
+            self.revision += 1
+        return AcceptanceResult(Acceptance.ACCEPTED, reason, self.revision, self._apply())
+
+    def _reject(self, path: str, reason: str) -> AcceptanceResult:
+        self._candidates.pop(path, None)
+        if self._pending is not None and self._pending.files.get(path) is not self.files.get(path):
+            self._pending = None  # the file no longer says what waits for confirmation
+        self.problems[path] = reason
+        return self._result(Acceptance.REJECTED, reason)
+
+    def _result(self, acceptance: Acceptance, reason: str = "") -> AcceptanceResult:
+        return AcceptanceResult(acceptance, reason, self.revision)
+
+    def _apply(self, pinned: dict[str, ListedEngine] | None = None) -> ListDelta:
+        """Puts a pinned list, or else what is accepted, in force; returns what changed by that."""
         before = self.in_force
         if pinned is not None:
             self.in_force = pinned
-        elif self.pinned is None:
+        elif self.pinned_revision is None:
             self.in_force = self.accepted
-        return delta(before, self.in_force)
+        return compare(before, self.in_force)
+
+
+def _merge_files(files: Iterable[EngineList]) -> dict[str, ListedEngine]:
+    return {name: engine for file in files for name, engine in file.engines.items()}
 
 
-def _joined(files: Iterable[EngineList]) -> dict[str, ListedEngine]:
-    return {name: member for one in files for name, member in one.members.items()}
+def _has_later_revision(before: Mapping[str, EngineList], after: Mapping[str, EngineList]) -> bool:
+    """Whether any file of both lists has a later revision in the second."""
+    return any(path in before and file.revision > before[path].revision for path, file in after.items())
--- a/vanerelay/membership/service.py
+++ b/vanerelay/membership/service.py
@@ -1,384 +1,243 @@
-"""Joins sources, view, store and console, between the reactor and the one way in for lists. Thin.
+"""The engine list out of all its sources: the driver between the sources, the merged view and the gateway.
 
-The view's portions go to `listed` one a pass of the loop; everything slow is done in worker threads."""
+The changes of the view are published one step in a pass of the event loop; everything slow is done in worker
+threads.
+"""
 
 from __future__ import annotations
 
 import sys
 import time
-from collections.abc import Callable, Generator, Iterator, Mapping
+from collections.abc import Callable, Mapping
+from functools import partial
 from typing import Any
 
 import structlog
-from twisted.internet.defer import Deferred, DeferredLock, inlineCallbacks
-from twisted.internet.threads import deferToThread
 
 from vanerelay.clock import Clock
 from vanerelay.engine_list import EngineListChange, ListedEngine
-from vanerelay.interface import SECOND, EngineState
-from vanerelay.membership import control_socket, list_codec
-from vanerelay.membership.config import MembershipConfig
-from vanerelay.membership.control_protocol import Request, Wrong
-from vanerelay.membership.control_socket import Answer
-from vanerelay.membership.file_stability import TURNS_S
+from vanerelay.interface import MILLISECOND, SECOND, EngineState
+from vanerelay.membership import control_socket
+from vanerelay.membership.config import FEED_SOURCE, MembershipConfig, StoreConfig, WatchedFilesConfig
+from vanerelay.membership.control_protocol import Operation
+from vanerelay.membership.control_requests import ControlRequests
+from vanerelay.membership.control_socket import RequestHandler
+from vanerelay.membership.errors import StoreError
+from vanerelay.membership.file_stability import THREAD_SWITCH_INTERVAL_S
 from vanerelay.membership.files import WatchedFiles
-from vanerelay.membership.list_acceptance import Delta, Kind
-from vanerelay.membership.list_codec import EngineList, Unusable
-from vanerelay.membership.merged_view import Shown, View
-from vanerelay.membership.store import Loaded, Store, open_store
+from vanerelay.membership.list_acceptance import ListDelta
+from vanerelay.membership.list_archive import ListArchive
+from vanerelay.membership.merged_view import MergedView
+from vanerelay.membership.store import Store, open_store
+
+MIN_STEP_DELAY = MILLISECOND
+"""Between two steps of the view that are due by time."""
 
 log = structlog.get_logger()
 
 
-class Membership:
-    """The list of engines out of all its sources. `listed` is handed each portion as a change."""
+class MembershipService:
+    """Merges the control feed and the watched list files."""
 
     def __init__(
         self,
         reactor: Any,
         clock: Clock,
-        parts: MembershipConfig,
-        locations: Mapping[str, int],
-        kinds: Mapping[str, int],
-        listed: Callable[[EngineListChange], None],
-        large: Callable[[], None],
+        config: MembershipConfig,
+        zones: Mapping[str, int],
+        machine_kinds: Mapping[str, int],
+        on_change: Callable[[EngineListChange], None],
+        on_large_change: Callable[[], None],
     ) -> None:
-        """`large`: called once a change that took more than one portion is in force."""
-        self._reactor, self._clock, self._parts, self._listed = reactor, clock, parts, listed
-        self._large, self._in_a_row = large, 0  # portions since the view stood still
-        self._locations, self._kinds = locations, kinds
-        self._names = list(locations), list(kinds)
-        standings = [parts.feed, *(one.standing for one in parts.watched)]
-        self.view = View(clock.now(), standings, parts.flapping)
+        """`on_change` is called with each change of the merged list.
+
+        `on_large_change` is called once a change that took more than one step is in force.
+        """
+        self._reactor, self._clock, self._config = reactor, clock, config
+        self._zones, self._machine_kinds = zones, machine_kinds
+        self._on_change, self._on_large_change = on_change, on_large_change
+        self._view = MergedView(clock.now(), config.sources, config.flap_damping)
         self._feed: dict[str, ListedEngine] = {}
-        self._portions, self._going, self._timer = 0, False, None  # type: int, bool, Any
-        self._store: Store | None = None
-        self._storing = DeferredLock()
-        self._store_says = ""
-        self._desk: Any = None
-        self.more: dict[str, Callable[[Request], Answer]] = {}  # what other subsystems answer, by op
-        self.files = {one.standing.name: self._watched(one) for one in parts.watched}
-        if parts.kept is not None:
-            self._restore(open_store(parts.kept.folder, parts.kept.keep))
-
-    def _watched(self, one: Any) -> WatchedFiles:
-        name = one.standing.name
+        self._published = 0  # changes so far
+        self._steps_in_a_row = 0  # of one change
+        self._stepping = False
+        self._timer: Any = None
+        self._control_port: Any = None
+        self._files = {files.source.name: self._watch(files) for files in config.files}
+        store = self._open_store(config.store)
+        self._archive = ListArchive(store, zones, machine_kinds)
+        self._control_requests = ControlRequests(
+            clock, self._view, self._files, self._archive, list(zones), list(machine_kinds)
+        )
+        if store is not None:
+            self._restore(store)
+
+    def _watch(self, config: WatchedFilesConfig) -> WatchedFiles:
+        name = config.source.name
         return WatchedFiles(
             self._reactor,
             self._clock,
-            name,
-            one.paths,
-            one.checks,
-            one.stillness,
-            self._locations,
-            self._kinds,
-            lambda delta, why: self._told(name, delta, why),
-            lambda: self._alive(name),
+            config,
+            self._zones,
+            self._machine_kinds,
+            on_change=partial(self._files_changed, name),
+            on_alive=partial(self._source_alive, name),
+        )
+
+    # What was in force before a restart.
+
+    def _open_store(self, config: StoreConfig | None) -> Store | None:
+        if config is None:
+            return None
+        try:
+            return open_store(config.folder, config.max_lists)
+        except StoreError as error:
+            log.warning("store not available, lists are not saved", why=str(error))
+            return None
+
+    def _restore(self, store: Store) -> None:
+        """Puts the last good lists in force before anything is served, until the files are read."""
+        try:
+            pins = store.pins()
+        except StoreError:
+            pins = {}
+        for name, files in self._files.items():
+            self._restore_last(store, name, files)
+            if name in pins:
+                self._restore_pinned(store, name, files, pins[name])
+
+    def _restore_last(self, store: Store, name: str, files: WatchedFiles) -> None:
+        try:
+            stored = store.load(name, self._zones, self._machine_kinds)
+        except StoreError as error:
+            log.warning("stored list not used", why=str(error))
+            return
+        if stored is None:
+            return
+        self._report(name, files.acceptance.restore(stored.files, stored.record.revision))
+        age_s = max(0, int(time.time()) - stored.record.accepted_at_ms // 1000)
+        log.info(
+            "stored list in force until the files are read",
+            source=name,
+            revision=stored.record.revision,
+            age_s=age_s,
         )
 
-    def _restore(self, opened: Store | Unusable) -> None:
-        """What was last good, before anything is served: it stands until the files tell."""
-        pins: dict[str, int] | Unusable = {}
-        if isinstance(opened, Unusable):
-            log.warning("lists are not kept", why=opened.why)
+    def _restore_pinned(self, store: Store, name: str, files: WatchedFiles, revision: int) -> None:
+        try:
+            stored = store.load(name, self._zones, self._machine_kinds, revision)
+        except StoreError:
+            stored = None
+        if stored is None:
+            log.warning("pinned list not used", source=name, revision=revision)
             return
-        self._store, pins = opened, opened.pins()
-        for name, files in self.files.items():
-            found = opened.load(name, self._locations, self._kinds)
-            if isinstance(found, Unusable):
-                log.warning("kept list not used", why=found.why)
-            if isinstance(found, Loaded):
-                delta = files.lists.restore(found.files, found.record.revision)
-                self._tell(name, delta)
-                age = max(0, int(time.time()) - found.record.at_ms // 1000)
-                log.info(
-                    "kept list in force until the files tell",
-                    source=name,
-                    revision=found.record.revision,
-                    age_s=age,
-                )
-            pinned = pins.get(name) if isinstance(pins, dict) else None
-            if pinned is not None:
-                held = opened.load(name, self._locations, self._kinds, pinned)
-                if isinstance(held, Loaded):
-                    self._tell(name, files.lists.pin(pinned, held.files))
-                else:
-                    log.warning("pinned list not used", source=name, revision=pinned)
-
-    def start(self) -> str | None:
-        """Begins to watch and to listen; why the console cannot, if so."""
-        wrong = None
-        if self._parts.console:
-            listening = control_socket.listen(self._reactor, self._parts.console, self._answers)
-            if isinstance(listening, str):
-                wrong = listening
-            else:
-                self._desk = listening
-        sys.setswitchinterval(TURNS_S)
-        for files in self.files.values():
+        self._report(name, files.acceptance.pin(revision, stored.files))
+
+    # Start and end.
+
+    def start(self) -> None:
+        """Begins to watch files and to answer operators; raises ControlSocketError."""
+        if self._config.control_socket:
+            self._control_port = control_socket.listen(
+                self._reactor, self._config.control_socket, self._control_requests.handle
+            )
+        sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
+        for files in self._files.values():
             files.start()
-        self._go()
-        return wrong
+        self._publish()
 
     @property
     def busy(self) -> bool:
         """Whether a change is on its way into force."""
-        return self._going
+        return self._stepping
+
+    def set_control_handler(self, operation: Operation, handler: RequestHandler) -> None:
+        """Has another subsystem answer an operation of the control socket."""
+        self._control_requests.set_handler(operation, handler)
 
     def stop(self) -> None:
-        for files in self.files.values():
+        """Ends everything."""
+        for files in self._files.values():
             files.stop()
-        if self._desk is not None:
-            self._desk.stopListening()
+        if self._control_port is not None:
+            self._control_port.stopListening()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        if self._store is not None:
-            self._store.close()
+        self._archive.close()
 
-    # What sources bring.
+    # What sources report.
 
-    def fed(self, change: EngineListChange) -> None:
+    def feed_changed(self, change: EngineListChange) -> None:
         """A change out of the control feed."""
-        feed, names = dict() if change.complete else self._feed.copy(), dict[str, None]()
-        withdrawn = set(self._feed) - {m.name for m in change.engines} if change.complete else set()
-        for member in change.engines:
-            known = self._feed.get(member.name)
-            if member.state is EngineState.GONE:
-                feed.pop(member.name, None)
-                withdrawn.add(member.name)
-            else:
-                feed[member.name] = member
-                withdrawn.discard(member.name)
-                if known != member:
-                    names[member.name] = None
+        feed = {} if change.complete else self._feed.copy()
+        removed = set(self._feed) - {engine.name for engine in change.engines} if change.complete else set()
+        changed = dict[str, None]()
+        for engine in change.engines:
+            if engine.state is EngineState.GONE:
+                feed.pop(engine.name, None)
+                removed.add(engine.name)
+                continue
+            feed[engine.name] = engine
+            removed.discard(engine.name)
+            if self._feed.get(engine.name) != engine:
+                changed[engine.name] = None
         self._feed = feed
-        self.view.tell(
-            "feed", self._clock.now(), change.number, feed, [n for n in names if n in feed], withdrawn
+        still_listed = [name for name in changed if name in feed]
+        self._view.report(FEED_SOURCE, self._clock.now(), change.number, feed, still_listed, removed)
+        self._publish()
+
+    def feed_alive(self) -> None:
+        """The control feed has answered, with a change or without."""
+        self._source_alive(FEED_SOURCE)
+
+    def _source_alive(self, name: str) -> None:
+        self._view.source_alive(name, self._clock.now())
+        self._publish()
+
+    def _files_changed(self, name: str, delta: ListDelta, reason: str) -> None:
+        self._report(name, delta)
+        acceptance = self._files[name].acceptance
+        if acceptance.pinned_revision is None:
+            self._archive.save(name, acceptance.revision, reason, dict(acceptance.files))
+        self._publish()
+
+    def _report(self, name: str, delta: ListDelta) -> None:
+        acceptance = self._files[name].acceptance
+        pinned = acceptance.pinned_revision
+        revision = acceptance.revision if pinned is None else pinned
+        self._view.report(
+            name, self._clock.now(), revision, acceptance.in_force, delta.changed, delta.removed
         )
-        self._go()
-
-    def feed_answers(self) -> None:
-        """The feed has answered, with news or without."""
-        self._alive("feed")
-
-    def _alive(self, name: str) -> None:
-        self.view.heard(name, self._clock.now())
-        self._go()
-
-    def _told(self, name: str, delta: Delta, why: str) -> None:
-        self._tell(name, delta)
-        lists = self.files[name].lists
-        if lists.pinned is None:
-            self._save(name, lists.revision, why, dict(lists.files))
-        self._go()
-
-    def _tell(self, name: str, delta: Delta) -> None:
-        lists = self.files[name].lists
-        revision = lists.revision if lists.pinned is None else lists.pinned
-        self.view.tell(name, self._clock.now(), revision, lists.in_force, delta.changed, delta.withdrawn)
 
-    # What goes out.
+    # What is published.
 
-    def _go(self) -> None:
-        if not self._going:
+    def _publish(self) -> None:
+        if not self._stepping:
             self._step()
 
     def _step(self) -> None:
-        """One portion; the next after the loop has looked at its sockets."""
+        """Publishes one step of the view; the next comes after the loop has looked at its sockets."""
         now = self._clock.now()
-        self.view.look(now)
-        portion, shown = self.view.step(now), self.view.open(now)
-        self._going = shown and self.view.pending()
+        self._view.advance(now)
+        entries, ready = self._view.step(now), self._view.is_ready(now)
+        self._stepping = ready and self._view.has_pending()
+        self._schedule_step(now)  # before anything that may fail
+        if entries or ready and not self._published:
+            self._published += 1
+            engines = [entry.engine for entry in entries]
+            self._on_change(EngineListChange(self._published, False, engines))
+        self._steps_in_a_row += 1 if entries else 0
+        if not self._stepping:
+            if self._steps_in_a_row > 1:
+                self._on_large_change()
+            self._steps_in_a_row = 0
+
+    def _schedule_step(self, now: int) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        due = self.view.due()
-        if self._going:  # before anything that may fail
+        deadline = self._view.next_deadline()
+        if self._stepping:
             self._timer = self._reactor.callLater(0, self._step)
-        elif due is not None:
-            self._timer = self._reactor.callLater(max(10, due - now) / SECOND, self._step)
-        if portion or shown and not self._portions:
-            self._portions += 1
-            self._listed(EngineListChange(self._portions, False, [one.member for one in portion]))
-        self._in_a_row += 1 if portion else 0
-        if not self._going:
-            if self._in_a_row > 1:
-                self._large()
-            self._in_a_row = 0
-
-    # What is kept.
-
-    def _save(self, name: str, revision: int, why: str, files: dict[str, EngineList]) -> None:
-        store = self._store
-        if store is None:
-            return
-        at_ms = int(time.time() * 1000)
-        going: Deferred[Unusable | None] = self._storing.run(
-            lambda: deferToThread(store.save, name, revision, at_ms, why, files, *self._names)
-        )
-        going.addCallback(self._kept)
-        going.addErrback(lambda fault: log.error("keeping a list failed", fault=fault.getTraceback()))
-
-    def _kept(self, wrong: Unusable | None) -> None:
-        """Once per state."""
-        why = "" if wrong is None else wrong.why
-        if why != self._store_says:
-            log.warning("list not kept, it is in force all the same", why=why) if why else log.info(
-                "kept again"
-            )
-        self._store_says = why
-
-    # What operators ask.
-
-    def _answers(self, asked: Request) -> Any:
-        if asked.op == "show":
-            return self._show(asked)
-        if asked.op in self.more:
-            return self.more[asked.op](asked)
-        if asked.op == "proxies":
-            return Wrong("no control service, expected an xds block in the options")
-        if asked.op == "changes":
-            latest = list(self.view.history)[-asked.most :]
-            return Answer(self._row(shown) for shown in latest)
-        name = asked.source or next(iter(self.files), "")
-        if asked.op == "history":
-            return self._history(asked)
-        if name not in self.files or not asked.source and len(self.files) > 1:
-            return Wrong(f"source {asked.source!r}, expected one of {', '.join(self.files) or 'none'}")
-        return getattr(self, f"_{asked.op}")(name, asked)
-
-    def _row(self, shown: Shown) -> dict[str, Any]:
-        reason = shown.reason
-        return {
-            **list_codec.told(shown.member, *self._names),
-            "source": reason.source,
-            "revision": reason.revision,
-            "why": reason.why,
-            "at_ms": shown.at // 10,
-        }
-
-    def _show(self, asked: Request) -> Answer:
-        if asked.name:
-            member, reason, words = self.view.explain(self._clock.now(), asked.name)
-            shown = None if member is None else list_codec.told(member, *self._names)
-            return Answer(
-                iter(
-                    [
-                        {
-                            "id": asked.name,
-                            "engine": shown,
-                            "source": reason.source,
-                            "revision": reason.revision,
-                            "why": reason.why,
-                            "says": words,
-                        }
-                    ]
-                )
-            )
-        rows = (self._row(shown) for shown in list(self.view.shown.values())[: asked.most])
-        return Answer(rows, engines=len(self.view.shown), sources=self._sources(), store=self._store_says)
-
-    def _sources(self) -> list[dict[str, Any]]:
-        now, told = self._clock.now(), []
-        for source in self.view.sources.values():
-            files = self.files.get(source.standing.name)
-            row: dict[str, Any] = {
-                "source": source.standing.name,
-                "precedence": source.standing.precedence,
-                "revision": source.revision,
-                "engines": len(source.members),
-                "taken_off": len(source.gone),
-                "told": source.told,
-                "stale": source.stale,
-                "heard_s": round((now - source.heard_at) / SECOND, 1),
-            }
-            if files is not None:
-                held = files.lists.held()
-                row |= {
-                    "trouble": files.lists.trouble,
-                    "pinned": files.lists.pinned,
-                    "held_s": None if held is None else round((now - held[0]) / SECOND, 1),
-                    "held_lost": None if held is None else held[1],
-                    "counts": {kind.value: count for kind, count in files.counts.items()},
-                }
-            told.append(row)
-        return told
-
-    @inlineCallbacks
-    def _history(self, asked: Request) -> Generator[Deferred[Any], Any, Answer | Wrong]:
-        if self._store is None:
-            return Wrong("no lists are kept, expected a store block in the options")
-        found = yield self._storing.run(deferToThread, self._store.history, asked.most)
-        if isinstance(found, Unusable):
-            return Wrong(found.why)
-        return Answer(_history_rows(found))
-
-    @inlineCallbacks
-    def _list(self, name: str, asked: Request) -> Generator[Deferred[Any], Any, Answer | Wrong]:
-        """An accepted list as it was told: the one in force, or an earlier one."""
-        if asked.revision is None:
-            files = dict(self.files[name].lists.files)
-        else:
-            found = yield self._load(name, asked.revision)
-            if isinstance(found, Wrong):
-                return found
-            files = found.files
-        members = [member for one in files.values() for member in one.members.values()]
-        revision = self.files[name].lists.revision if asked.revision is None else asked.revision
-        return Answer((list_codec.told(member, *self._names) for member in members), revision=revision)
-
-    @inlineCallbacks
-    def _load(self, name: str, revision: int) -> Generator[Deferred[Any], Any, Loaded | Wrong]:
-        if self._store is None:
-            return Wrong("no lists are kept, expected a store block in the options")
-        found = yield self._storing.run(
-            deferToThread, self._store.load, name, self._locations, self._kinds, revision
-        )
-        if isinstance(found, Unusable):
-            return Wrong(found.why)
-        return Wrong(f"revision {revision} of {name} is not kept") if found is None else found
-
-    @inlineCallbacks
-    def _pin(self, name: str, asked: Request) -> Generator[Deferred[Any], Any, Answer | Wrong]:
-        if asked.revision is None:
-            return Wrong("no revision, expected one out of the history")
-        found = yield self._load(name, asked.revision)
-        if isinstance(found, Wrong):
-            return found
-        yield self.files[name].pin(asked.revision, found.files)
-        answer: Answer | Wrong = yield self._remember(name, asked.revision)
-        return answer
-
-    @inlineCallbacks
-    def _unpin(self, name: str, asked: Request) -> Generator[Deferred[Any], Any, Answer | Wrong]:
-        yield self.files[name].unpin()
-        answer: Answer | Wrong = yield self._remember(name, None)
-        return answer
-
-    @inlineCallbacks
-    def _remember(self, name: str, revision: int | None) -> Generator[Deferred[Any], Any, Answer | Wrong]:
-        assert self._store is not None or revision is None
-        wrong = None
-        if self._store is not None:
-            wrong = yield self._storing.run(deferToThread, self._store.pin, name, revision)
-        if wrong is not None:
-            return Wrong(f"in force, but not remembered over a restart: {wrong.why}")
-        return Answer(source=name, pinned=revision)
-
-    @inlineCallbacks
-    def _confirm(self, name: str, asked: Request) -> Generator[Deferred[Any], Any, Answer | Wrong]:
-        verdict = yield self.files[name].confirm()
-        if verdict.kind is not Kind.ACCEPTED:
-            return Wrong(f"{name}: {verdict.why}")
-        return Answer(source=name, revision=verdict.revision)
-
-
-def _history_rows(found: list[Any]) -> Iterator[dict[str, Any]]:
-    for one in found:
-        yield {
-            "number": one.number,
-            "source": one.source,
-            "revision": one.revision,
-            "at_ms": one.at_ms,
-            "why": one.why,
-            "engines": one.engines,
-        }
+        elif deadline is not None:
+            delay = max(MIN_STEP_DELAY, deadline - now)
+            self._timer = self._reactor.callLater(delay / SECOND, self._step)
--- a/vanerelay/xds/extension.py
+++ b/vanerelay/xds/extension.py
@@ -9,6 +9,7 @@
 from vanerelay import settings
 from vanerelay.engine_list import EngineListChange
 from vanerelay.extension import Extension, ExtensionHost, StartupError
+from vanerelay.membership.control_protocol import Operation
 from vanerelay.membership.extension import MembershipExtension
 from vanerelay.xds.assignment import Terms
 from vanerelay.xds.config import XdsConfig
@@ -32,7 +33,7 @@
         )
         self._service = ControlService(host.reactor, host.clock, self._parts, host, told, list(host.zones))
         if self._members is not None:
-            self._members.membership.more["proxies"] = self._service.answer
+            self._members.membership.set_control_handler(Operation.PROXIES, self._service.answer)
         try:
             self._service.start()
         except (CannotListenError, OSError) as fault:
--- a/vanerelay/xds/service.py
+++ b/vanerelay/xds/service.py
@@ -25,7 +25,7 @@
 from vanerelay.grpc_wire.status import Code, Status
 from vanerelay.interface import MILLISECOND, SECOND, EngineState
 from vanerelay.membership.control_protocol import Request
-from vanerelay.membership.control_socket import Answer
+from vanerelay.membership.control_socket import Reply
 from vanerelay.net.rate_limited_log import RateLimitedLog
 from vanerelay.xds import resources
 from vanerelay.xds.assignment import Plan, Steady, Terms, plan
@@ -438,11 +438,11 @@
 
     # What operators ask.
 
-    def answer(self, asked: Request) -> Answer:
+    def answer(self, asked: Request) -> Reply:
         """A row a stream."""
         now = self.now()
-        return Answer(
-            (self._row(now, stream) for stream in list(self.streams)[: asked.most]),
+        return Reply(
+            (self._row(now, stream) for stream in list(self.streams)[: asked.limit]),
             proxies=self._census.count(now),
             streams=len(self.streams),
         )
