--- a/bench/membership.py
+++ b/bench/membership.py
@@ -31,21 +31,21 @@
 # were.
 CHILD = """
 import json, sys, time
-from vanerelay import clock
-from vanerelay.net import gateway_service as service
+from vanerelay.net.gateway_service import GatewayService
+from vanerelay.net.reactor import Reactor
 
-def listed(self, change, listed=service.Service.listed):
+def listed(self, change, listed=GatewayService.listed):
     began = time.monotonic()
     listed(self, change)
     took = time.monotonic() - began
-    print(json.dumps({"at": time.time(), "members": len(change.members), "took": took}), flush=True)
+    print(json.dumps({"at": time.time(), "members": len(change.engines), "took": took}), flush=True)
 
-def latest(self, latest=clock.Reactor.latest):
+def latest(self, latest=Reactor.latest):
     late = latest(self)
     print(json.dumps({"late": late}), flush=True)
     return late
 
-service.Service.listed, clock.Reactor.latest = listed, latest
+GatewayService.listed, Reactor.latest = listed, latest
 from vanerelay.cli import main
 main()
 """
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -26,23 +26,23 @@
     "dies after 20 s": SERVES
     + "    end = threading.Timer(20, os._exit, [9]); end.daemon = True; end.start()",
     "dies under load": SERVES
-    + """    from vanerelay.net.gateway_service import Service
-    take, came = Service.request, [0]
+    + """    from vanerelay.net.gateway_service import GatewayService
+    take, came = GatewayService.request, [0]
     def request(self, *told):
         came[0] += 1
         if came[0] > 150:
             os._exit(9)
         return take(self, *told)
-    Service.request = request""",
+    GatewayService.request = request""",
     "5% of orders errored, the rest quicker": SERVES
     + """    import random
-    from vanerelay.net import frames
-    from vanerelay.net.gateway_service import Service
-    answer = Service._answer
-    def worse(self, held, code, fields, body):
-        bad = held.group == b'order' and random.random() < 0.05
-        answer(self, held, frames.FAILED if bad else code, fields, b'' if bad else body)
-    Service._answer = worse""",
+    from vanerelay.interface import AnswerStatus
+    from vanerelay.net.query_answers import QueryAnswers
+    answer = QueryAnswers.answer
+    def worse(self, query, status, fields=None, body=b''):
+        bad = query.service_class == b'order' and random.random() < 0.05
+        answer(self, query, AnswerStatus.FAILED if bad else status, fields, b'' if bad else body)
+    QueryAnswers.answer = worse""",
     "leaks 4 MB a second": SERVES
     + """    kept = []
     def leak():
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -369,7 +369,7 @@
         settings = ConnectionSettings(32, cancel, True, connect_s, 30.0, 0.6)
         self.engines = EnginePool(self.reactor, Pool(), settings, 100, self.clock.when_fresh)
         self.service = GatewayService(self.reactor, self.clock, profile, self.engines, None, room)
-        self.service.open_gateway(7, profile)
+        self.service.apply_settings(7, profile)
         self.spare = False
         self.clients = ClientListener(self.reactor, self.clock, self.service, Pool(), 3, lambda: self.spare)
         self.client, self.wire = self.join()
@@ -411,7 +411,7 @@
     served = Served()
     served.ask(1)
     served.advance(4.99)
-    assert served.answers() == [(1, frames.REJECTED)] and served.service.open == 0
+    assert served.answers() == [(1, frames.REJECTED)] and served.service.queries.open_count == 0
 
 
 def test_the_time_limit_counts_from_the_last_look_at_the_sockets():
@@ -432,7 +432,7 @@
     served.ask(2)
     assert served.answers()[0] == (1, frames.FAILED)
     served.advance(0.1)
-    assert served.service.open == 1  # the second came after that look
+    assert served.service.queries.open_count == 1  # the second came after that look
 
 
 def test_what_a_new_client_sent_before_it_was_accepted_had_come_as_early():
@@ -446,7 +446,7 @@
     assert served.answers() == [(1, frames.REJECTED)]
     served.look()
     served.ask(2)
-    assert served.service.open == 1
+    assert served.service.queries.open_count == 1
 
 
 def test_an_overdue_batch_is_answered_within_a_pass_that_lasts():
@@ -472,7 +472,7 @@
     for stream in range(1, 1001):
         served.ask(stream)
         served.client.dataReceived(frames.frame(frames.LEAVE, stream))
-    assert served.service.open == 0 and len(served.service.deadlines) <= 103
+    assert served.service.queries.open_count == 0 and len(served.service.deadlines) <= 103
 
 
 def test_batches_leave_no_cycles_to_collect():
@@ -488,14 +488,14 @@
     for stream in range(2, 302):
         served.ask(stream)
         protocol.dataReceived(command(b"%016x" % stream, b"OK", b"total=1,elapsed=5,rss=9", b"\t\t\n"))
-    assert len(served.answers()) == 301 and len(served.service._holding) == 0
+    assert len(served.answers()) == 301 and served.service.queries.held_count == 0
     assert gc.collect() < 300
 
 
 @pytest.mark.parametrize("broken", ["take", "beat", "ended"])
 def test_a_fault_in_the_module_is_answered_and_the_rest_goes_on(broken, monkeypatch):
     served = Served()
-    gateway = served.service._gateway
+    gateway = served.service.gateway
 
     def fault(*_):
         raise RuntimeError("a fault")
@@ -519,7 +519,7 @@
         protocol.makeConnection(wire)
         protocol.dataReceived(command(b"%016x" % 1, b"ERR", b"-", b""))
     assert served.answers() in ([(1, frames.FAILED)], [(1, frames.REJECTED)])
-    assert served.service.open == 0 and len(served.service._holding) == 0
+    assert served.service.queries.open_count == 0 and served.service.queries.held_count == 0
     monkeypatch.undo()
     served.ask(2)
     served.advance(5.1)
@@ -533,7 +533,7 @@
     assert served.answers() == [(2, frames.REJECTED)]
     served.client.dataReceived(frames.frame(frames.LEAVE, 1))
     served.ask(3, b"x" * 600)
-    assert served.answers() == [(2, frames.REJECTED)] and served.service.open == 1
+    assert served.answers() == [(2, frames.REJECTED)] and served.service.queries.open_count == 1
 
 
 def test_a_dispatch_past_the_most_allowed_or_of_a_batch_that_is_over_is_not_sent():
@@ -558,16 +558,16 @@
     served.client.pauseProducing()  # the transport's word that its buffer is over its size
     served.ask(1)
     served.client.dataReceived(frames.frame(frames.LEAVE, 1))
-    assert served.service.open == 0 and served.answers() == []
+    assert served.service.queries.open_count == 0 and served.answers() == []
     for _ in range(6):
         served.client.answer(0, frames.COMPLETED, {}, b"x" * 48_000)
     served.ask(2)
-    assert served.answers()[-1] == (2, frames.REJECTED) and served.service.open == 0
+    assert served.answers()[-1] == (2, frames.REJECTED) and served.service.queries.open_count == 0
     served.reactor.advance(silent_for)
     assert served.wire.aborted == given_up
     served.client.resumeProducing()
     served.ask(3)
-    assert served.service.open == 1
+    assert served.service.queries.open_count == 1
 
 
 def test_the_longest_idle_client_goes_when_the_share_is_full():
@@ -591,7 +591,7 @@
     served.client = next(iter(served.clients._all))
     served.ask(1)
     _, late = served.join()
-    assert late.disconnecting != spare and served.service.open == 3
+    assert late.disconnecting != spare and served.service.queries.open_count == 3
 
 
 @pytest.mark.parametrize(
@@ -669,7 +669,7 @@
     assert served.wire.disconnecting and not first.disconnecting and not second.disconnecting
     served.client = fresh
     served.ask(1)
-    assert served.service.open == 1
+    assert served.service.queries.open_count == 1
 
 
 def test_engines_that_are_gone_leave_nothing_behind():
@@ -693,9 +693,9 @@
         change(number, number % 7 == 0, **{f"e{number}": up})
         change(number, False, **{f"e{number - 1}": gone, "e999": gone})
         served.service.sweep()
-    assert served.service._names.all() == {served.service._names.index("e59")}
+    assert served.service.engine_list.names.all() == {served.service.engine_list.names.index("e59")}
     assert len(served.engines._processes) == len(served.engines._lives) == len(served.engines._addresses) == 1
-    assert len(served.service._gateway._engines) == 1 and not served.service._gone
+    assert len(served.service.gateway._engines) == 1 and not served.service.engine_list.gone
 
 
 def test_a_warning_that_anybody_can_cause_is_sparing(capsys):
@@ -740,11 +740,11 @@
     served.client.last()
     served.ask(2)
     served.client.end_when_answered()
-    assert served.service.open == 2 and not served.wire.disconnecting
+    assert served.service.queries.open_count == 2 and not served.wire.disconnecting
     served.ask(3)
-    assert served.answers()[1:] == [(3, frames.REJECTED)] and served.service.open == 2
+    assert served.answers()[1:] == [(3, frames.REJECTED)] and served.service.queries.open_count == 2
     served.advance(5.1)
-    assert served.wire.disconnecting and served.service.open == 0
+    assert served.wire.disconnecting and served.service.queries.open_count == 0
     assert [stream for stream, _ in served.answers() if stream] == [3, 1, 2]
 
 
@@ -753,7 +753,7 @@
     served = Served()
     served.wire.doRead = lambda: served.ask(1)
     served.client.end_when_answered()
-    assert served.service.open == 1 and not served.wire.disconnecting
+    assert served.service.queries.open_count == 1 and not served.wire.disconnecting
 
 
 class Faulty(Extension):
@@ -796,7 +796,7 @@
     protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
     protocol.makeConnection(wire)
     protocol.dataReceived(command(b"%016x" % 2, b"OK", b"total=1", b"a\tb\tc\n"))
-    assert served.answers()[1:] == [(2, frames.COMPLETED)] and served.service.open == 0
+    assert served.answers()[1:] == [(2, frames.COMPLETED)] and served.service.queries.open_count == 0
     assert not served.service.gateway.out
 
 
@@ -905,5 +905,5 @@
     from vanerelay import settings
     from vanerelay.net import load_reports
 
-    report = settings.load_report(served.service._reported, load_reports.loads(told))
+    report = settings.load_report(served.service.settings.current.report_names, load_reports.parse_load(told))
     assert (report.queued, report.memory_granted, report.running, report.disks_busy) == (3.0, 0.4, 7.0, None)
--- /dev/null
+++ b/vanerelay/net/attempt_results.py
@@ -0,0 +1,114 @@
+"""What engines answer: the results and the progress of attempts, handed to clients and to the decisions."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+import structlog
+
+from vanerelay import attempt_outcome, settings
+from vanerelay.attempt_outcome import AttemptEnd
+from vanerelay.clock import Clock
+from vanerelay.extension import EngineRun, QueryConstraint
+from vanerelay.interface import AnswerStatus, AttemptResult, Outcome
+from vanerelay.invariants import Guard
+from vanerelay.net import load_reports
+from vanerelay.net.deadlines import Deadlines
+from vanerelay.net.decisions import Decisions
+from vanerelay.net.extensions import Extensions, guarded
+from vanerelay.net.held_queries import ClientQuery, OpenQueries
+from vanerelay.net.query_answers import QueryAnswers
+from vanerelay.net.resp_codec import Note
+from vanerelay.net.service_settings import SettingsInForce
+from vanerelay.net.statements import writes
+
+log = structlog.get_logger()
+
+
+class AttemptResults:
+    """Takes in what becomes of attempts."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        settings_in_force: SettingsInForce,
+        queries: OpenQueries,
+        deadlines: Deadlines,
+        guard: Guard,
+        decisions: Decisions,
+        answers: QueryAnswers,
+        extensions: Extensions,
+    ) -> None:
+        self._clock = clock
+        self._settings = settings_in_force
+        self._queries = queries
+        self._deadlines = deadlines
+        self._guard = guard
+        self._decisions = decisions
+        self._answers = answers
+        self._extensions = extensions
+
+    def ended(self, end: AttemptEnd, query: ClientQuery, number: int, sent_at: int, engine: int) -> None:
+        """An attempt has ended: its answer goes to the client, its result to the decisions."""
+        query.out -= 1
+        query.attempts[number] = None
+        query.last_end = f"{end.cause.value}, {end.stage.value}"
+        outcome, fields = self._judge(end, query, engine)
+        work = load_reports.work(end.fields)
+        if query.guard_record is not None:
+            self._guard.attempt_ended(query.guard_record, number, outcome, work)
+        if outcome is Outcome.COMPLETED and not query.ended:
+            if self._extensions.watches_runs:
+                self._report_run(query, engine, work)
+            self._answers.answer(query, AnswerStatus.COMPLETED, fields, end.rows)
+        if query.batch is not None:
+            result = AttemptResult(
+                outcome=outcome,
+                duration=self._clock.now() - sent_at,
+                work=work,
+                peak_memory=load_reports.peak_memory(end.fields),
+                load_report=settings.load_report(
+                    self._settings.current.report_names, load_reports.load_values(end.fields)
+                ),
+            )
+            self._decisions.call(query, query.batch.attempt_ended, number, result, query.ended)
+        self._queries.settle(query)
+        self._deadlines.check(self._queries.open_count)
+
+    def progressed(self, query: ClientQuery, number: int, note: Note) -> None:
+        """An engine notes how far it has come with an attempt."""
+        if query.batch is not None:
+            self._decisions.call(query, query.batch.attempt_progressed, number, note.kind, note.value)
+
+    def _judge(self, end: AttemptEnd, query: ClientQuery, engine: int) -> tuple[Outcome, Mapping[str, str]]:
+        """The outcome of an attempt, as its query's constraint sees it, and what goes with an answer."""
+        outcome = attempt_outcome.outcome(end)
+        constraint = query.constraint
+        if constraint is None or query.ended:
+            return outcome, {}
+        if outcome is not Outcome.COMPLETED:
+            guarded(constraint.attempt_failed, engine, outcome)
+            return outcome, {}
+        fields = self._accepted_fields(constraint, engine, end.fields)
+        return (Outcome.MALFORMED, {}) if fields is None else (outcome, fields)
+
+    def _accepted_fields(
+        self, constraint: QueryConstraint, engine: int, fields: dict[str, str]
+    ) -> dict[str, str] | None:
+        """What goes with an answer; None where the constraint of its query does not accept it."""
+        try:
+            return constraint.answer_fields() if constraint.accepts_answer(engine, fields) else None
+        except Exception:
+            log.exception("who leads a batch met a fault: its answer is not handed on")
+            return None
+
+    def _report_run(self, query: ClientQuery, engine: int, work: int) -> None:
+        tables = query.arrival.table_group if query.arrival is not None else 0
+        run = EngineRun(
+            table_group=tables,
+            writes=writes(query.body),
+            engine=engine,
+            work=work,
+            internal=query.is_internal,
+        )
+        self._extensions.ran(run)
--- /dev/null
+++ b/vanerelay/net/attempt_sender.py
@@ -0,0 +1,134 @@
+"""Attempts on their way to engines: when each may begin, and the checks that every one passes before."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import structlog
+from twisted.python.failure import Failure
+
+from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
+from vanerelay.clock import FRESH, Clock
+from vanerelay.interface import SECOND
+from vanerelay.invariants import Guard
+from vanerelay.net.attempt_results import AttemptResults
+from vanerelay.net.decisions import Decisions
+from vanerelay.net.engine_connection import Attempt
+from vanerelay.net.engine_list_updates import EngineListUpdates
+from vanerelay.net.engine_pool import EnginePool
+from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.extensions import guarded
+from vanerelay.net.held_queries import ClientQuery
+from vanerelay.net.resp_codec import QueryCommand
+from vanerelay.net.service_settings import SettingsInForce
+
+TICKS_PER_MS = SECOND // 1000
+NOT_SENT = AttemptEnd(EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED)
+
+log = structlog.get_logger()
+
+
+class AttemptSender:
+    """Sends the attempts that the decisions order."""
+
+    def __init__(
+        self,
+        reactor: Any,
+        clock: Clock,
+        settings: SettingsInForce,
+        guard: Guard,
+        decisions: Decisions,
+        results: AttemptResults,
+        engines: EnginePool,
+        engine_list: EngineListUpdates,
+        events: EventLog,
+    ) -> None:
+        self._reactor = reactor
+        self._clock = clock
+        self._settings = settings
+        self._guard = guard
+        self._decisions = decisions
+        self._results = results
+        self._engines = engines
+        self._engine_list = engine_list
+        self._events = events
+
+    def send(self, query: ClientQuery, engine: int, timeout: int) -> None:
+        """Sends a query to an engine; a timeout of 0 means until its deadline."""
+        now = self._decisions.now
+        time_left = query.deadline - now
+        wait = time_left if timeout == 0 else min(timeout, time_left)
+        number = len(query.attempts)
+        attempt = self._prepare(query, engine, wait)
+        if number:
+            self._events.note(
+                Kind.RETRY,
+                query.last_end or "none ended",
+                id=query.name,
+                attempt=number,
+                engine=self._engine_list.name_of(engine),
+            )
+        if query.ended or wait <= 0 or number >= self._settings.current.max_attempts:
+            self._reactor.callLater(0, attempt.end, NOT_SENT)
+        elif self._clock.fresh and not self._may_have_left(query):
+            self._begin(query, attempt, engine, wait)
+        else:
+            until = now + wait
+            self._clock.after_look(lambda: self._begin_late(query, number, attempt, engine, until))
+
+    def _prepare(self, query: ClientQuery, engine: int, wait: int) -> Attempt:
+        """The next attempt of a query, which counts as out from now on."""
+        number = len(query.attempts)
+        command = QueryCommand(
+            service_class=query.service_class,
+            patience_ms=max(1, wait // TICKS_PER_MS),
+            statement=query.body,
+            grant_mb=query.memory_grant,
+            priority=query.priority,
+            idempotency_key=query.idempotency_key,
+        )
+        attempt = Attempt(query.name.encode(), command, query.used_connections)
+        query.attempts.append(attempt)
+        query.out += 1
+        attempt.noted = lambda note: self._results.progressed(query, number, note)
+        attempt.done.addCallback(self._results.ended, query, number, self._decisions.now, engine)
+        attempt.done.addErrback(_log_failure)
+        attempt.may_begin = lambda: self._may_begin(query, number, engine)
+        return attempt
+
+    def _may_have_left(self, query: ClientQuery) -> bool:
+        """Whether the end of its client may lie unread behind it.
+
+        So it is where the query was read by this very look, long after it may have come: what came behind it
+        is read by the end of the look.
+        """
+        just_read = query.read_in_pass == self._clock.passes
+        return just_read and self._decisions.now - query.received_after > FRESH
+
+    def _begin(self, query: ClientQuery, attempt: Attempt, engine: int, wait: int) -> None:
+        if query.constraint is not None:
+            guarded(query.constraint.attempt_sent, engine)
+        self._engines.send(engine, attempt, wait / SECOND)
+
+    def _begin_late(self, query: ClientQuery, number: int, attempt: Attempt, engine: int, until: int) -> None:
+        """Begins an attempt that was planned while it was not known whether its client is still there."""
+        time_left = until - self._clock.now()
+        if time_left > 0 and self._decisions.may_begin(query, number):
+            self._begin(query, attempt, engine, time_left)
+        else:
+            attempt.end(NOT_SENT)
+
+    def _may_begin(self, query: ClientQuery, number: int, engine: int) -> bool:
+        """The one place that every attempt passes before it is written."""
+        if query.guard_record is None or not self._decisions.may_begin(query, number):
+            return False
+        broken = self._guard.begin(self._decisions.now, query.guard_record, number, engine)
+        if broken is not None:
+            self._events.note(
+                Kind.BROKEN, broken.value, id=query.name, engine=self._engine_list.name_of(engine)
+            )
+        return broken is None
+
+
+def _log_failure(failure: Failure) -> None:
+    log.error("an attempt's end met a fault", fault=failure.getTraceback())
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -17,6 +17,7 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from vanerelay.clock import Clock
+from vanerelay.interface import AnswerStatus
 from vanerelay.net import frames
 from vanerelay.net.buffers import Pool
 from vanerelay.net.events import EventLog, Kind
@@ -36,7 +37,7 @@
 log = structlog.get_logger()
 
 
-class Taken(Enum):
+class RequestResult(Enum):
     """What became of a request that is not open now."""
 
     ANSWERED = "answered"
@@ -52,7 +53,7 @@
 class Served(Interface):
     """What the driver asks of the service."""
 
-    def request(self, client: ClientConnection, frame: frames.Frame, since: int) -> Asked | Taken: ...
+    def request(self, client: ClientConnection, frame: frames.Frame, since: int) -> Asked | RequestResult: ...
 
     def ready(self) -> bool: ...
 
@@ -123,12 +124,12 @@
             except Exception:
                 log.exception("a client's frame met a fault")
                 if frame.kind == frames.REQUEST:
-                    self.answer(frame.stream, frames.FAILED, {}, b"")
+                    self.answer(frame.stream, AnswerStatus.FAILED, {}, b"")
 
     def _frame(self, frame: frames.Frame, since: int) -> None:
         self._clients.used(self)
         if frame.kind == frames.READY:
-            code = frames.COMPLETED if self._clients.service.ready() else frames.REJECTED
+            code = AnswerStatus.COMPLETED if self._clients.service.ready() else AnswerStatus.REJECTED
             self._write(frames.answer(frames.READINESS, frame.stream, code, {}))
         elif frame.kind == frames.LEAVE:
             asked = self.open.pop(frame.stream, None)
@@ -136,15 +137,15 @@
                 asked.left()
             self._rest()
         elif self._closing or self._clogged and self._unsent > CLOGGED_BYTES:
-            self._write(frames.answer(frames.ANSWER, frame.stream, frames.REJECTED, {}))
+            self._write(frames.answer(frames.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
         elif len(self.open) >= frames.OPEN_MOST:
-            self._write(frames.answer(frames.ANSWER, frame.stream, frames.REJECTED, {}))
+            self._write(frames.answer(frames.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
             self.refuse("more requests open than there may be")
         else:
             taken = self._clients.service.request(self, frame, since)
-            if not isinstance(taken, Taken):
+            if not isinstance(taken, RequestResult):
                 self.open[frame.stream] = taken
-            self._unusable = self._unusable + 1 if taken is Taken.UNUSABLE else 0
+            self._unusable = self._unusable + 1 if taken is RequestResult.UNUSABLE else 0
             if self._unusable >= frames.OPEN_MOST:
                 self.refuse("one request after another that nobody can use")
 
@@ -156,14 +157,14 @@
         self._deaf = True
         self._clients.refused.warn(why=why)
         self._fail_open()
-        self._write(frames.answer(frames.ANSWER, 0, frames.FAILED, {}))
+        self._write(frames.answer(frames.ANSWER, 0, AnswerStatus.FAILED, {}))
         self.end("it does not keep to the protocol", why)
 
     def _fail_open(self) -> None:
         """The final answer of each query that is open here, for which nothing is done any more."""
         opened, self.open = self.open, {}
         for stream, asked in opened.items():
-            self._write(frames.answer(frames.ANSWER, stream, frames.FAILED, {}))
+            self._write(frames.answer(frames.ANSWER, stream, AnswerStatus.FAILED, {}))
             self._leave(asked)
 
     def _leave(self, asked: Asked) -> None:
@@ -179,11 +180,11 @@
         self.transport.write(data)
         self.transport.doWrite()
 
-    def answer(self, stream: int, code: int, fields: dict[str, str], body: bytes) -> None:
+    def answer(self, stream: int, status: AnswerStatus, fields: dict[str, str], body: bytes) -> None:
         """The one answer of a request, whole; nothing where its client is gone."""
         self.open.pop(stream, None)
         if not self._lost:
-            self._write(frames.answer(frames.ANSWER, stream, code, fields, body))
+            self._write(frames.answer(frames.ANSWER, stream, status, fields, body))
             self._clients.used(self)
             self._rest()
 
--- a/vanerelay/net/deadlines.py
+++ b/vanerelay/net/deadlines.py
@@ -1,4 +1,4 @@
-"""The last guard of rule 1: whatever becomes of a query, it is answered at its deadline."""
+"""The deadlines of open queries: whatever becomes of a query, it is answered when its deadline has come."""
 
 from __future__ import annotations
 
@@ -11,20 +11,23 @@
 from vanerelay.interface import SECOND
 from vanerelay.net.held_queries import ClientQuery
 
-SPARE = 100  # of queries answered, that are let lie before they are swept out
+ANSWERED_KEPT = 100
+"""Answered queries that may stay in the heap, beyond as many as are open, before they are swept out."""
 
 
 class Deadlines:
     """Open queries by their deadlines.
 
-    Looked at after every event, not once a pass: seen on sockets, answers given too late by passes of 50 to
-    70 ms, while the timers that had fallen due waited for the pass to end.
+    They are checked after every event, not once a pass: seen on sockets, answers given too late by passes of
+    50 to 70 ms, while the timers that had fallen due waited for the pass to end.
     """
 
     def __init__(self, reactor: Any, clock: Clock, expired: Callable[[ClientQuery], None]) -> None:
         """`expired` is called for each query whose deadline has come."""
-        self._reactor, self._clock, self._expired = reactor, clock, expired
-        self._heap: list[tuple[int, int, ClientQuery]] = []  # the first first
+        self._reactor = reactor
+        self._clock = clock
+        self._expired = expired
+        self._heap: list[tuple[int, int, ClientQuery]] = []  # by deadline, then in the order added
         self._serial = itertools.count()
         self._due_at: int | None = None
         self._timer: Any = None
@@ -32,17 +35,22 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def add(self, held: ClientQuery) -> None:
-        heapq.heappush(self._heap, (held.limit, next(self._serial), held))
+    def add(self, query: ClientQuery) -> None:
+        """Watches the deadline of a query from the next check on."""
+        heapq.heappush(self._heap, (query.deadline, next(self._serial), query))
 
-    def look(self, still_open: int) -> None:
-        """Ends what is overdue, and sees to it that the next is looked at in time."""
+    def check(self, open_count: int) -> None:
+        """Expires what is overdue, and sets the timer for the next deadline.
+
+        Args:
+            open_count: The number of queries that are open.
+        """
         now = self._clock.now()
         while self._heap and (self._heap[0][2].ended or self._heap[0][0] <= now):
-            held = heapq.heappop(self._heap)[2]
-            if not held.ended:
-                self._expired(held)
-        if len(self._heap) > 2 * still_open + SPARE:
+            query = heapq.heappop(self._heap)[2]
+            if not query.ended:
+                self._expired(query)
+        if len(self._heap) > 2 * open_count + ANSWERED_KEPT:
             self._heap = [entry for entry in self._heap if not entry[2].ended]
             heapq.heapify(self._heap)
         if self._heap and (self._due_at is None or self._heap[0][0] < self._due_at):
@@ -56,4 +64,4 @@
 
     def _due(self) -> None:
         self._due_at = None
-        self.look(len(self._heap))
+        self.check(len(self._heap))
--- /dev/null
+++ b/vanerelay/net/engine_list_updates.py
@@ -0,0 +1,92 @@
+"""Changes of the engine list: applied to the connections, the guard and the decisions, and forgotten in time."""
+
+from __future__ import annotations
+
+import itertools
+from dataclasses import replace
+
+from vanerelay.clock import Clock
+from vanerelay.engine_list import EngineListChange, ListedEngine
+from vanerelay.interface import EngineEntry, EngineState
+from vanerelay.invariants import Guard, StateChange
+from vanerelay.net.decisions import Decisions
+from vanerelay.net.engine_pool import DROPPED, EnginePool
+from vanerelay.net.engine_start_times import EngineStarts
+from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.extensions import Extensions
+from vanerelay.query_table import EngineNames
+
+
+class EngineListUpdates:
+    """Applies the changes of the engine list, and knows the engines' names.
+
+    Attributes:
+        names: The names of the engines by their indices.
+        gone: The engines that have left the list and are not forgotten yet.
+        received: Whether a list has come.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        engines: EnginePool,
+        guard: Guard,
+        decisions: Decisions,
+        extensions: Extensions,
+        events: EventLog,
+    ) -> None:
+        self._engines = engines
+        self._guard = guard
+        self._decisions = decisions
+        self._extensions = extensions
+        self._events = events
+        self._starts = EngineStarts(clock)
+        self.names = EngineNames()
+        self.gone = set[int]()
+        self.received = False
+
+    def apply(self, change: EngineListChange) -> None:
+        """Applies one change."""
+        entries, present = list[EngineEntry](), set[int]()
+        for listed in change.engines:
+            is_gone = listed.state is EngineState.GONE
+            if is_gone and listed.name not in self.names:
+                continue
+            index = self.names.index(listed.name)
+            (self.gone if is_gone else present).add(index)
+            entries.append(self._apply_entry(index, listed, change.within_s))
+        self.gone -= present
+        if change.complete:
+            self._engines.only(present)
+            self._guard.only(present)
+            self.gone = self.names.all() - present
+        self.received = True
+        self._decisions.update_engines(entries, change.complete)
+        self._extensions.listed(change)
+
+    def sweep(self) -> None:
+        """Lets go of connections that the engines are about to close, and of engines that are gone."""
+        self._engines.sweep()
+        unknown = (index for index in self.gone if not self._engines.knows(index))
+        for index in list(itertools.islice(unknown, DROPPED)):
+            self.gone.remove(index)
+            self.names.forget(index)
+            self._starts.forget(index)
+            self._guard.forget(index)
+
+    def name_of(self, index: int) -> str:
+        """The name of an engine; empty where it is not known any more."""
+        return self.names.name(index) if self._engines.knows(index) else ""
+
+    def _apply_entry(self, index: int, listed: ListedEngine, within_s: float | None) -> EngineEntry:
+        is_gone = listed.state is EngineState.GONE
+        self._engines.listed(index, listed.address, listed.started_at, is_gone)
+        started_at = self._starts.moment(index, listed.started_at, within_s)
+        entry = replace(listed.entry(index), started_at=started_at)
+        self._note_state(listed, self._guard.listed(entry))
+        return entry
+
+    def _note_state(self, listed: ListedEngine, change: StateChange | None) -> None:
+        if change is not None:
+            why = f"engine {change.before} to {change.after}"
+            self._events.note(Kind.STATE, why, change.before != "unknown", engine=listed.name)
--- a/vanerelay/net/extensions.py
+++ b/vanerelay/net/extensions.py
@@ -48,29 +48,29 @@
                     wanting.append(part)
 
     @property
-    def guides(self) -> bool:
-        """Whether queries may be led by somebody."""
+    def has_constraints(self) -> bool:
+        """Whether an extension may constrain queries."""
         return bool(self._guides)
 
     @property
     def counts(self) -> bool:
-        """Whether somebody wants to know what became of queries."""
+        """Whether an extension wants to know what became of queries."""
         return bool(self._tallies)
 
     @property
-    def learns(self) -> bool:
-        """Whether somebody wants to know what engines ran."""
+    def watches_runs(self) -> bool:
+        """Whether an extension wants to know what engines ran."""
         return bool(self._learners)
 
     def listed(self, change: EngineListChange) -> None:
         for part in self._watchers:
             guarded(part.engines_changed, change)
 
-    def guide(self, want: QueryInfo) -> QueryConstraint | str | None:
-        """Who leads a query; words for its client where it can't be served as it asks."""
+    def constrain(self, query: QueryInfo) -> QueryConstraint | str | None:
+        """The constraint of a query; an explanation for its client where it can't be served as it asks."""
         for part in self._guides:
             try:
-                found = part.constrain(want)
+                found = part.constrain(query)
             except Exception:
                 log.exception(FAULT)
                 return FAULT
--- /dev/null
+++ b/vanerelay/net/query_answers.py
@@ -0,0 +1,85 @@
+"""The answers of queries: each query gets one, and what became of it is logged and reported once."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from vanerelay.clock import Clock
+from vanerelay.interface import SECOND, AnswerStatus
+from vanerelay.invariants import Guard, Invariant
+from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.extensions import Extensions, guarded
+from vanerelay.net.held_queries import ClientQuery, OpenQueries
+from vanerelay.net.service_settings import SettingsInForce
+
+
+class QueryAnswers:
+    """Gives queries their final answers."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        settings: SettingsInForce,
+        queries: OpenQueries,
+        guard: Guard,
+        extensions: Extensions,
+        events: EventLog,
+    ) -> None:
+        self._clock = clock
+        self._settings = settings
+        self._queries = queries
+        self._guard = guard
+        self._extensions = extensions
+        self._events = events
+
+    def answer(
+        self,
+        query: ClientQuery,
+        status: AnswerStatus,
+        fields: Mapping[str, str] | None = None,
+        body: bytes = b"",
+    ) -> None:
+        """Gives a query its answer, unless the guard knows that it has one."""
+        if query.guard_record is not None and not self._guard.answered(query.guard_record):
+            self._events.note(Kind.BROKEN, Invariant.ANSWER.value, id=query.name)
+            return
+        self._report(query, status, client_waited=True)
+        self._close(query)
+        query.client.answer(query.stream, status, dict(fields or {}), body)
+
+    def abandon(self, query: ClientQuery) -> None:
+        """Ends a query whose client no longer waits, without an answer."""
+        self._report(query, AnswerStatus.COMPLETED, client_waited=False)
+        self._close(query)
+
+    def report_unheld(self, service_class: str, status: AnswerStatus) -> None:
+        """Reports a query that was answered at once, without being held."""
+        self._extensions.answered(service_class, 0.0, status, 0, 0)
+
+    def note_rejection(self, query: ClientQuery, why: str) -> None:
+        """Logs that a query is rejected or fails."""
+        waited = (self._clock.now() - query.received_after) * 1000 // SECOND
+        self._events.note(
+            Kind.REFUSAL,
+            why,
+            id=query.name,
+            waited_ms=waited,
+            attempts=len(query.attempts),
+            last=query.last_end,
+        )
+
+    def _close(self, query: ClientQuery) -> None:
+        self._queries.close(query)
+        if query.constraint is not None:
+            guarded(query.constraint.finished)
+
+    def _report(self, query: ClientQuery, status: AnswerStatus, client_waited: bool) -> None:
+        """Reports what became of a query to the extensions that want to know it."""
+        if not self._extensions.counts or query.is_internal:
+            return
+        name = query.service_class.decode()
+        duration = self._clock.now() - query.received_after
+        earned = 0.0
+        if status is AnswerStatus.COMPLETED and client_waited:
+            earned = self._settings.current.value_earned(name, duration)
+        self._extensions.answered(name, earned, status, duration, len(query.attempts))
--- /dev/null
+++ b/vanerelay/net/query_ends.py
@@ -0,0 +1,44 @@
+"""The ends of queries that no attempt brings: the client leaves, or the deadline comes."""
+
+from __future__ import annotations
+
+from vanerelay.interface import AnswerStatus
+from vanerelay.net.decisions import Decisions
+from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.held_queries import ClientQuery, OpenQueries
+from vanerelay.net.query_answers import QueryAnswers
+
+
+class QueryEnds:
+    """Ends queries whose client no longer waits, or waits in vain."""
+
+    def __init__(
+        self, queries: OpenQueries, decisions: Decisions, answers: QueryAnswers, events: EventLog
+    ) -> None:
+        self._queries = queries
+        self._decisions = decisions
+        self._answers = answers
+        self._events = events
+
+    def client_left(self, query: ClientQuery) -> None:
+        """Its client no longer waits; attempts that are out still end."""
+        if not query.ended:
+            self._events.note(Kind.REFUSAL, "its client left", False)
+            self._answers.abandon(query)
+            self._stop_attempts(query)
+        self._queries.settle(query)
+
+    def deadline_passed(self, query: ClientQuery) -> None:
+        """Its deadline has come, whatever the decisions made of it."""
+        self._answers.note_rejection(query, "its deadline has come")
+        self._answers.answer(query, AnswerStatus.FAILED)
+        self._stop_attempts(query)
+        self._queries.settle(query)
+
+    def _stop_attempts(self, query: ClientQuery) -> None:
+        """Tells the decisions. What has not begun does not begin, also where nothing can be cancelled."""
+        if query.batch is not None:
+            self._decisions.call(query, query.batch.client_left)
+        for attempt in query.attempts:
+            if attempt is not None:
+                attempt.withdraw()
--- /dev/null
+++ b/vanerelay/net/query_intake.py
@@ -0,0 +1,313 @@
+"""The intake of queries: decode, validate, admit or reject, hold, submit to the decisions.
+
+A client's query goes through these steps once, in this order. What rejects it names its reason as a value, and
+one place answers. A query of the gateway itself takes the same way without a client.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from vanerelay.clock import Clock
+from vanerelay.estimation import stable_hash
+from vanerelay.extension import QueryConstraint, QueryInfo
+from vanerelay.interface import AnswerStatus, QueryArrival
+from vanerelay.invariants import Guard
+from vanerelay.net import frames, request_codec
+from vanerelay.net.client_connection import ClientConnection, RequestResult
+from vanerelay.net.deadlines import Deadlines
+from vanerelay.net.decisions import Decisions
+from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.extensions import Extensions
+from vanerelay.net.held_queries import (
+    ClientQuery,
+    InternalClient,
+    InternalQuery,
+    OpenQueries,
+    RecentReferences,
+)
+from vanerelay.net.query_answers import QueryAnswers
+from vanerelay.net.query_ends import QueryEnds
+from vanerelay.net.request_codec import QueryRequest
+from vanerelay.net.service_settings import SettingsInForce
+from vanerelay.net.statements import table_group
+
+LONGEST_WAIT = 2
+"""Times the deadline of its service class: the longest time limit that a client can mean."""
+
+
+class RejectionReason(Enum):
+    """Why a request is answered without being held. The values stand in the event log."""
+
+    UNUSABLE = "no engine could use it"
+    NO_CAPACITY = "no room for one more"
+    UNSATISFIABLE = "its constraint cannot be satisfied"
+
+
+@dataclass(frozen=True, slots=True)
+class Rejection:
+    """The answer to a request that is not held.
+
+    Attributes:
+        reference: The reference of the request, as far as it could be read.
+        explanation: What its client is told, where something is.
+    """
+
+    reason: RejectionReason
+    reference: str
+    explanation: str | None = None
+
+    @property
+    def status(self) -> AnswerStatus:
+        """The status of the answer."""
+        no_capacity = self.reason is RejectionReason.NO_CAPACITY
+        return AnswerStatus.REJECTED if no_capacity else AnswerStatus.FAILED
+
+
+@dataclass(frozen=True, slots=True)
+class AdmittedRequest:
+    """A request that may be held.
+
+    Attributes:
+        service_class: The row of its service class.
+        deadline: When its answer is due.
+        constraint: What a subsystem demands for it, where one does.
+    """
+
+    request: QueryRequest
+    service_class: int
+    deadline: int
+    constraint: QueryConstraint | None
+
+
+class QueryIntake:
+    """Takes queries in, from clients and from the gateway itself."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        settings: SettingsInForce,
+        queries: OpenQueries,
+        deadlines: Deadlines,
+        guard: Guard,
+        decisions: Decisions,
+        answers: QueryAnswers,
+        ends: QueryEnds,
+        extensions: Extensions,
+        events: EventLog,
+    ) -> None:
+        self._clock = clock
+        self._settings = settings
+        self._queries = queries
+        self._deadlines = deadlines
+        self._guard = guard
+        self._decisions = decisions
+        self._answers = answers
+        self._ends = ends
+        self._extensions = extensions
+        self._events = events
+        self._recent = RecentReferences(clock.now())
+
+    def accept(
+        self, client: ClientConnection, frame: frames.Frame, received_after: int
+    ) -> ClientQuery | RequestResult:
+        """Takes a client's query in, unless it is answered at once.
+
+        What an engine could not use is not passed on: an engine closes a connection on which it cannot read
+        something, with all else that is open there, and its errors would be held against it.
+
+        Args:
+            client: Who sent it.
+            frame: The request.
+            received_after: A moment at which nothing of it had come.
+        """
+        self._decisions.read_clock()
+        admitted = self._admit(frame, received_after)
+        if isinstance(admitted, Rejection):
+            return self._reject(client, frame, admitted)
+        query = self._hold_for_client(client, frame.stream, admitted, received_after)
+        query.arrival = self._arrival(query, admitted)
+        earns_retries = not query.arrival.earns_no_retries
+        query.guard_record = self._guard.taken(
+            self._decisions.now, admitted.service_class, admitted.deadline, earns_retries
+        )
+        if query.constraint is None:
+            self._decisions.submit(query)
+        else:
+            self._decisions.call(query, query.constraint.start, query)
+        self._queries.settle(query)
+        self._deadlines.check(self._queries.open_count)
+        return RequestResult.ANSWERED if query.ended else query
+
+    def submit_internal(
+        self,
+        reference: str,
+        service_class: str,
+        statement: str,
+        engine: int,
+        memory: float,
+        max_duration: int,
+    ) -> InternalQuery | None:
+        """Takes in a query of the gateway itself, to one engine; None where it cannot be taken."""
+        now = self._decisions.read_clock()
+        settings = self._settings.current
+        row = settings.rows.get(service_class)
+        body = statement.encode()
+        if row is None or not self._has_capacity(len(body)) or self._queries.is_open(reference):
+            return None
+        time_limit = min(max_duration, settings.service_classes[row].deadline)
+        request = QueryRequest(
+            reference=reference,
+            service_class=service_class,
+            tenant="",
+            time_limit=time_limit,
+            estimated_cost=0,
+            estimated_memory=memory,
+            idempotency_key=b"",
+            order_key="",
+            body=body,
+            statement=statement,
+        )
+        client = InternalClient()
+        query = ClientQuery(self, client, 0, request, now + time_limit, now)
+        self._hold(query)
+        query.arrival = QueryArrival(
+            index=query.index,
+            service_class=row,
+            tenant=0,
+            order_key=None,
+            deadline=query.deadline,
+            estimated_cost=0,
+            estimated_memory=memory,
+            is_retry=False,
+            table_group=table_group(statement),
+            eligible_engines=frozenset({engine}),
+            earns_no_retries=True,
+        )
+        query.guard_record = self._guard.taken(now, row, query.deadline, False)
+        self._decisions.submit(query)
+        self._queries.settle(query)
+        self._deadlines.check(self._queries.open_count)
+        return InternalQuery(query, client.done)
+
+    def client_left(self, query: ClientQuery) -> None:
+        """See `QueryOwner.client_left`."""
+        self._ends.client_left(query)
+
+    def restrict_constrained(self, query: ClientQuery, engines: frozenset[int] | None) -> None:
+        """See `QueryOwner.restrict_constrained`: the query goes to the decisions, if they have it not yet."""
+        if query.ended or query.arrival is None:
+            return
+        query.arrival.eligible_engines = engines
+        if query.batch is not None:
+            return
+        # Other settings may have come into force while it waited.
+        service_class = self._settings.current.rows.get(query.service_class.decode())
+        if service_class is None:
+            self._answers.note_rejection(query, "its class is gone")
+            self._answers.answer(query, AnswerStatus.REJECTED)
+        else:
+            query.arrival.service_class = service_class
+            self._decisions.submit(query)
+        self._queries.settle(query)
+        self._deadlines.check(self._queries.open_count)
+
+    def reject_constrained(self, query: ClientQuery, retry_after: int) -> None:
+        """See `QueryOwner.reject_constrained`."""
+        if not query.ended and query.batch is None:
+            self._answers.note_rejection(query, "by who leads it")
+            retry_after = min(retry_after, self._settings.current.max_retry_after)
+            shown = retry_after if retry_after >= request_codec.TICKS_PER_MS else 0
+            fields = request_codec.retry_after_fields(shown)
+            self._answers.answer(query, AnswerStatus.REJECTED, fields)
+        self._queries.settle(query)
+
+    def _admit(self, frame: frames.Frame, received_after: int) -> AdmittedRequest | Rejection:
+        """Decodes and validates a request, and looks whether there is capacity for it."""
+        request = request_codec.parse(frame)
+        service_class = None if request is None else self._usable_for(request)
+        if request is None or service_class is None:
+            reference = request_codec.reference_for_log(frame.fields)
+            return Rejection(RejectionReason.UNUSABLE, reference)
+        if not self._has_capacity(len(request.body)):
+            return Rejection(RejectionReason.NO_CAPACITY, request.reference)
+        # The client counts from when it sent, which nobody tells: the earliest moment known stands for it.
+        deadline = received_after + request.time_limit
+        constraint = self._constrain(request, service_class, deadline)
+        if isinstance(constraint, str):
+            return Rejection(RejectionReason.UNSATISFIABLE, request.reference, constraint)
+        return AdmittedRequest(request, service_class, deadline, constraint)
+
+    def _usable_for(self, request: QueryRequest) -> int | None:
+        """The row of the service class that the request belongs to; None where an engine could not use it."""
+        settings = self._settings.current
+        row = settings.rows.get(request.service_class)
+        if row is None:
+            return None
+        known_tenant = not settings.tenants or request.tenant in settings.tenants
+        in_range = request.time_limit <= LONGEST_WAIT * settings.service_classes[row].deadline
+        usable = known_tenant and in_range and not self._queries.is_open(request.reference)
+        return row if usable else None
+
+    def _has_capacity(self, size: int) -> bool:
+        """Whether there is capacity for one more query with so many bytes of statement."""
+        max_open = self._settings.current.max_open
+        return self._decisions.current is not None and self._queries.has_capacity(size, max_open)
+
+    def _constrain(
+        self, request: QueryRequest, service_class: int, deadline: int
+    ) -> QueryConstraint | str | None:
+        """The constraint of a query; an explanation where it can't be served as it asks."""
+        if not self._extensions.has_constraints:
+            return None
+        objective = self._settings.current.service_classes[service_class].latency_objective
+        info = QueryInfo(
+            reference=request.reference,
+            service_class=request.service_class,
+            statement=request.statement,
+            latency_objective=objective,
+            time_left=deadline - self._decisions.now,
+        )
+        return self._extensions.constrain(info)
+
+    def _reject(self, client: ClientConnection, frame: frames.Frame, rejection: Rejection) -> RequestResult:
+        """Answers a request that is not held: the one place that does."""
+        status = rejection.status
+        self._answers.report_unheld(request_codec.service_class(frame.fields), status)
+        if rejection.reason is not RejectionReason.UNSATISFIABLE:
+            self._events.note(Kind.REFUSAL, rejection.reason.value, id=rejection.reference)
+        fields = request_codec.explanation_fields(rejection.explanation)
+        client.answer(frame.stream, status, fields, b"")
+        unusable = rejection.reason is RejectionReason.UNUSABLE
+        return RequestResult.UNUSABLE if unusable else RequestResult.ANSWERED
+
+    def _hold_for_client(
+        self, client: ClientConnection, stream: int, admitted: AdmittedRequest, received_after: int
+    ) -> ClientQuery:
+        query = ClientQuery(self, client, stream, admitted.request, admitted.deadline, received_after)
+        query.read_in_pass = self._clock.passes
+        self._hold(query)
+        client.open[stream] = query
+        query.constraint = admitted.constraint
+        return query
+
+    def _hold(self, query: ClientQuery) -> None:
+        self._queries.hold(query)
+        self._deadlines.add(query)
+
+    def _arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
+        """The query as the decisions are told of it."""
+        request = admitted.request
+        return QueryArrival(
+            index=query.index,
+            service_class=admitted.service_class,
+            tenant=self._settings.current.tenants.get(request.tenant, 0),
+            order_key=stable_hash(request.order_key, 0) if request.order_key else None,
+            deadline=admitted.deadline,
+            estimated_cost=request.estimated_cost,
+            estimated_memory=request.estimated_memory,
+            is_retry=False,
+            table_group=table_group(request.statement),
+            earns_no_retries=self._recent.seen_before(request.reference, self._decisions.now),
+        )
--- a/vanerelay/net/request_codec.py
+++ b/vanerelay/net/request_codec.py
@@ -1,4 +1,4 @@
-"""What a client's request tells, read and checked: nothing that an engine could not use goes further."""
+"""The named values of clients' requests and of rejections: the one place that knows their names on the wire."""
 
 from __future__ import annotations
 
@@ -11,26 +11,31 @@
 
 REFERENCE = re.compile("[0-9a-fA-F]{16}")
 FIGURE = re.compile(r"[0-9]{1,15}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
-KEY = re.compile(
-    r"[0-9a-zA-Z_.:/+-]{1,128}"
-)  # stands in a list of fields, between commas and signs of equality
-FIGURE_MOST = 1e8  # no work is as long in milliseconds, no memory as large in MB
-TENTHS = 10  # of a millisecond, the module's unit
+KEY = re.compile(r"[0-9a-zA-Z_.:/+-]{1,128}")
+"""An idempotency key or order key: it stands in a list of fields, between commas and signs of equality."""
+FIGURE_LIMIT = 1e8
+"""No work is as long in milliseconds, no memory as large in MB."""
+TICKS_PER_MS = 10
+REFERENCE_LENGTH = 16
 
 
 @dataclass(frozen=True, slots=True)
 class QueryRequest:
-    """A query as its client asks for it. Times in tenths of a millisecond, memory in MB, 0 where not told.
+    """A query as its client asks for it. Times in ticks, memory in MB, 0 where nothing is told.
 
-    `idempotency_key`: by it engines recognise a repeat; `order_key`: queries that share it run in order.
+    Attributes:
+        time_limit: How long the client waits for the answer.
+        idempotency_key: By it engines recognise a repeat.
+        order_key: Queries of an ordered class that share it run one after the other.
+        body: The statement as it goes to the engine; `statement` is the same as text.
     """
 
     reference: str
     service_class: str
     tenant: str
-    allowed: int
-    cost: int
-    memory: float
+    time_limit: int
+    estimated_cost: int
+    estimated_memory: float
     idempotency_key: bytes
     order_key: str
     body: bytes
@@ -38,22 +43,22 @@
 
 
 def parse(frame: frames.Frame) -> QueryRequest | None:
-    """None where something is missing or can't be used."""
-    told = frame.fields
-    allowed, effort, space = (figure(told, name) for name in ("allow", "effort", "space"))
+    """The request of a frame; None where something is missing or can't be used."""
+    fields = frame.fields
+    time_limit, cost, memory = (figure(fields, name) for name in ("allow", "effort", "space"))
     statement = _text(frame.body)
-    keys = [told.get(name, "") for name in ("replay", "lookup")]
-    if allowed is None or effort is None or space is None or not statement:
+    keys = [fields.get(name, "") for name in ("replay", "lookup")]
+    if time_limit is None or cost is None or memory is None or not statement:
         return None
-    if not REFERENCE.fullmatch(told.get("ref", "")) or any(key and not KEY.fullmatch(key) for key in keys):
+    if not REFERENCE.fullmatch(fields.get("ref", "")) or any(key and not KEY.fullmatch(key) for key in keys):
         return None
     return QueryRequest(
-        reference=told["ref"],
-        service_class=told.get("service", ""),
-        tenant=told.get("project", ""),
-        allowed=int(allowed * TENTHS),
-        cost=math.ceil(effort * TENTHS),
-        memory=space,
+        reference=fields["ref"],
+        service_class=service_class(fields),
+        tenant=fields.get("project", ""),
+        time_limit=int(time_limit * TICKS_PER_MS),
+        estimated_cost=math.ceil(cost * TICKS_PER_MS),
+        estimated_memory=memory,
         idempotency_key=keys[0].encode(),
         order_key=keys[1],
         body=frame.body,
@@ -61,11 +66,31 @@
     )
 
 
-def figure(told: Mapping[str, str], name: str) -> float | None:
+def service_class(fields: Mapping[str, str]) -> str:
+    """The service class that a request names, usable or not."""
+    return fields.get("service", "")
+
+
+def reference_for_log(fields: Mapping[str, str]) -> str:
+    """The reference of a request, usable or not, as far as a log line takes it."""
+    return fields.get("ref", "")[:REFERENCE_LENGTH]
+
+
+def retry_after_fields(retry_after: int) -> dict[str, str]:
+    """The named values of a rejection: after how many ticks the client may come again; none for 0."""
+    return {"cooldown": str(retry_after // TICKS_PER_MS)} if retry_after > 0 else {}
+
+
+def explanation_fields(explanation: str | None) -> dict[str, str]:
+    """The named values of a failure that tells its client why; none for None."""
+    return {} if explanation is None else {"why": explanation}
+
+
+def figure(fields: Mapping[str, str], name: str) -> float | None:
     """A figure as told, 0 where it is not; None where it cannot be used."""
-    text = told.get(name, "" if name == "allow" else "0")
-    value = float(text) if FIGURE.fullmatch(text) else FIGURE_MOST
-    return value if value < FIGURE_MOST else None
+    text = fields.get(name, "" if name == "allow" else "0")
+    value = float(text) if FIGURE.fullmatch(text) else FIGURE_LIMIT
+    return value if value < FIGURE_LIMIT else None
 
 
 def _text(body: bytes) -> str | None:
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -137,7 +137,7 @@
             profile = part.initial_settings(profile)
         self.settings = profile
         self.service.join(self._parts)
-        self.service.open_gateway(self.seed, profile)
+        self.service.apply_settings(self.seed, profile)
         changed: ListListener = self.service.listed
         answered: DiscoveryAnswerListener | None = None
         for part in self._parts:
@@ -242,7 +242,7 @@
             self.reactor.callLater(LISTEN_AGAIN_S, self._listen_again, host, port)
 
     def _listen_again(self, host: str, port: int) -> None:
-        if self.service.ending:
+        if self.service.draining:
             return
         try:
             self._listen(host, port)
@@ -296,7 +296,9 @@
         # overload. With few it costs little, and a long day that never stands idle needs it: what a
         # connection leaves behind are cycles.
         short = gc.get_count()[0] > LITTLE and self._memory_short()
-        if gc.get_count()[0] > LITTLE and (self.service.open < FEW and not self._listing() or short):
+        if gc.get_count()[0] > LITTLE and (
+            self.service.queries.open_count < FEW and not self._listing() or short
+        ):
             if short and self._parts:
                 gc.unfreeze()  # what a large list was frozen with may have become garbage
             gc.collect()
@@ -320,7 +322,7 @@
     ) -> InternalQuery | None:
         self._owns += 1
         name = f"{stable_hash(self.name, self._owns):016x}"
-        return self.service.own(name, service_class, statement, engine, memory, max_duration)
+        return self.service.submit_internal(name, service_class, statement, engine, memory, max_duration)
 
     def apply_settings(self, settings: dict[str, Any]) -> str | None:
         try:
@@ -341,7 +343,7 @@
             why = why or part.settings_conflict(profile)
         if why is not None:
             return why
-        self.service.open_gateway(self.seed, profile)
+        self.service.apply_settings(self.seed, profile)
         self.settings = profile
         told: dict[str, Any] = {}
         for part in self._parts:
@@ -359,8 +361,8 @@
 
     def _drain(self) -> Deferred[None]:
         """SIGTERM: what was taken is answered, and connections may come for as long as the page says."""
-        log.info("draining", open=self.service.open)
-        self.service.ending = True
+        log.info("draining", open=self.service.queries.open_count)
+        self.service.draining = True
         self.reactor.callLater(CONNECTIONS_S, self._no_connections)
         self.reactor.callLater(REQUESTS_S, self._no_requests)
         self.clients.each(lambda client: client.last())
@@ -369,12 +371,18 @@
         return self._drained
 
     def _no_connections(self) -> None:
-        log.info("no new connections from now on", clients=self.clients.number, open=self.service.open)
+        log.info(
+            "no new connections from now on",
+            clients=self.clients.number,
+            open=self.service.queries.open_count,
+        )
         self.clients.stop_listening()
         self.clients.each(lambda client: client.last())
 
     def _no_requests(self) -> None:
-        log.info("no new queries from now on", clients=self.clients.number, open=self.service.open)
+        log.info(
+            "no new queries from now on", clients=self.clients.number, open=self.service.queries.open_count
+        )
         self.reactor.callLater(0, self._await_answers)
         self.clients.each(lambda client: client.end_when_answered())
 
