--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -22,7 +22,7 @@
 from vanerelay.interface import NEVER_RAN
 from vanerelay.net import discovery_codec, frames
 from vanerelay.net.buffers import Pool
-from vanerelay.net.client_connection import ClientListener
+from vanerelay.net.client_listener import ClientListener
 from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.engine_connection import Attempt, ConnectionSettings
 from vanerelay.net.engine_pool import EnginePool
@@ -588,7 +588,7 @@
     for name in (7, 8):
         served.client, _wire = served.join()
         served.ask(1, ref=f"{name:016x}")
-    served.client = next(iter(served.clients._all))
+    served.client = next(iter(served.clients._connections))
     served.ask(1)
     _, late = served.join()
     assert late.disconnecting != spare and served.service.queries.open_count == 3
@@ -618,7 +618,7 @@
         if begun == b"drip":
             client.dataReceived(frames.frame(frames.REQUEST, 1, b"\0" * 100)[number : number + 1])
         served.advance(0.1)
-    assert wire.disconnecting == ended and (client in served.clients._all) != ended
+    assert wire.disconnecting == ended and (client in served.clients._connections) != ended
 
 
 @pytest.mark.parametrize(("much", "span"), [(False, 1.0), (True, 4.0)])
@@ -629,7 +629,7 @@
     if much:
         served.client.pauseProducing()
     served.client.refuse("a test")
-    assert served.wire.disconnecting and not served.wire.aborted and served.clients.number == 1
+    assert served.wire.disconnecting and not served.wire.aborted and served.clients.descriptor_count == 1
     served.advance(span - 0.05)
     assert not served.wire.aborted
     served.advance(0.2)
@@ -641,9 +641,9 @@
     ended = [served.client, served.join()[0], served.join()[0]]
     for client in ended:
         client.refuse("a test")
-    assert served.clients.number == 3
+    assert served.clients.descriptor_count == 3
     kept = [served.join()[0] for _ in range(3)]
-    assert served.clients.number == 3 and not any(client.ended for client in kept)
+    assert served.clients.descriptor_count == 3 and not any(client.ended for client in kept)
 
 
 def test_one_that_was_of_use_is_kept_before_those_that_never_sent_anything():
@@ -736,8 +736,8 @@
     answer, and it would be lost."""
     served = Served()
     served.ask(1)
-    served.client.last()
-    served.client.last()
+    served.client.stop_requests()
+    served.client.stop_requests()
     served.ask(2)
     served.client.end_when_answered()
     assert served.service.queries.open_count == 2 and not served.wire.disconnecting
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,7 +16,7 @@
 from tests.test_drivers import Fleet, Served
 from vanerelay.attempt_outcome import AttemptStage, EndCause
 from vanerelay.net.buffers import Pool
-from vanerelay.net.client_connection import ClientListener
+from vanerelay.net.client_listener import ClientListener
 
 
 def test_a_start_goes_on_while_no_socket_can_be_had(started, tmp_path):
@@ -111,7 +111,7 @@
     waiting = [socket.create_connection((address.host, address.port)) for _ in range(5)]
     port.socket = Failing(port.socket, faults)
     clients.stop_listening()
-    assert clients.number == len(waiting)
+    assert clients.descriptor_count == len(waiting)
     for one in waiting:
         one.close()
 
@@ -127,14 +127,16 @@
         served.look()
         came, port.socket = served.clock.looked, Failing(port.socket, [errno.EMFILE, errno.ENFILE])
         port.doRead()
-        assert clients.number == 0 and port not in reactor.getReaders()
-        while not clients.number:
+        assert clients.descriptor_count == 0 and port not in reactor.getReaders()
+        while not clients.descriptor_count:
             served.advance(0.2)
             served.look()
             reactor.advance(0.2)
-        assert port in reactor.getReaders() and clients.number == 1
+        assert port in reactor.getReaders() and clients.descriptor_count == 1
         client = next(iter(clients.all()))
-        assert client.since() == came  # when its first request may have come: its time runs from then
+        assert (
+            client.received_after() == came
+        )  # when its first request may have come: its time runs from then
     port.stopListening()
 
 
--- a/vanerelay/net/listener.py
+++ b/vanerelay/net/accepting_port.py
@@ -11,24 +11,29 @@
 from twisted.internet.tcp import Port, Server
 
 # Nothing can be accepted for want of something that others may let go of. Whoever waits goes on waiting.
-SHORT_OF = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 NOTHING_WAITS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
 # A socket that could not be had for one of these may be had a moment later.
-FOR_A_MOMENT = SHORT_OF | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR}
-REST_S = 0.02  # until accepting is tried again
-LAST_TRIES = 64  # failures that are borne when the port is about to close
+TRANSIENT = EXHAUSTED | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR}
+ACCEPT_AGAIN_S = 0.02
+LAST_ACCEPT_ROUNDS = 64
+"""How often accepting is tried again when the port is about to close."""
 
 
-def passes(fault: CannotListenError) -> bool:
+def is_transient(fault: CannotListenError) -> bool:
     """Whether listening may work a moment later."""
-    return isinstance(fault.socketError, OSError) and fault.socketError.errno in FOR_A_MOMENT
+    return isinstance(fault.socketError, OSError) and fault.socketError.errno in TRANSIENT
 
 
 class ClientTransport(Server):
-    """Reads all that has come at each look, up to a bound: a read may be short, and what a client asked and
-    that it left may lie one behind the other."""
+    """The transport of a client's connection.
+
+    At each look it reads all that has come, up to a bound: a read may be short, and what a client asked and
+    its end may lie one behind the other.
+    """
 
     def doRead(self) -> Any:
+        """Reads until nothing is left, or as much as one look may take."""
         left = self.bufferSize
         while left > 0:
             try:
@@ -46,39 +51,44 @@
         return None
 
 
-class Listener(Port):
-    """Accepts all that wait in each pass. Twisted's own takes few at first, so that how long the rest had
-    waited would not be known; short of a descriptor it shuts a client unread; one failure ends its look."""
+class AcceptingPort(Port):
+    """Accepts all that wait in each pass.
+
+    Twisted's own port takes few at first, so that how long the rest had waited would not be known; without a
+    free descriptor it closes a client's connection unread; and one failure ends its look.
+    """
 
-    factory: Any  # the Clients
+    factory: Any  # the ClientListener
     transport = ClientTransport
-    _resting: Any = None
+    _accept_timer: Any = None
 
     def doRead(self) -> None:
+        """Accepts all that wait; where the system has not what it takes, it tries again soon."""
         fault = self._accept_waiting()
-        if fault in SHORT_OF and self._resting is None:
-            self.stopReading()  # type: ignore[no-untyped-call]  # its readiness would be told over and over
-            self._resting = self.reactor.callLater(REST_S, self._accept_again)
+        if fault in EXHAUSTED and self._accept_timer is None:
+            self.stopReading()  # type: ignore[no-untyped-call]  # it would be reported ready over and over
+            self._accept_timer = self.reactor.callLater(ACCEPT_AGAIN_S, self._accept_again)
 
     def accept_last(self) -> None:
         """Accepts all that wait before the port closes, whatever fails in between."""
-        for _ in range(LAST_TRIES):
+        for _ in range(LAST_ACCEPT_ROUNDS):
             if self._accept_waiting() is None:
                 return
 
     def connectionLost(self, reason: Any) -> None:
-        if self._resting is not None and self._resting.active():
-            self._resting.cancel()
+        """The port is closed."""
+        if self._accept_timer is not None and self._accept_timer.active():
+            self._accept_timer.cancel()
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
     def _accept_again(self) -> None:
-        self._resting = None
+        self._accept_timer = None
         if self.connected:
             self.startReading()  # type: ignore[no-untyped-call]
             self.doRead()
 
     def _accept_waiting(self) -> int | None:
-        """Accepts until nothing waits, or until the system is short of something: then its error."""
+        """Accepts until nothing waits, or until the system is short of something: then its error number."""
         for _ in range(2 * self.backlog):
             try:
                 accepted, address = self.socket.accept()
@@ -86,10 +96,10 @@
                 if fault.errno in NOTHING_WAITS:
                     self.factory.nobody_waits()
                     return None
-                if fault.errno in SHORT_OF:
+                if fault.errno in EXHAUSTED:
                     self.factory.accept_failed()
                     return fault.errno
-                continue  # of one connection, which is no more: the next may be sound
+                continue  # one connection is lost: the next may be sound
             self._join(accepted, address)
         return None
 
--- a/vanerelay/net/engine_list_updates.py
+++ b/vanerelay/net/engine_list_updates.py
@@ -1,4 +1,4 @@
-"""Changes of the engine list: applied to the connections, the guard and the decisions, and forgotten in time."""
+"""Changes of the engine list: applied to the connections, the guard and the decisions."""
 
 from __future__ import annotations
 
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -1,7 +1,7 @@
 """The intake of queries: decode, validate, admit or reject, hold, submit to the decisions.
 
-A client's query goes through these steps once, in this order. What rejects it names its reason as a value, and
-one place answers. A query of the gateway itself takes the same way without a client.
+A client's query goes through these steps once, in this order. What rejects it names its reason as a value,
+and one place answers. A query of the gateway itself takes the same way without a client.
 """
 
 from __future__ import annotations
--- a/vanerelay/net/request_codec.py
+++ b/vanerelay/net/request_codec.py
@@ -1,4 +1,4 @@
-"""The named values of clients' requests and of rejections: the one place that knows their names on the wire."""
+"""The named values of clients' requests and of rejections, whose names on the wire stand here alone."""
 
 from __future__ import annotations
 
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -22,8 +22,9 @@
 from vanerelay.estimation import stable_hash
 from vanerelay.extension import DiscoveryAnswerListener, Extension, ExtensionHost, ListListener, StartupError
 from vanerelay.interface import SECOND
+from vanerelay.net.accepting_port import is_transient
 from vanerelay.net.buffers import Pool
-from vanerelay.net.client_connection import ClientListener
+from vanerelay.net.client_listener import ClientListener
 from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.engine_connection import ConnectionSettings
 from vanerelay.net.engine_pool import EnginePool
@@ -31,7 +32,6 @@
 from vanerelay.net.extensions import guarded
 from vanerelay.net.gateway_service import GatewayService
 from vanerelay.net.held_queries import InternalQuery
-from vanerelay.net.listener import passes
 from vanerelay.net.peer_gossip import PeerGossip
 from vanerelay.policy.gateway import Gateway, Health
 
@@ -159,7 +159,7 @@
             self.service,
             pool,
             clients,
-            lambda: self.clients.number + engines.connections() + OWN < descriptors,
+            lambda: self.clients.descriptor_count + engines.connections() + OWN < descriptors,
             self.events,
         )
         self._engines, self._drained = engines, Deferred[None]()
@@ -251,7 +251,7 @@
             self._terminate()
 
     def _may_listen_again(self, fault: CannotListenError) -> bool:
-        if not passes(fault) or self.reactor.seconds() >= self._listen_until:
+        if not is_transient(fault) or self.reactor.seconds() >= self._listen_until:
             return False
         log.warning("cannot listen yet", why=str(fault))
         return True
@@ -365,7 +365,7 @@
         self.service.draining = True
         self.reactor.callLater(CONNECTIONS_S, self._no_connections)
         self.reactor.callLater(REQUESTS_S, self._no_requests)
-        self.clients.each(lambda client: client.last())
+        self.clients.each(lambda client: client.stop_requests())
         for part in self._parts:
             guarded(part.draining)
         return self._drained
@@ -373,21 +373,23 @@
     def _no_connections(self) -> None:
         log.info(
             "no new connections from now on",
-            clients=self.clients.number,
+            clients=self.clients.descriptor_count,
             open=self.service.queries.open_count,
         )
         self.clients.stop_listening()
-        self.clients.each(lambda client: client.last())
+        self.clients.each(lambda client: client.stop_requests())
 
     def _no_requests(self) -> None:
         log.info(
-            "no new queries from now on", clients=self.clients.number, open=self.service.queries.open_count
+            "no new queries from now on",
+            clients=self.clients.descriptor_count,
+            open=self.service.queries.open_count,
         )
         self.reactor.callLater(0, self._await_answers)
         self.clients.each(lambda client: client.end_when_answered())
 
     def _await_answers(self) -> None:
-        if self.clients.number:
+        if self.clients.descriptor_count:
             self.reactor.callLater(0.01, self._await_answers)
             return
         self.roster.stop()
