--- a/bench/releases.py
+++ b/bench/releases.py
@@ -51,9 +51,10 @@
             time.sleep(1)
     threading.Thread(target=leak, daemon=True).start()""",
     "overfills engines": SERVES
-    + """    from vanerelay.policy import gateway as decide
-    decide.Ledger.fits = lambda self, grant, threads, part: True
-    decide.Peaks.size = lambda self, now, group, tables, told, cap: 6000.0""",
+    + """    from vanerelay.policy.memory_estimator import MemoryEstimator
+    from vanerelay.policy.reservations import Reservations
+    Reservations.fits = lambda self, memory, threads, share: True
+    MemoryEstimator.size = lambda self, now, service_class, table_group, estimated, cap: 6000.0""",
 }
 
 SITE = """name   = "{name}"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -40,7 +40,8 @@
     ServiceClass,
     SlowStartTerms,
 )
-from vanerelay.policy.gateway import Gateway, Query
+from vanerelay.policy.gateway import Gateway
+from vanerelay.policy.query import Query
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -78,17 +79,18 @@
         pause: int = 0,
         allowed: dict[str, Any] | None = None,
         number: int = 0,
+        now: int = 1000 * SECOND,
         **group: Any,
     ) -> None:
-        self.now, self.calls, self.timers, self.made = 1000 * SECOND, [], [], 0
+        self.now, self.calls, self.timers, self.made = now, [], [], 0
         self.group = dataclasses.replace(GROUP, **group)
-        other = dataclasses.replace(GROUP, threads=4)
+        self.service_classes = [self.group, dataclasses.replace(GROUP, threads=4)]
         allowances = dataclasses.replace(ALLOWED, **(allowed or {}))
         self.gateway = Gateway(
             self,
             7,
             GatewaySettings(
-                [self.group, other],
+                self.service_classes,
                 [MachineKind(16, 32000.0)] * 2,
                 FleetPosition(number, gateways, 0),
                 allowances,
@@ -116,7 +118,7 @@
         )
 
     def end(self, batch: Query, outcome: Outcome, memory: float = 400.0, lasted: int = 1500) -> None:
-        number = max(i for i, send in enumerate(batch.sends) if send.out)
+        number = max(i for i, attempt in enumerate(batch.attempts) if attempt.in_flight)
         returned = outcome is Outcome.COMPLETED
         batch.attempt_ended(number, AttemptResult(outcome, lasted, 1000 if returned else 0, memory), returned)
 
@@ -128,6 +130,14 @@
             callback()
         self.now = max(self.now, until)
 
+    def engine(self, index: int) -> Any:
+        """The engine of an index, as the gateway sees it."""
+        return self.gateway._engines.get(index)
+
+    def engines(self) -> list[Any]:
+        """All engines that the gateway knows, listed or not."""
+        return list(self.gateway._engines._engines.values())
+
     def did(self, name: str) -> list[Any]:
         return [call[1:] for call in self.calls if call[0] == name]
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -185,7 +185,7 @@
 def test_a_fault_in_the_module_is_reported_with_its_cause():
     host = Host()
     play(host, census(0, "engine_a"), *started())
-    host._instances[0]._gateway._peaks = None
+    host._instances[0]._gateway._queries = None
     orders = play(host, ingress("r-1"))
     assert orders[-1]["verb"] == "fatal" and "AttributeError" in orders[-1]["message"]
 
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -23,7 +23,12 @@
     RetryBudgetTerms,
     SlowStartTerms,
 )
-from vanerelay.policy.gateway import Door, Ledger, Peaks, Ramp, Ration
+from vanerelay.policy.engine_registry import ANYWHERE
+from vanerelay.policy.load_shedding import LoadShedder
+from vanerelay.policy.memory_estimator import SHAPE_LIFETIME, MemoryEstimator
+from vanerelay.policy.reservations import Reservations
+from vanerelay.policy.retry_budget import RetryBudget
+from vanerelay.policy.slow_start import SlowStart
 
 O = Outcome  # noqa: E741
 BUSY = 13_000.0  # over a slice of a third, so that one fills an engine
@@ -52,22 +57,22 @@
     ],
 )
 def test_grant_size(runs, told, cap, low, high):
-    peaks = Peaks(1)
+    memory = MemoryEstimator(1)
     for was_told, peak in runs:
-        peaks.learn(0, 0, 5, was_told, peak)
-    assert low <= peaks.size(1, 0, 5, told, cap) <= high
+        memory.learn(0, 0, 5, was_told, peak)
+    assert low <= memory.size(1, 0, 5, told, cap) <= high
 
 
-@pytest.mark.parametrize("forget", [lambda peaks: peaks.loaded(5), lambda peaks: None])
+@pytest.mark.parametrize("forget", [lambda memory: memory.forget_table_group(5), lambda memory: None])
 def test_shapes_expire_and_fall_to_a_load(forget):
-    peaks = Peaks(1)
+    memory = MemoryEstimator(1)
     for _ in range(40):
-        peaks.learn(0, 0, 5, 1000.0, 1000.0)
-        peaks.learn(0, 0, 6, 1000.0, 100.0)
-    assert peaks.size(1, 0, 5, 1000.0, 9e9) > 2 * peaks.size(1, 0, 6, 1000.0, 9e9)
-    forget(peaks)
-    later = 1 if (0, 5) not in peaks._shapes else Peaks.KEPT + 1
-    assert peaks.size(later, 0, 5, 1000.0, 9e9) < 2 * peaks.size(Peaks.KEPT + 1, 0, 6, 1000.0, 9e9)
+        memory.learn(0, 0, 5, 1000.0, 1000.0)
+        memory.learn(0, 0, 6, 1000.0, 100.0)
+    assert memory.size(1, 0, 5, 1000.0, 9e9) > 2 * memory.size(1, 0, 6, 1000.0, 9e9)
+    forget(memory)
+    later = 1 if (0, 5) not in memory._shapes else SHAPE_LIFETIME + 1
+    assert memory.size(later, 0, 5, 1000.0, 9e9) < 2 * memory.size(SHAPE_LIFETIME + 1, 0, 6, 1000.0, 9e9)
 
 
 @pytest.mark.parametrize(
@@ -82,11 +87,11 @@
     ],
 )
 def test_ledger_holds_grants_and_threads_against_the_slice(grant, threads, part, fits):
-    ledger = Ledger(3000.0, 16)
-    ledger.change(1000.0, 4, 1)
-    assert ledger.fits(grant, threads, part) is fits
-    ledger.change(-1000.0, -4, -1)
-    assert (ledger.granted, ledger.threads, ledger.running) == (0.0, 0, 0)
+    reservations = Reservations(3000.0, 16)
+    reservations.reserve(1000.0, 4)
+    assert reservations.fits(grant, threads, part) is fits
+    reservations.release(1000.0, 4)
+    assert (reservations.granted, reservations.threads, reservations.running) == (0.0, 0, 0)
 
 
 @pytest.mark.parametrize(
@@ -94,14 +99,16 @@
     [(0, 0, True), (0, 2, False), (10, 3, True), (10, 4, False), (100, 21, True), (100, 22, False)],
 )
 def test_ration_at_its_boundary(taken, spent, allowed):
-    ration = Ration(RetryBudgetTerms(10 * SECOND, 2, 0.2))
+    budget = RetryBudget(RetryBudgetTerms(10 * SECOND, 2, 0.2))
     for _ in range(taken):
-        ration.ring.add(SECOND, 1, 0)
+        budget.query_arrived(SECOND, earns_retries=True)
     for _ in range(spent):
-        ration.ring.add(SECOND, 0, 1)
-    assert ration.allows(SECOND) is allowed
-    assert ration.allows(SECOND, little=True) is (spent < 1 + taken // 10)  # half of it to the least worth
-    assert ration.allows(30 * SECOND)
+        budget.attempt_sent(SECOND, is_retry=True)
+    assert budget.allows(SECOND) is allowed
+    assert budget.allows(SECOND, is_low_value=True) is (
+        spent < 1 + taken // 10
+    )  # half of it to the least worth
+    assert budget.allows(30 * SECOND)
 
 
 @pytest.mark.parametrize(
@@ -111,15 +118,15 @@
 def test_cold_budget_holds_for_all_gateways_and_lets_batches_through(age, gateways, share):
     cold, work, sent, used = SlowStartTerms(0.3, 10 * SECOND, 3.0, 2 * SECOND), 5000, 0, 0
     for number in range(gateways):
-        ramp = Ramp(cold, "e7", 16, FleetPosition(number, gateways, 0), 2 * SECOND, 0)
-        ramp.began = 100 * SECOND
+        slow_start = SlowStart(cold, "e7", 16, FleetPosition(number, gateways, 0), 2 * SECOND, 0)
+        assert slow_start.engine_started(100 * SECOND)
         now = 100 * SECOND + age * SECOND
-        assert ramp.share(now) == pytest.approx(share)
-        used += 1 if ramp.allows(now, 0) else 0
-        while ramp.allows(now, work) and sent < 10**7:
-            ramp.sent.add(now, work)
+        assert slow_start.ramp_share(now) == pytest.approx(share)
+        used += 1 if slow_start.allows(now, 0) else 0
+        while slow_start.allows(now, work) and sent < 10**7:
+            slow_start.record_sent(now, work)
             sent += work
-        assert ramp.allows(now + 12 * SECOND, 10**9)
+        assert slow_start.allows(now + 12 * SECOND, 10**9)
     assert used == min(gateways, 8)
     assert 0.3 * 3.0 * 0.3 * 16 * 2 * SECOND <= sent <= 3.0 * share * 16 * 2 * SECOND
 
@@ -132,8 +139,7 @@
     began = 1000 * SECOND
 
     def world(number, now):
-        one = World(engines=0, gateways=30, number=number)
-        one.now = one.gateway._born = now
+        one = World(engines=0, gateways=30, number=number, now=now)
         one.gateway.update_engines([entry(0, started_at=began)], True)
         return one
 
@@ -144,7 +150,7 @@
         for one in worlds:
             one.run(now - one.now)
             for batch in [one.take(cost=cost, memory=1.0) for _ in range(12)]:
-                if batch.sends:
+                if batch.attempts:
                     sent.append(now)
                     batch.attempt_ended(0, AttemptResult(Outcome.COMPLETED, cost, cost, 1.0), True)
                 else:
@@ -171,9 +177,9 @@
     ],
 )
 def test_what_nobody_holds_is_lent_past_the_slice(gateways, others, age, part):
-    engine = World(engines=1, gateways=gateways).gateway._engines[0]
-    engine.heard(1000 * SECOND, LoadReport(memory_granted=others), 1.0)
-    assert engine.ours((1000 + age) * SECOND, 0.5, 1 / gateways) == pytest.approx(part)
+    engine = World(engines=1, gateways=gateways).engine(0)
+    engine.load_reported(1000 * SECOND, LoadReport(memory_granted=others), 1.0)
+    assert engine.own_share((1000 + age) * SECOND, 0.5, 1 / gateways) == pytest.approx(part)
 
 
 @pytest.mark.parametrize(
@@ -196,25 +202,24 @@
         world.gateway.receive_from_peer(number, b"\0\0\0\1")
     for _ in range(span // 50):
         world.run(500)
-    assert world.gateway.slice == pytest.approx(1 / parts)
+    assert world.gateway._capacity.share == pytest.approx(1 / parts)
     assert (len(world.did("send_to_peers")) >= span // 250) == (peers and 1 < gateways < 9)
     for number in heard:
         world.gateway.receive_from_peer(number, b"\0\0\0\1")
     world.run(3000)
-    assert world.gateway.slice == pytest.approx(1 / gateways)
+    assert world.gateway._capacity.share == pytest.approx(1 / gateways)
 
 
 @pytest.mark.parametrize(("theirs", "part"), [(0, 0.67), (100, 0.4), (200, 0.29), (10**9, 0.0)])
 def test_slices_go_by_what_comes_to_each_gateway(theirs, part):
     """Seen on sockets: a fifth pushed back at the gateway with half of the traffic, beside two with room."""
-    world = World(gateways=3)
-    world.gateway.allowed = dataclasses.replace(world.gateway.allowed, may_gossip=True)
+    world = World(gateways=3, allowed={"may_gossip": True})
     for _ in range(100):
         world.run(SECOND // 10)
         world.take().client_left()
         for number, need in ((1, theirs), (2, 50)):
             world.gateway.receive_from_peer(number, need.to_bytes(4, "big"))
-    assert world.gateway.slice == pytest.approx(part, abs=0.03)
+    assert world.gateway._capacity.share == pytest.approx(part, abs=0.03)
 
 
 @pytest.mark.parametrize(
@@ -225,9 +230,12 @@
     world = World(engines=engines, gateways=gateways)
     for _ in range(60):
         world.take(memory=9000.0)
-    for world.gateway.pool.running in (0, 20):  # as many as run: 30% of all traffic was kept to eight of 32
-        most = min(engines, max(kept, world.gateway.pool.running))
-        assert len(list(world.gateway._kept(PlacementConstraints(None, None, None)))) == most
+    for world.gateway._engines.pool.running in (
+        0,
+        20,
+    ):  # as many as run: 30% of all traffic was kept to eight of 32
+        most = min(engines, max(kept, world.gateway._engines.pool.running))
+        assert len(list(world.gateway._engines.candidates(world.now, ANYWHERE))) == most
     most = max(1.0, 1.25 * engines * 32000 / gateways / 9000) if engines else 0
     assert len(world.did("send_attempt")) <= most + 2 and len(world.did("send_attempt")) >= min(sent, 1)
 
@@ -237,9 +245,9 @@
     keepers, moved = [0] * engines, 0
     for number in range(0, gateways):
         world = World(engines=engines, gateways=gateways, number=number)
-        before = {e.entry.index for e in world.gateway._kept(PlacementConstraints(None, None, None))}
+        before = {e.entry.index for e in world.gateway._engines.candidates(world.now, ANYWHERE)}
         world.gateway.update_engines([dataclasses.replace(world.entries[0], state=EngineState.GONE)], False)
-        after = {e.entry.index for e in world.gateway._kept(PlacementConstraints(None, None, None))}
+        after = {e.entry.index for e in world.gateway._engines.candidates(world.now, ANYWHERE)}
         moved += len(after - before)
         for engine in before:
             keepers[engine] += 1
@@ -252,13 +260,15 @@
     trials = 0.0
     for number in range(min(gateways, 8)):
         world = World(engines=2, gateways=gateways, number=number)
-        world.gateway._engines[0].health.lost = True
-        world.gateway._looked_after[0] = world.gateway._engines[0]
-        world.gateway._looked_after[0].health.level, world.gateway._engines[0].health.tried = 0.0, world.now
+        sick = world.engine(0)
+        sick.health.is_lost = True
+        sick.health.level = 0.0
+        sick.health.tried_at = world.now
+        world.gateway._monitor.watch(sick)
         for _ in range(200):
             world.run(500)
             batch = world.take()
-            if batch.sends and batch.sends[0].out and batch.sends[0].engine.entry.index == 1:
+            if batch.attempts and batch.attempts[0].in_flight and batch.attempts[0].engine.entry.index == 1:
                 world.end(batch, O.COMPLETED)
         tried = sum(d[1] == 0 for d in world.did("send_attempt"))
         trials += tried / 10 * gateways / min(gateways, 8)
@@ -269,13 +279,13 @@
     ("waited", "cheap", "dear"), [(0.0, True, True), (0.2, True, False), (0.5, True, False)]
 )
 def test_the_door_turns_away_what_earns_least_for_its_work(waited, cheap, dear):
-    door = Door(10_000)
+    shedder = LoadShedder(10_000)
     for count in range(50):
-        door.admits(1.0, 100.0 + count)
-        door.admits(1.0, 1000.0 + count)
+        shedder.admits(1.0, 100.0 + count)
+        shedder.admits(1.0, 1000.0 + count)
     for _ in range(400):
-        door.look(int(waited * 10_000))
-    assert (door.admits(1.0, 90.0), door.admits(1.0, 1060.0)) == (cheap, dear)
+        shedder.adjust(int(waited * 10_000))
+    assert (shedder.admits(1.0, 90.0), shedder.admits(1.0, 1060.0)) == (cheap, dear)
 
 
 def test_a_gateway_that_stood_still_does_not_blame_the_engines():
@@ -285,27 +295,27 @@
     world.run(500)
     world.now += 3 * SECOND
     world.run(0)
-    assert world.gateway._engines[0].health.level > 0.5
+    assert world.engine(0).health.level > 0.5
 
 
 def test_loads_and_what_waits_for_them_lean_apart():
     world = World(engines=4, waits_for_data_loads=True)
-    world.gateway._groups[1] = dataclasses.replace(world.gateway._groups[1], is_data_load=True)
+    world.service_classes[1] = dataclasses.replace(world.service_classes[1], is_data_load=True)
     sides = [{0: set(), 1: set()} for _ in range(2)]
     for count in range(60):
         group = count % 2
         batch = world.take(memory=50.0, group=group, tables=count % 4 // 2)
-        sides[group][count % 4 // 2].add(batch.sends[0].engine.entry.index)
+        sides[group][count % 4 // 2].add(batch.attempts[0].engine.entry.index)
         world.end(batch, O.COMPLETED)
     assert all(len(sides[0][t] & sides[1][t]) <= 1 for t in (0, 1))
-    assert not any(engine.health.paced for engine in world.gateway._engines.values())  # they may stand still
+    assert not any(engine.health.has_pace for engine in world.engines())  # they may stand still
 
 
 def test_line_is_first_come_and_holds_nothing():
     world = World(engines=1, gateways=3)
     first = world.take(memory=9000.0)
     held = [world.take(memory=m) for m in (9000.0, 3000.0, 9000.0)]
-    assert len(world.did("send_attempt")) == 1 and all(not b.sends for b in held)
+    assert len(world.did("send_attempt")) == 1 and all(not b.attempts for b in held)
     world.end(first, O.COMPLETED, memory=0.0)
     assert [d[0] for d in world.did("send_attempt")] == [1, 2]
     world.end(held[0], O.COMPLETED, memory=0.0)
@@ -343,9 +353,9 @@
     world = World(idempotency=effect, deduplication_scope=scope)
     batch = world.take()
     world.end(batch, outcome)
-    assert (len(batch.sends) == 2) is again
+    assert (len(batch.attempts) == 2) is again
     for _ in range(3):
-        if any(send.out for send in batch.sends):
+        if any(attempt.in_flight for attempt in batch.attempts):
             world.end(batch, outcome)
         world.run(SECOND)
     world.run(12 * SECOND)
@@ -368,13 +378,13 @@
         [entry(0, **{field: 1}), entry(1, **{field: 2}), entry(2, **{field: 1})], True
     )
     batch = world.take()
-    home = getattr(batch.sends[0].engine.entry, field)
+    home = getattr(batch.attempts[0].engine.entry, field)
     world.end(batch, O.FAILED)
-    assert all(getattr(send.engine.entry, field) == home for send in batch.sends)
+    assert all(getattr(attempt.engine.entry, field) == home for attempt in batch.attempts)
     late = world.take()
     world.run(2 * SECOND)
     world.end(late, O.FAILED, lasted=2 * SECOND)
-    assert len(late.sends) == 1 and (late.arrival.index,) in world.did("fail")
+    assert len(late.attempts) == 1 and (late.arrival.index,) in world.did("fail")
 
 
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE, None])
@@ -407,16 +417,16 @@
     world = World(ordered=True, pause=SECOND, late_value=0.9)
     batches = [world.take(key=5) for _ in range(3)]
     other = world.take(key=6)
-    assert [len(b.sends) for b in (*batches, other)] == [1, 0, 0, 1]
+    assert [len(b.attempts) for b in (*batches, other)] == [1, 0, 0, 1]
     world.end(batches[0], O.COMPLETED)
-    assert [len(b.sends) for b in batches] == [1, 1, 0]
+    assert [len(b.attempts) for b in batches] == [1, 1, 0]
     batches[1].client_left()
-    assert not batches[2].sends  # a dispatch without an outcome is still out
+    assert not batches[2].attempts  # a dispatch without an outcome is still out
     world.end(batches[1], O.RESET)
     world.run(SECOND - 100)
-    assert not batches[2].sends
+    assert not batches[2].attempts
     world.run(400)
-    assert len(batches[2].sends) == 1
+    assert len(batches[2].attempts) == 1
 
 
 @pytest.mark.parametrize("engines", [0, 1, 3])
@@ -430,10 +440,10 @@
     while world.now < start + 120_000:
         world.run(50)
         for batch in batches:
-            for number, send in enumerate(batch.sends):
-                assert world.now <= ends[batch.arrival.index] or not send.out
-                if send.out and any(
-                    d[0] == batch.arrival.index and send.sent + d[2] <= world.now
+            for number, attempt in enumerate(batch.attempts):
+                assert world.now <= ends[batch.arrival.index] or not attempt.in_flight
+                if attempt.in_flight and any(
+                    d[0] == batch.arrival.index and attempt.sent_at + d[2] <= world.now
                     for d in world.did("send_attempt")
                 ):
                     batch.attempt_ended(number, AttemptResult(O.TIMED_OUT, 1), False)
@@ -446,13 +456,13 @@
 
 def test_a_silent_engine_is_left_alone_then_tried():
     world = World(engines=2)
-    stuck = [b for b in (world.take() for _ in range(40)) if b.sends[0].engine.entry.index == 0]
+    stuck = [b for b in (world.take() for _ in range(40)) if b.attempts[0].engine.entry.index == 0]
     for batch in list(stuck):
-        assert batch.sends[0].out
+        assert batch.attempts[0].in_flight
     for _ in range(100):
         world.run(200)
         for batch in [world.take(), world.take()]:
-            if batch.sends and batch.sends[0].engine.entry.index == 1:
+            if batch.attempts and batch.attempts[0].engine.entry.index == 1:
                 world.end(batch, O.COMPLETED)
     late = [d for d in world.did("send_attempt")[-60:] if d[1] == 0]
     assert len(late) <= 3
@@ -466,10 +476,10 @@
     for count in range(400):
         world.run(200)
         batch = world.take()
-        engine = batch.sends[0].engine.entry.index
+        engine = batch.attempts[0].engine.entry.index
         bad = count % 3 == 0 or engine < sick
         batch.attempt_ended(0, AttemptResult(outcome if bad else O.COMPLETED, 100), True)
-    levels = [engine.health.level for _, engine in sorted(world.gateway._engines.items())]
+    levels = [engine.health.level for _, engine in sorted(world.gateway._engines._engines.items())]
     assert min(levels[sick:]) > 0.5 and max(levels[:sick], default=0.0) < 0.3
 
 
@@ -481,11 +491,13 @@
         there = [entry(number), entry(number - 1, state=EngineState.GONE)]
         world.gateway.update_engines(there, number % 2 == 0)
         world.run(100)
-    kept = {39, batch.sends[0].engine.entry.index}
-    assert set(world.gateway._engines) - {0, 1} == {39} and kept <= set(world.gateway._engines)
+    kept = {39, batch.attempts[0].engine.entry.index}
+    assert set(world.gateway._engines._engines) - {0, 1} == {39} and kept <= set(
+        world.gateway._engines._engines
+    )
     world.end(batch, O.COMPLETED)
     world.gateway.update_engines([entry(40)], True)
-    assert set(world.gateway._engines) == {40} and set(world.gateway._looked_after) <= {40}
+    assert set(world.gateway._engines._engines) == {40} and set(world.gateway._monitor._watched) <= {40}
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -496,7 +508,7 @@
     batch.client_left()
     assert world.did("cancel_attempt") == ([(1, 0)] if may_cancel else [])
     world.end(batch, O.CANCELLED)
-    assert world.gateway.pool.running == 0 and len(world.did("send_attempt")) == 1
+    assert world.gateway._engines.pool.running == 0 and len(world.did("send_attempt")) == 1
 
 
 def test_a_dead_engine_is_tried_and_comes_back_as_a_cold_one():
@@ -504,19 +516,19 @@
     batch, other = world.take(), world.take()
     world.end(other, O.RESET)
     world.run(200)
-    assert world.gateway._engines[0].health.level > 0.1  # one broken connection is no dead process
+    assert world.engine(0).health.level > 0.1  # one broken connection is no dead process
     world.end(batch, O.NO_CONNECTION)
     world.end(other, O.NO_CONNECTION)
     other.client_left()
-    assert world.gateway._engines[0].health.level == 0.0
+    assert world.engine(0).health.level == 0.0
     world.run(600)
-    assert len(batch.sends) == 1  # not before a while has passed
+    assert len(batch.attempts) == 1  # not before a while has passed
     world.run(SECOND)
-    assert len(batch.sends) == 2
+    assert len(batch.attempts) == 2
     world.gateway.update_engines([entry(0, started_at=world.now - 50)], False)
     world.run(SECOND)
-    assert world.gateway._engines[0].health.level > 0.4  # a new process owes nothing for the old one
-    assert world.gateway._engines[0].ramp.share(world.now) < 0.5
+    assert world.engine(0).health.level > 0.4  # a new process owes nothing for the old one
+    assert world.engine(0).slow_start.ramp_share(world.now) < 0.5
 
 
 @pytest.mark.parametrize(("share", "most"), [(1.0, 0.06), (0.8, 0.1)])
@@ -525,7 +537,7 @@
     for count in range(600):
         world.run(2000)
         batch = world.take(limit=10 * SECOND)
-        bad = batch.sends[0].engine.entry.index == 0
+        bad = batch.attempts[0].engine.entry.index == 0
         sent += 1 if bad else 0
         report = LoadReport(running=0.0 if bad else 20.0)
         outcome = O.FAILED if bad and count % 10 < share * 10 else O.COMPLETED
@@ -565,9 +577,9 @@
     full.gateway.update_engines([entry(0, weight=weight), entry(1, weight=0.0)], True)
     for _ in range(60):
         full.take(memory=2000.0)
-    held = full.gateway._engines[0].ledger.granted
+    held = full.engine(0).reservations.granted
     assert held <= max(32000.0 * min(1.0, weight), 3000.0) and (weight == 0.0) == (held == 0.0)
-    assert full.gateway._engines[1].ledger.granted == 0.0
+    assert full.engine(1).reservations.granted == 0.0
 
 
 def test_a_weight_of_0_is_no_drain_and_its_end_sends_no_burst_to_a_cold_engine():
@@ -575,14 +587,13 @@
     batch = world.take()
     world.gateway.update_engines([entry(0, weight=0.0)], False)
     waiting = [world.take() for _ in range(5)]
-    assert [b.held for b in waiting] == [True] * 5 and not world.did("reject") and not world.did("fail")
+    assert [b.is_held for b in waiting] == [True] * 5 and not world.did("reject") and not world.did("fail")
     world.end(batch, Outcome.COMPLETED)  # what it runs goes on to its end
-    assert not any(b.sends for b in waiting)
+    assert not any(b.attempts for b in waiting)
     world.gateway.update_engines([entry(0, weight=10.0, started_at=world.now)], False)
     for _ in range(400):
         world.take(cost=20_000)
-    ramp, now = world.gateway._engines[0].ramp, world.now
-    spent = ramp.sent.total(now, 0)
+    spent = world.engine(0).slow_start.sent_work(world.now)
     assert 0.0 < spent <= COLD.overload_multiple * 16 * COLD.overload_window * COLD.initial_share
 
 
@@ -602,15 +613,15 @@
         )
         world.gateway.update_engines([there[name]], False)
         for bounds in (
-            PlacementConstraints(None, None, None),
+            ANYWHERE,
             PlacementConstraints((1,), None, None),
             PlacementConstraints((0, 2), None, 1),
         ):
-            kept = {e.entry.index for e in world.gateway._kept(bounds)}
+            kept = {e.entry.index for e in world.gateway._engines.candidates(world.now, bounds)}
             up = {n for n, e in there.items() if e.state is EngineState.UP and e.weight and bounds.allow(e)}
             assert kept <= up and (len(kept) == len(up) or len(kept) >= 8), step
         memory = sum(32000.0 * min(1.0, e.weight) for e in there.values() if e.state is EngineState.UP)
-        assert abs(world.gateway.pool.memory - 1.0 - memory) < 1e-3
+        assert abs(world.gateway._engines.pool.memory - 1.0 - memory) < 1e-3
 
 
 def test_what_is_handed_to_proxies_is_not_filled_twice():
@@ -622,7 +633,7 @@
         world.gateway.set_proxy_share(part)
         for _ in range(40):
             world.take(memory=BUSY / 2)
-        held = sum(e.ledger.granted for e in world.gateway._engines.values())
+        held = sum(e.reservations.granted for e in world.engines())
         assert held <= 64000.0 * (1.0 - part) + 2 * BUSY and (part or held > 40000.0)
         assert len(world.did("send_attempt")) <= most
         assert [c.capacity_share for c in world.gateway.engine_statuses()] == whole  # for both together
@@ -636,7 +647,7 @@
         world.gateway.update_engines([entry(0, started_at=world.now)], True)
         for _ in range(400):
             world.take(cost=20_000)
-        sent.append(world.gateway._engines[0].ramp.sent.total(world.now, 0))
+        sent.append(world.engine(0).slow_start.sent_work(world.now))
         (cold,) = world.gateway.engine_statuses()
         assert not cold.warmed_up and cold.ramp_share == pytest.approx(0.3)
     assert 0.0 < sent[1] <= sent[0] / 2 + 20_000
@@ -675,6 +686,6 @@
     batch = world.take(memory=10.0)
     world.end(batch, outcome)
     world.run(SECOND)
-    assert len(batch.sends) == again
+    assert len(batch.attempts) == again
     world.run(2 * SECOND)
-    assert len(batch.sends) == 2
+    assert len(batch.attempts) == 2
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -504,7 +504,7 @@
         monkeypatch.setattr(gateway, "submit", fault)
         served.ask(1)
     elif broken == "beat":
-        monkeypatch.setattr(gateway, "_look_over", fault)
+        monkeypatch.setattr(gateway, "_review", fault)
         served.ask(1)
         served.advance(4.9)
         assert served.answers() == []
@@ -514,7 +514,7 @@
         member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
         served.service.listed(EngineListChange(1, True, [member]))
         served.ask(1, service="load")
-        monkeypatch.setattr(gateway, "heard", fault)
+        monkeypatch.setattr(gateway._feedback, "engine_responded", fault)
         protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
         protocol.makeConnection(wire)
         protocol.dataReceived(command(b"%016x" % 1, b"ERR", b"-", b""))
@@ -695,7 +695,7 @@
         served.service.sweep()
     assert served.service._names.all() == {served.service._names.index("e59")}
     assert len(served.engines._processes) == len(served.engines._lives) == len(served.engines._addresses) == 1
-    assert len(served.service._gateway._engines) == 1 and not served.service._gone
+    assert len(served.service._gateway._engines._engines) == 1 and not served.service._gone
 
 
 def test_a_warning_that_anybody_can_cause_is_sparing(capsys):
@@ -797,7 +797,7 @@
     protocol.makeConnection(wire)
     protocol.dataReceived(command(b"%016x" % 2, b"OK", b"total=1", b"a\tb\tc\n"))
     assert served.answers()[1:] == [(2, frames.COMPLETED)] and served.service.open == 0
-    assert not served.service.gateway.out
+    assert not served.service.gateway._attempts
 
 
 def test_a_change_of_the_list_that_fails_does_not_take_the_next_along():
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -348,17 +348,17 @@
         world.end(batch, Outcome.COMPLETED)
     nobody = QueryArrival(91, 0, 0, None, world.now + 10 * SECOND, 1000, 500.0, 0, False, frozenset({9}))
     waiting = world.gateway.submit(nobody)
-    assert waiting.held and not waiting.sends
-    assert world.take().sends, "others go by"
+    assert waiting.is_held and not waiting.attempts
+    assert world.take().attempts, "others go by"
     nobody.eligible_engines = frozenset({1})  # news have come
     world.run(SECOND // 2)
-    assert waiting.sends and world.did("send_attempt")[-1][:2] == (91, 1)
+    assert waiting.attempts and world.did("send_attempt")[-1][:2] == (91, 1)
 
 
 def test_placement_comes_before_a_hint():
     world = Module(engines=2, zones=(1,))
     arrival = QueryArrival(90, 0, 0, None, world.now + SECOND, 1000, 500.0, 0, False, frozenset({0, 1}))
-    assert not world.gateway.submit(arrival).sends
+    assert not world.gateway.submit(arrival).attempts
 
 
 # What operators write, what engines say.
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -149,11 +149,12 @@
 
 
 ERRING = {
-    "drain": "decide.Query.may_begin = lambda self, attempt: True\n"
-    "decide.Gateway._list = lambda self, engine, listed, real=decide.Gateway._list: real(self, engine, True)",
-    "budget": "decide.Ration.allows = lambda self, now, little=False: True",
-    "effect": "decide.Query.allowed_until = lambda self, before=None: float('inf')\n"
-    "decide.Gateway.worth_more = lambda self, batch: True",
+    "drain": "query.Query.may_begin = lambda self, number: True\n"
+    "registry = engine_registry.EngineRegistry\n"
+    "registry._set_listed = lambda self, engine, is_listed, real=registry._set_listed: real(self, engine, True)",
+    "budget": "retry_budget.RetryBudget.allows = lambda self, now, is_low_value=False: True",
+    "effect": "query.Query.repeatable_until = lambda self, before=None: float('inf')\n"
+    "retry_policy.RetryPolicy.should_retry = lambda self, now, query: True",
 }
 
 
@@ -163,7 +164,7 @@
     shim = tmp_path / "erring"
     shim.mkdir()
     (shim / "sitecustomize.py").write_text(
-        f"from vanerelay.policy import gateway as decide\n{ERRING[fault]}\n"
+        f"from vanerelay.policy import engine_registry, query, retry_budget, retry_policy\n{ERRING[fault]}\n"
     )
     one, two = (started.engine(returns if fault == "drain" else errs) for _ in "ab")
     safety = {**SERVICES["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -11,6 +11,7 @@
 from vanerelay.interface import (
     SECOND,
     AttemptResult,
+    FleetPosition,
     GatewaySettings,
     MachineKind,
     Outcome,
@@ -18,7 +19,8 @@
     RetryBudgetTerms,
     SlowStartTerms,
 )
-from vanerelay.policy.gateway import Gateway, Peaks
+from vanerelay.policy.gateway import Gateway
+from vanerelay.policy.memory_estimator import MemoryEstimator
 
 NOTES, LOOK = {"may_cancel": True, "progress_interval": SECOND // 2}, SERVICES["classes"][0]
 
@@ -46,16 +48,18 @@
     world.run(SECOND // 5)
     if world.did("cancel_attempt"):
         world.end(batch, Outcome.CANCELLED)
-    assert (0 if batch.over else len(batch.sends)) == sends and len(world.did("reject")) == batch.over
+    assert (0 if batch.is_ended else len(batch.attempts)) == sends and len(
+        world.did("reject")
+    ) == batch.is_ended
 
 
 def test_a_grant_takes_what_is_used_where_engines_page():
     for pages, size, holds in ((False, 500, 500), (True, 630, 399)):
-        peaks = Peaks(1, pages)
+        memory = MemoryEstimator(1, pages)
         for _ in range(40):
-            peaks.learn(0, 0, 5, 1000.0, 400.0)
-        grant = peaks.size(1, 0, 5, 1000.0, 9e9)
-        assert size <= grant < 1.2 * size and holds <= peaks.holds(1, 0, 5, 1000.0, grant) < 1.2 * holds
+            memory.learn(0, 0, 5, 1000.0, 400.0)
+        grant = memory.size(1, 0, 5, 1000.0, 9e9)
+        assert size <= grant < 1.2 * size and holds <= memory.reserved(1, 0, 5, 1000.0, grant) < 1.2 * holds
 
 
 @pytest.mark.parametrize(
@@ -69,15 +73,15 @@
     ],
 )
 def test_pace_moves_the_level_beside_the_rest_and_what_is_lent(slowdowns, usual, level, lent):
-    engine = World(engines=1, gateways=50).gateway._engines[0]
+    engine = World(engines=1, gateways=50).engine(0)
     for slowdown in slowdowns:
-        engine.health.ran(slowdown, 1.0)
-    assert engine.ours(1000 * SECOND, 1.0, 0.02, 0.5) == pytest.approx(lent, abs=0.01)
+        engine.health.run_observed(slowdown, 1.0)
+    assert engine.own_share(1000 * SECOND, 1.0, 0.02, 0.5) == pytest.approx(lent, abs=0.01)
     for beat in range(40):
-        engine.health.look(beat * SECOND // 4, 0.0, usual)
+        engine.health.review(beat * SECOND // 4, 0.0, usual)
     assert engine.health.level == pytest.approx(level, abs=0.01)
     engine.health.level = 0.0
-    engine.health.ran(1.0, 1.0)
+    engine.health.run_observed(1.0, 1.0)
     assert engine.health.pace == 0.0  # a trial stands for all before it
 
 
@@ -101,7 +105,7 @@
         GatewaySettings(
             groups,
             [MachineKind(16, memory)],
-            old._place,
+            FleetPosition(0, 1, 0),
             ALLOWED,
             cold,
             RetryBudgetTerms(0, 0, 0.0),
@@ -118,38 +122,40 @@
     world = World(engines=2)
     for _ in range(60):
         world.end(world.take(memory=500.0), Outcome.COMPLETED, memory=2000.0)
-    batch, sick = world.take(memory=500.0), world.gateway._engines[0]
+    batch, sick = world.take(memory=500.0), world.engine(0)
     sick.health.level = 0.4
-    old, engines = switch(world, **change), world.gateway._engines.values()
-    assert sum(e.ledger.granted for e in engines) == batch.sends[0].grant and not old.is_finished()
-    assert world.gateway._ration.ring is old._ration.ring
-    old._looked_after.clear()
+    old, engines = switch(world, **change), world.engines()
+    assert sum(e.reservations.granted for e in engines) == batch.attempts[0].grant and not old.is_finished()
+    assert world.gateway._retry_budget._counts is old._retry_budget._counts
+    old._monitor._watched.clear()
     world.run(SECOND)
-    assert sick.health is world.gateway._engines[0].health and sick.health.level > 0.7
-    assert (world.take(memory=500.0).sends[0].grant > 1500.0) is learned
+    assert sick.health is world.engine(0).health and sick.health.level > 0.7
+    assert (world.take(memory=500.0).attempts[0].grant > 1500.0) is learned
     switch(world, memory=16000.0)
-    assert sum(e.ledger.granted for e in world.gateway._engines.values()) == 0.0
+    assert sum(e.reservations.granted for e in world.engines()) == 0.0
     world.end(batch, Outcome.COMPLETED)
     world.run(30 * SECOND)
-    assert batch.over and old.is_finished() and not world.did("reject") and len(world.timers) == 2
+    assert batch.is_ended and old.is_finished() and not world.did("reject") and len(world.timers) == 2
 
 
 def test_cold_engines_and_order_know_no_switch():
     world = World(engines=1, ordered=True)
     world.gateway.update_engines([entry(0, started_at=world.now)], False)
     first = [world.take(key=key, memory=10.0, cost=10) for key in (8, 9)]
-    world.gateway._engines[0].ramp.sent.add(world.now, 10**9)
+    world.engine(0).slow_start.record_sent(world.now, 10**9)
     old, second = switch(world, ordered=True), [world.take(key=8, memory=10.0)]
     for gateway, known in ((old, [0]), (world.gateway, [0, 1])):  # the old one sends to no engine that comes
         gateway.update_engines([entry(1)], False)
-        assert sorted(gateway._engines) == known and not gateway._engines[0].ramp.allows(world.now, 1)
-        assert gateway._engines[0].ramp is old._engines[0].ramp
+        assert sorted(gateway._engines._engines) == known and not gateway._engines.get(0).slow_start.allows(
+            world.now, 1
+        )
+        assert gateway._engines.get(0).slow_start is old._engines.get(0).slow_start
     for batch in first:
         batch.attempt_ended(0, AttemptResult(Outcome.RESET, 1), True)
     second.append(world.take(key=9, memory=10.0))
     for span, sends in ((SECOND - 100, 0), (300, 1)):
         world.run(span)
-        assert [len(batch.sends) for batch in second] == [sends, sends]
+        assert [len(batch.attempts) for batch in second] == [sends, sends]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -309,12 +309,14 @@
         told = (70 + number, 0, 0, None, world.now + SECOND, 1000, 500.0, 7, False, frozenset({1}), True)
         own = QueryArrival(*told)
         batch = world.gateway.submit(own)
-        assert world.did("send_attempt")[-1][:2] == (70 + number, 1) and world.gateway.pool.running == 1
+        assert (
+            world.did("send_attempt")[-1][:2] == (70 + number, 1) and world.gateway._engines.pool.running == 1
+        )
         world.end(batch, Outcome.COMPLETED)
-    assert world.gateway.pool.running == 0
+    assert world.gateway._engines.pool.running == 0
     batch = world.take()
     world.end(batch, Outcome.FAILED)
-    assert len(batch.sends) == 1, "one batch of clients earns half a dispatch, ours none"
+    assert len(batch.attempts) == 1, "one batch of clients earns half a dispatch, ours none"
 
 
 # What operators write.
--- a/vanerelay/fleet/release.py
+++ b/vanerelay/fleet/release.py
@@ -11,7 +11,35 @@
 
 from vanerelay import __version__
 
-POLICY = ("policy/gateway.py", "estimation.py")  # the files that decide, beside this package
+POLICY = (
+    "estimation.py",
+    "policy/admission_queue.py",
+    "policy/attempt.py",
+    "policy/attempt_supervisor.py",
+    "policy/attempt_timeout.py",
+    "policy/capacity_share.py",
+    "policy/engine.py",
+    "policy/engine_monitor.py",
+    "policy/engine_registry.py",
+    "policy/feedback.py",
+    "policy/fitting.py",
+    "policy/gateway.py",
+    "policy/housekeeping.py",
+    "policy/key_ordering.py",
+    "policy/load_shedding.py",
+    "policy/memory_estimator.py",
+    "policy/outlier_detection.py",
+    "policy/placement.py",
+    "policy/preference_order.py",
+    "policy/query.py",
+    "policy/query_factory.py",
+    "policy/reservations.py",
+    "policy/retry_budget.py",
+    "policy/retry_policy.py",
+    "policy/runtime_estimator.py",
+    "policy/slow_start.py",
+)
+"""The files that decide, beside this package."""
 OWN = ("position", "az")  # settings that are each manager's own
 SHORT = 12  # hex digits that people are shown
 
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -33,7 +33,8 @@
 from vanerelay.net.held_queries import InternalQuery
 from vanerelay.net.listener import passes
 from vanerelay.net.peer_gossip import PeerGossip
-from vanerelay.policy.gateway import Gateway, Health
+from vanerelay.policy.gateway import Gateway
+from vanerelay.policy.outlier_detection import MIN_SILENCE, OVERDUE_FACTOR
 
 Join = Callable[[ExtensionHost], list[Extension]]
 
@@ -112,7 +113,7 @@
         pool = Pool()
         descriptors = int(told["limits"].get("sockets") or 1024)
         clients = max(1, descriptors // CLIENT_SHARE)
-        patience_s = Health.QUIET * Health.PATIENCE / SECOND
+        patience_s = MIN_SILENCE * OVERDUE_FACTOR / SECOND
         connections = ConnectionSettings(
             most_attempts=int(limits.get("multiplex") or 1),
             may_cancel=allowed.may_cancel,
--- a/vanerelay/policy/attempt.py
+++ b/vanerelay/policy/attempt.py
@@ -1,69 +1,103 @@
-"""What the decision module remembers of dispatches and of the engines listed. Nothing here chooses."""
+"""What is remembered of an attempt, and the table of all attempts in flight."""
 
 from __future__ import annotations
 
-from bisect import bisect_left, insort
+from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Generic, Protocol, TypeVar
+from typing import TYPE_CHECKING, NamedTuple
 
-from vanerelay.interface import EngineEntry, PlacementConstraints
+from vanerelay.estimation import SlidingSums
+from vanerelay.interface import SECOND
+from vanerelay.policy.engine import Engine
+from vanerelay.policy.outlier_detection import MIN_SILENCE
 
-E = TypeVar("E")
+if TYPE_CHECKING:
+    from vanerelay.policy.query import Query
 
+LOSS_SPAN = 10 * SECOND
+"""Span over which lost answers are counted."""
 
-@dataclass(slots=True)
-class Attempt(Generic[E]):
-    """One attempt of a batch. Times in tenths of a millisecond, memory in MB."""
 
-    engine: E
+@dataclass(slots=True)
+class Attempt:
+    """One attempt of a query.
+
+    Attributes:
+        grant: The memory grant in MB.
+        reserved: What it holds of its engine's memory, in MB.
+        heard_at: When its engine last told of it.
+        may_have_run: Whether the query may have run; until an outcome proves that it never did.
+        is_waiting: Whether it waits at its engine, as that reported: no progress reports are due.
+        is_lost: Whether its answer is taken for lost, as reports have stopped: it holds nothing any more.
+    """
+
+    engine: Engine
     grant: float
-    holds: float  # of the engine's memory
-    sent: int
-    heard: int
-    out: bool = True
-    ran: bool = True  # until an outcome proves that it never did
-    waits: bool = False  # at its engine, as it told: no notes of progress are due
-    lost: bool = False  # its answer, as its notes stopped: it holds nothing there any more
+    reserved: float
+    sent_at: int
+    heard_at: int
+    in_flight: bool = True
+    may_have_run: bool = True
+    is_waiting: bool = False
+    is_lost: bool = False
 
 
-class Listed(Protocol):
-    entry: EngineEntry
+class AttemptReference(NamedTuple):
+    """An attempt by its query and its number there, from 0."""
 
+    query: Query
+    number: int
 
-L = TypeVar("L", bound=Listed)
+    @property
+    def attempt(self) -> Attempt:
+        """The attempt's record."""
+        return self.query.attempts[self.number]
 
 
-class Order(Generic[L]):
-    """The listed engines by a figure and their name, and the same by each of the bounds asked for."""
+class AttemptTable:
+    """All attempts in flight, in the order sent, and how many answers were lost of late.
 
-    MOST = 64  # bounds kept apart
+    Attempts are found by identity, and know nothing of their queries: records without reference cycles are
+    freed at once, as automatic garbage collection is off.
+    """
 
     def __init__(self) -> None:
-        self.all = list[tuple[int, str, L]]()
-        self.names = list[str]()  # in their own order
-        self._within = dict[PlacementConstraints, list[tuple[int, str, L]]]()
+        self._in_flight: dict[int, AttemptReference] = {}
+        self._lost = SlidingSums(LOSS_SPAN, 1)
+        self._progress_seen = False
 
     def __len__(self) -> int:
-        return len(self.all)
-
-    def put(self, figure: int, engine: L) -> None:
-        insort(self.names, engine.entry.name)
-        for places in self._lists(engine.entry):
-            insort(places, (figure, engine.entry.name, engine), key=lambda place: place[:2])
-
-    def drop(self, figure: int, engine: L) -> None:
-        """Takes one out again, under the entry that it was put in with."""
-        name = engine.entry.name
-        del self.names[bisect_left(self.names, name)]
-        for places in self._lists(engine.entry):
-            del places[bisect_left(places, (figure, name), key=lambda place: place[:2])]
-
-    def within(self, bounds: PlacementConstraints) -> list[tuple[int, str, L]]:
-        if bounds not in self._within:
-            if len(self._within) >= self.MOST:
-                self._within.clear()
-            self._within[bounds] = [place for place in self.all if bounds.allow(place[2].entry)]
-        return self._within[bounds]
-
-    def _lists(self, entry: EngineEntry) -> list[list[tuple[int, str, L]]]:
-        return [self.all, *(places for bounds, places in self._within.items() if bounds.allow(entry))]
+        return len(self._in_flight)
+
+    def add(self, query: Query, attempt: Attempt) -> None:
+        """Takes in the attempt that its query makes next."""
+        self._in_flight[id(attempt)] = AttemptReference(query, len(query.attempts))
+
+    def remove(self, attempt: Attempt) -> None:
+        """Forgets an attempt that has ended."""
+        del self._in_flight[id(attempt)]
+
+    def progress_reported(self) -> None:
+        """An engine reported progress: from now on such reports are missed where they stop."""
+        self._progress_seen = True
+
+    def silent(self, now: int, report_interval: int) -> Iterator[AttemptReference]:
+        """The attempts whose progress reports have stopped."""
+        if not self._progress_seen:
+            return
+        for reference in list(self._in_flight.values()):
+            attempt = reference.attempt
+            if not attempt.is_waiting and now - attempt.heard_at > report_interval + MIN_SILENCE:
+                yield reference
+
+    def answer_lost(self, now: int) -> None:
+        """Counts an answer that will not come."""
+        self._lost.add(now, 1)
+
+    def lost_answers(self, now: int) -> float:
+        """How many answers were lost of late."""
+        return self._lost.total(now, 0)
+
+    def inherit(self, old: AttemptTable) -> None:
+        """Takes over from a table under former settings whether progress is reported at all."""
+        self._progress_seen = old._progress_seen
--- a/vanerelay/query_table.py
+++ b/vanerelay/query_table.py
@@ -4,7 +4,7 @@
 
 from typing import Generic, TypeVar
 
-from vanerelay.policy.gateway import Query
+from vanerelay.policy.query import Query
 
 
 class HeldQuery:
--- a/vanerelay/xds/service.py
+++ b/vanerelay/xds/service.py
@@ -307,7 +307,7 @@
         """Load of a proxy goes into the module's decisions."""
         now, gateway = self.now(), self._served.gateway
         weights = self._views[reports.location].weights if reports.location in self._views else {}
-        work = [gateway.pace.weight(row, 0) for row in range(len(self._terms.groups))]
+        work = [gateway.typical_work(row) for row in range(len(self._terms.groups))]
         ended = self.loads.report(now, reports, found, weights, work)
         engines = {address: engine for engine, address in self._served.engine_addresses().items()}
         for address, running in self.loads.running(now).items():
