--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -243,7 +243,7 @@
 @pytest.mark.parametrize(("gateways", "engines"), [(50, 12), (200, 40), (200, 33), (160, 25)])
 def test_engines_are_kept_evenly_and_few_change_when_one_leaves(gateways, engines):
     keepers, moved = [0] * engines, 0
-    for number in range(0, gateways):
+    for number in range(gateways):
         world = World(engines=engines, gateways=gateways, number=number)
         before = {e.entry.index for e in world.gateway._engines.candidates(world.now, ANYWHERE)}
         world.gateway.update_engines([dataclasses.replace(world.entries[0], state=EngineState.GONE)], False)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -18,61 +18,71 @@
     Outcome,
     RetryBudgetTerms,
 )
-from vanerelay.invariants import BUCKET, ENOUGH_ANSWERS, Guard, GuardTerms, Invariant
+from vanerelay.invariants import BUCKET_WIDTH, MIN_ANSWERS, GuardTerms, Invariant, InvariantGuard
 from vanerelay.net.events import BURST, REASONS_MOST, EventLog, Kind
 
 NOW = 1000 * SECOND
 LIMIT = NOW + 20 * SECOND
 
 
-def guard(budget=RetryBudgetTerms(0, 0, 0.0), copies=False, most=3, **group):  # noqa: B008
+def guard_of(budget=RetryBudgetTerms(0, 0, 0.0), may_hedge=False, max_attempts=3, **group):  # noqa: B008
     terms = GuardTerms(
-        [dataclasses.replace(GROUP, **group)], [MachineKind(16, 32000.0)] * 2, budget, COLD, most, copies
+        [dataclasses.replace(GROUP, **group)],
+        [MachineKind(16, 32000.0)] * 2,
+        budget,
+        COLD,
+        max_attempts,
+        may_hedge,
     )
-    made = Guard(terms)
+    guard = InvariantGuard(terms)
     for number in range(4):
-        made.listed(entry(number, zone=number % 2, cell=number))
-    return made
+        guard.engine_listed(entry(number, zone=number % 2, cell=number))
+    return guard
 
 
-def attempt(made, record, number, outcome, at=NOW, engine=0):
+def attempt(guard, record, number, outcome, at=NOW, engine=0):
     """Begins an attempt and ends it as told."""
-    assert made.begin(at, record, number, engine) is None
-    made.attempt_ended(record, number, outcome, 0)
+    assert guard.begin_attempt(at, record, number, engine) is None
+    guard.attempt_ended(record, number, outcome, 0)
 
 
 def test_attempts_within_the_rules_break_nothing():
-    made = guard()
-    record = made.taken(NOW, 0, LIMIT, True)
+    guard = guard_of()
+    record = guard.query_submitted(NOW, 0, LIMIT, True)
     for number, outcome in enumerate([Outcome.FAILED, Outcome.RESET, Outcome.COMPLETED]):
-        attempt(made, record, number, outcome, engine=number)
-    assert made.answered(record) and made.closing(0) and made.told() == {}
+        attempt(guard, record, number, outcome, engine=number)
+    assert guard.may_answer(record) and guard.may_close(0) and guard.violations() == {}
 
 
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE])
 def test_nothing_is_sent_to_an_engine_that_drains_or_is_gone(state):
-    made = guard()
-    record = made.taken(NOW, 0, LIMIT, True)
-    made.listed(entry(1, state=state))
-    assert made.begin(NOW, record, 0, 1) is Invariant.DRAIN
-    assert made.begin(NOW, record, 0, 9) is Invariant.DRAIN  # never listed
-    made.only({0})
-    assert made.begin(NOW, record, 0, 2) is Invariant.DRAIN and made.begin(NOW, record, 0, 0) is None
-    assert made.told() == {"drain": 3}
+    guard = guard_of()
+    record = guard.query_submitted(NOW, 0, LIMIT, True)
+    guard.engine_listed(entry(1, state=state))
+    assert guard.begin_attempt(NOW, record, 0, 1) is Invariant.DRAIN
+    assert guard.begin_attempt(NOW, record, 0, 9) is Invariant.DRAIN  # never listed
+    guard.retain_engines({0})
+    assert (
+        guard.begin_attempt(NOW, record, 0, 2) is Invariant.DRAIN
+        and guard.begin_attempt(NOW, record, 0, 0) is None
+    )
+    assert guard.violations() == {"drain": 3}
 
 
 def test_further_attempts_stay_within_the_budget_of_real_time():
-    made = guard(RetryBudgetTerms(10 * SECOND, 1, 0.1), most=99)
-    records = [made.taken(NOW, 0, LIMIT, True) for _ in range(20)]
-    spare = made.taken(NOW, 0, LIMIT, False)
+    guard = guard_of(RetryBudgetTerms(10 * SECOND, 1, 0.1), max_attempts=99)
+    records = [guard.query_submitted(NOW, 0, LIMIT, True) for _ in range(20)]
+    spare = guard.query_submitted(NOW, 0, LIMIT, False)
     found = []
     for record in [*records, spare]:
-        attempt(made, record, 0, Outcome.FAILED)
-        found.append(made.begin(NOW + 1, record, 1, 1))
+        attempt(guard, record, 0, Outcome.FAILED)
+        found.append(guard.begin_attempt(NOW + 1, record, 1, 1))
     assert found.count(None) == 3 and set(found[3:]) == {Invariant.BUDGET}
     later = NOW + 10 * SECOND + SECOND // 10
-    assert made.begin(later, records[-1], 1, 1) is None  # one is free whenever nothing counts any more
-    assert made.begin(later, spare, 1, 1) is Invariant.BUDGET
+    assert (
+        guard.begin_attempt(later, records[-1], 1, 1) is None
+    )  # one is free whenever nothing counts any more
+    assert guard.begin_attempt(later, spare, 1, 1) is Invariant.BUDGET
 
 
 @pytest.mark.parametrize(
@@ -95,49 +105,59 @@
 def test_what_may_have_run_is_repeated_only_where_that_does_no_harm(
     effect, scope, outcome, at, engine, broken
 ):
-    made = guard(idempotency=effect, deduplication_scope=scope, deduplication_window=5 * SECOND)
-    record = made.taken(NOW, 0, LIMIT, True)
-    attempt(made, record, 0, outcome)
-    assert made.begin(NOW + at, record, 1, engine) is broken
+    guard = guard_of(idempotency=effect, deduplication_scope=scope, deduplication_window=5 * SECOND)
+    record = guard.query_submitted(NOW, 0, LIMIT, True)
+    attempt(guard, record, 0, outcome)
+    assert guard.begin_attempt(NOW + at, record, 1, engine) is broken
 
 
 def test_ends_deadlines_copies_and_counts_are_kept():
-    made = guard()
-    record = made.taken(NOW, 0, LIMIT, True)
-    assert made.begin(LIMIT, record, 0, 0) is Invariant.DEADLINE
-    assert made.begin(NOW, record, 0, 0) is None and made.begin(NOW, record, 1, 1) is Invariant.COPY
-    assert made.begin(NOW, record, 3, 1) is Invariant.ATTEMPTS
-    assert guard(copies=True).begin(NOW, record, 1, 1) is None
-    record.out.discard(1)
-    made.attempt_ended(record, 1, Outcome.NOT_SENT, 0)  # one that never began says nothing of the other
-    assert made.begin(NOW, record, 2, 1) is Invariant.COPY
-    assert made.answered(record) and not made.closing(1)
-    record.ended = True
-    assert made.begin(NOW, record, 1, 1) is Invariant.ENDED and not made.answered(record)
-    assert made.told() == {"deadline": 1, "copy": 2, "attempts": 1, "close": 1, "ended": 1, "answer": 1}
+    guard = guard_of()
+    record = guard.query_submitted(NOW, 0, LIMIT, True)
+    assert guard.begin_attempt(LIMIT, record, 0, 0) is Invariant.DEADLINE
+    assert (
+        guard.begin_attempt(NOW, record, 0, 0) is None
+        and guard.begin_attempt(NOW, record, 1, 1) is Invariant.COPY
+    )
+    assert guard.begin_attempt(NOW, record, 3, 1) is Invariant.ATTEMPTS
+    assert guard_of(may_hedge=True).begin_attempt(NOW, record, 1, 1) is None
+    record.in_flight.discard(1)
+    guard.attempt_ended(record, 1, Outcome.NOT_SENT, 0)  # one that never began says nothing of the other
+    assert guard.begin_attempt(NOW, record, 2, 1) is Invariant.COPY
+    assert guard.may_answer(record) and not guard.may_close(1)
+    record.is_ended = True
+    assert guard.begin_attempt(NOW, record, 1, 1) is Invariant.ENDED and not guard.may_answer(record)
+    assert guard.violations() == {
+        "deadline": 1,
+        "copy": 2,
+        "attempts": 1,
+        "close": 1,
+        "ended": 1,
+        "answer": 1,
+    }
 
 
 def test_a_cold_engine_gets_no_more_than_all_together_may_send():
-    made = guard(most=99)
-    made.listed(entry(1, started_at=NOW - 1))
-    warm = made.taken(NOW, 0, LIMIT, True)
-    for _ in range(ENOUGH_ANSWERS):
-        made.attempt_ended(warm, 0, Outcome.COMPLETED, SECOND)
+    guard = guard_of(max_attempts=99)
+    guard.engine_listed(entry(1, started_at=NOW - 1))
+    warm = guard.query_submitted(NOW, 0, LIMIT, True)
+    for _ in range(MIN_ANSWERS):
+        guard.attempt_ended(warm, 0, Outcome.COMPLETED, SECOND)
     allowed = COLD.overload_multiple * COLD.initial_share * 16 * COLD.overload_window / SECOND
-    found = [made.begin(NOW, made.taken(NOW, 0, LIMIT, True), 0, 1) for _ in range(60)]
+    found = [guard.begin_attempt(NOW, guard.query_submitted(NOW, 0, LIMIT, True), 0, 1) for _ in range(60)]
     assert allowed < found.count(None) <= allowed + 3 * allowed**0.5 + 3 and found[-1] is Invariant.COLD
-    assert made.begin(NOW, warm, 0, 0) is None  # one that is warm takes what comes
+    assert guard.begin_attempt(NOW, warm, 0, 0) is None  # one that is warm takes what comes
     after = NOW + COLD.ramp_duration + COLD.overload_window
-    assert made.begin(after, made.taken(after, 0, 2 * after, True), 0, 1) is None
+    assert guard.begin_attempt(after, guard.query_submitted(after, 0, 2 * after, True), 0, 1) is None
 
 
 @pytest.mark.parametrize("span", [0, 10 * SECOND])
 def test_what_the_guard_remembers_is_bounded(span):
     """Also where nothing is ever repeated, and where no budget is stated."""
-    made = guard(RetryBudgetTerms(span, 1, 0.1))
+    guard = guard_of(RetryBudgetTerms(span, 1, 0.1))
     for number in range(5_000):
-        made.taken(NOW + number * BUCKET, 0, LIMIT, True)
-    assert made.remembered() <= 10 * SECOND // BUCKET + 2
+        guard.query_submitted(NOW + number * BUCKET_WIDTH, 0, LIMIT, True)
+    assert guard.bucket_count() <= 10 * SECOND // BUCKET_WIDTH + 2
 
 
 def broken_by(node):
@@ -151,7 +171,8 @@
 ERRING = {
     "drain": "query.Query.may_begin = lambda self, number: True\n"
     "registry = engine_registry.EngineRegistry\n"
-    "registry._set_listed = lambda self, engine, is_listed, real=registry._set_listed: real(self, engine, True)",
+    "listing = registry._set_listed\n"
+    "registry._set_listed = lambda self, engine, is_listed: listing(self, engine, True)",
     "budget": "retry_budget.RetryBudget.allows = lambda self, now, is_low_value=False: True",
     "effect": "query.Query.repeatable_until = lambda self, before=None: float('inf')\n"
     "retry_policy.RetryPolicy.should_retry = lambda self, now, query: True",
--- a/vanerelay/net/attempt_results.py
+++ b/vanerelay/net/attempt_results.py
@@ -11,7 +11,7 @@
 from vanerelay.clock import Clock
 from vanerelay.extension import EngineRun, QueryConstraint
 from vanerelay.interface import AnswerStatus, AttemptResult, Outcome
-from vanerelay.invariants import Guard
+from vanerelay.invariants import InvariantGuard
 from vanerelay.net import load_reports
 from vanerelay.net.deadlines import Deadlines
 from vanerelay.net.decisions import Decisions
@@ -34,7 +34,7 @@
         settings_in_force: SettingsInForce,
         queries: OpenQueries,
         deadlines: Deadlines,
-        guard: Guard,
+        guard: InvariantGuard,
         decisions: Decisions,
         answers: QueryAnswers,
         extensions: Extensions,
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -10,7 +10,7 @@
 from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.clock import FRESH, Clock
 from vanerelay.interface import SECOND
-from vanerelay.invariants import Guard
+from vanerelay.invariants import InvariantGuard
 from vanerelay.net.attempt_results import AttemptResults
 from vanerelay.net.decisions import Decisions
 from vanerelay.net.engine_connection import Attempt
@@ -36,7 +36,7 @@
         reactor: Any,
         clock: Clock,
         settings: SettingsInForce,
-        guard: Guard,
+        guard: InvariantGuard,
         decisions: Decisions,
         results: AttemptResults,
         engines: EnginePool,
@@ -122,7 +122,7 @@
         """The one place that every attempt passes before it is written."""
         if query.guard_record is None or not self._decisions.may_begin(query, number):
             return False
-        broken = self._guard.begin(self._decisions.now, query.guard_record, number, engine)
+        broken = self._guard.begin_attempt(self._decisions.now, query.guard_record, number, engine)
         if broken is not None:
             self._events.note(
                 Kind.BROKEN, broken.value, id=query.name, engine=self._engine_list.name_of(engine)
--- a/vanerelay/net/engine_list_updates.py
+++ b/vanerelay/net/engine_list_updates.py
@@ -8,7 +8,7 @@
 from vanerelay.clock import Clock
 from vanerelay.engine_list import EngineListChange, ListedEngine
 from vanerelay.interface import EngineEntry, EngineState
-from vanerelay.invariants import Guard, StateChange
+from vanerelay.invariants import InvariantGuard, StateChange
 from vanerelay.net.decisions import Decisions
 from vanerelay.net.engine_pool import DROPPED, EnginePool
 from vanerelay.net.engine_start_times import EngineStarts
@@ -30,7 +30,7 @@
         self,
         clock: Clock,
         engines: EnginePool,
-        guard: Guard,
+        guard: InvariantGuard,
         decisions: Decisions,
         extensions: Extensions,
         events: EventLog,
@@ -58,7 +58,7 @@
         self.gone -= present
         if change.complete:
             self._engines.only(present)
-            self._guard.only(present)
+            self._guard.retain_engines(present)
             self.gone = self.names.all() - present
         self.received = True
         self._decisions.update_engines(entries, change.complete)
@@ -72,7 +72,7 @@
             self.gone.remove(index)
             self.names.forget(index)
             self._starts.forget(index)
-            self._guard.forget(index)
+            self._guard.forget_engine(index)
 
     def name_of(self, index: int) -> str:
         """The name of an engine; empty where it is not known any more."""
@@ -83,7 +83,7 @@
         self._engines.listed(index, listed.address, listed.started_at, is_gone)
         started_at = self._starts.moment(index, listed.started_at, within_s)
         entry = replace(listed.entry(index), started_at=started_at)
-        self._note_state(listed, self._guard.listed(entry))
+        self._note_state(listed, self._guard.engine_listed(entry))
         return entry
 
     def _note_state(self, listed: ListedEngine, change: StateChange | None) -> None:
--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -23,7 +23,7 @@
 from vanerelay.engine_list import EngineListChange
 from vanerelay.extension import Extension
 from vanerelay.interface import SECOND, AnswerStatus
-from vanerelay.invariants import Guard
+from vanerelay.invariants import InvariantGuard
 from vanerelay.net import frames, request_codec
 from vanerelay.net.attempt_results import AttemptResults
 from vanerelay.net.attempt_sender import AttemptSender
@@ -70,7 +70,7 @@
         self._peers = peers
         self.draining = False
         self.events = events or EventLog(reactor)
-        self.guard = Guard(settings.guard_terms(raw_settings))
+        self.guard = InvariantGuard(settings.guard_terms(raw_settings))
         self.settings = SettingsInForce(raw_settings)
         self.queries = OpenQueries(statement_bytes)
         self._extensions = Extensions()
@@ -127,7 +127,7 @@
         gateway = settings.open_gateway(self, seed, raw_settings)
         self._decisions.replace(gateway)
         self.settings.replace(raw_settings)
-        self.guard.switch(settings.guard_terms(raw_settings))
+        self.guard.update_terms(settings.guard_terms(raw_settings))
         if self._peers is not None:
             self._peers.heard_from = lambda peer, data: self._heard_from(gateway, peer, data)
 
@@ -151,7 +151,7 @@
 
     def may_close(self, unanswered: int) -> bool:
         """Whether a client's connection may be closed as it stands."""
-        return self.guard.closing(unanswered)
+        return self.guard.may_close(unanswered)
 
     def request(
         self, client: ClientConnection, frame: frames.Frame, received_after: int
--- a/vanerelay/net/held_queries.py
+++ b/vanerelay/net/held_queries.py
@@ -151,7 +151,7 @@
         """The query has its answer, or nobody waits for it: no attempt follows."""
         query.ended = True
         if query.guard_record is not None:
-            query.guard_record.ended = True
+            query.guard_record.is_ended = True
         self.open_count -= 1
         self._references.discard(query.name)
         self._free_bytes += len(query.body)
--- a/vanerelay/net/query_answers.py
+++ b/vanerelay/net/query_answers.py
@@ -6,7 +6,7 @@
 
 from vanerelay.clock import Clock
 from vanerelay.interface import SECOND, AnswerStatus
-from vanerelay.invariants import Guard, Invariant
+from vanerelay.invariants import Invariant, InvariantGuard
 from vanerelay.net.events import EventLog, Kind
 from vanerelay.net.extensions import Extensions, guarded
 from vanerelay.net.held_queries import ClientQuery, OpenQueries
@@ -21,7 +21,7 @@
         clock: Clock,
         settings: SettingsInForce,
         queries: OpenQueries,
-        guard: Guard,
+        guard: InvariantGuard,
         extensions: Extensions,
         events: EventLog,
     ) -> None:
@@ -40,7 +40,7 @@
         body: bytes = b"",
     ) -> None:
         """Gives a query its answer, unless the guard knows that it has one."""
-        if query.guard_record is not None and not self._guard.answered(query.guard_record):
+        if query.guard_record is not None and not self._guard.may_answer(query.guard_record):
             self._events.note(Kind.BROKEN, Invariant.ANSWER.value, id=query.name)
             return
         self._report(query, status, client_waited=True)
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -13,7 +13,7 @@
 from vanerelay.estimation import stable_hash
 from vanerelay.extension import QueryConstraint, QueryInfo
 from vanerelay.interface import AnswerStatus, QueryArrival
-from vanerelay.invariants import Guard
+from vanerelay.invariants import InvariantGuard
 from vanerelay.net import frames, request_codec
 from vanerelay.net.client_connection import ClientConnection, RequestResult
 from vanerelay.net.deadlines import Deadlines
@@ -90,7 +90,7 @@
         settings: SettingsInForce,
         queries: OpenQueries,
         deadlines: Deadlines,
-        guard: Guard,
+        guard: InvariantGuard,
         decisions: Decisions,
         answers: QueryAnswers,
         ends: QueryEnds,
@@ -129,7 +129,7 @@
         query = self._hold_for_client(client, frame.stream, admitted, received_after)
         query.arrival = self._arrival(query, admitted)
         earns_retries = not query.arrival.earns_no_retries
-        query.guard_record = self._guard.taken(
+        query.guard_record = self._guard.query_submitted(
             self._decisions.now, admitted.service_class, admitted.deadline, earns_retries
         )
         if query.constraint is None:
@@ -185,7 +185,7 @@
             eligible_engines=frozenset({engine}),
             earns_no_retries=True,
         )
-        query.guard_record = self._guard.taken(now, row, query.deadline, False)
+        query.guard_record = self._guard.query_submitted(now, row, query.deadline, False)
         self._decisions.submit(query)
         self._queries.settle(query)
         self._deadlines.check(self._queries.open_count)
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -203,7 +203,7 @@
         for number in (signal.SIGHUP, *TO_END):  # the interpreter takes handlers down, but not this
             signal.signal(number, signal.SIG_IGN)
         self.events.write_counts()
-        log.info("ended", broken=self.service.guard.told())
+        log.info("ended", broken=self.service.guard.violations())
         if self._wrong is not None:
             raise StartupError(self._wrong)
 
--- a/vanerelay/settings.py
+++ b/vanerelay/settings.py
@@ -137,12 +137,12 @@
 def guard_terms(profile: dict[str, Any]) -> GuardTerms:
     allowed = allowances(profile)
     return GuardTerms(
-        groups=service_groups(profile),
-        kinds=machine_kinds(profile),
-        budget=ration_terms(profile),
-        cold=cold_start(profile),
-        most_attempts=allowed.max_attempts,
-        copies=allowed.may_hedge,
+        service_classes=service_groups(profile),
+        machine_kinds=machine_kinds(profile),
+        retry_budget=ration_terms(profile),
+        slow_start=cold_start(profile),
+        max_attempts=allowed.max_attempts,
+        may_hedge=allowed.may_hedge,
     )
 
 
