--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -37,29 +37,29 @@
         "fleet.heard": fleet.PingReply([MEMBER, FEW], False),
         "fleet.heard.least": fleet.PingReply(),
         "fleet.view": fleet.View("m1", "prod", [MEMBER, FEW], True, 8, 9),
-        "leases.ask": leases.Ask(2, [("tidy", BALLOT)], [("tidy", GRANT)], True, "tidy"),
-        "leases.ask.least": leases.Ask(),
+        "leases.ask": leases.VoteRequest(2, [("tidy", BALLOT)], [("tidy", GRANT)], True, "tidy"),
+        "leases.ask.least": leases.VoteRequest(),
         **{
-            f"leases.replied.{at}": leases.Replied(said, GRANT, 700, BALLOT)
+            f"leases.replied.{at}": leases.ReplyMessage(said, GRANT, 700, BALLOT)
             for at, said in enumerate(VoterAnswer)
         },
-        "leases.told": leases.Told("tidy", BALLOT, GRANT),
-        "leases.answer": leases.Answer(
+        "leases.told": leases.RecordMessage("tidy", BALLOT, GRANT),
+        "leases.answer": leases.VoteResponse(
             "silent",
             3,
             2,
-            [leases.Replied(VoterAnswer(list(VoterAnswer)[0]), GRANT, 1, BALLOT)],
-            [leases.Replied(VoterAnswer(list(VoterAnswer)[2]), Grant(), 0, Ballot())],
-            [leases.Told("tidy", BALLOT, GRANT)],
+            [leases.ReplyMessage(VoterAnswer(list(VoterAnswer)[0]), GRANT, 1, BALLOT)],
+            [leases.ReplyMessage(VoterAnswer(list(VoterAnswer)[2]), Grant(), 0, Ballot())],
+            [leases.RecordMessage("tidy", BALLOT, GRANT)],
             True,
         ),
-        "leases.answer.least": leases.Answer(),
-        "leases.row": leases.Row("tidy", True, 7, 1500, 4, 2),
-        "leases.row.least": leases.Row("tidy"),
-        "leases.view": leases.View(
-            "m1", ["m1", "m2", "m3"], ["m4"], 2, "knows", 1, [leases.Row("tidy")], 44, "disk full"
+        "leases.answer.least": leases.VoteResponse(),
+        "leases.row": leases.TaskStatus("tidy", True, 7, 1500, 4, 2),
+        "leases.row.least": leases.TaskStatus("tidy"),
+        "leases.view": leases.LeasesStatus(
+            "m1", ["m1", "m2", "m3"], ["m4"], 2, "knows", 1, [leases.TaskStatus("tidy")], 44, "disk full"
         ),
-        "leases.view.least": leases.View("m1"),
+        "leases.view.least": leases.LeasesStatus("m1"),
         "freshness.pull": freshness.Pull(3, 5, 70),
         "freshness.pull.least": freshness.Pull(0),
         "freshness.news": freshness.News(
--- a/tests/store_samples.py
+++ b/tests/store_samples.py
@@ -18,7 +18,7 @@
 from vanerelay.fleet import messages as fleet_words
 from vanerelay.leases import messages as lease_words
 from vanerelay.leases.durable_store import DurableStore
-from vanerelay.leases.voter_service import META, SPACE
+from vanerelay.leases.voter_service import META_KEY, VOTES_SPACE
 from vanerelay.membership import list_codec
 from vanerelay.membership.store import open_store
 from vanerelay.rollout.agent_store import AgentStore
@@ -66,8 +66,8 @@
     """What a voter keeps: its meta record and one task."""
     reactor = DirectReactor()
     disk = DurableStore(reactor, str(folder))
-    told = lease_words.Told("tidy", message_samples.BALLOT, message_samples.GRANT)
-    disk.put(SPACE, {META: msgspec.msgpack.encode((3, 2)), "tidy": fleet_words.encode(told)})
+    told = lease_words.RecordMessage("tidy", message_samples.BALLOT, message_samples.GRANT)
+    disk.put(VOTES_SPACE, {META_KEY: msgspec.msgpack.encode((3, 2)), "tidy": fleet_words.encode(told)})
     reactor.wait()
     disk.close()
 
--- a/tests/test_compatibility_stores.py
+++ b/tests/test_compatibility_stores.py
@@ -60,7 +60,7 @@
     voting = VoterService(FakeReactor(), "m1", LeaseTerms(), voters, disk, lambda: 0, lambda *_: None)
     assert (voting.voter.era, voting.voter.version) == (3, 2)
     slot = VoterRecord(message_samples.BALLOT, message_samples.GRANT, 30000)
-    assert voting.voter.slots == {"tidy": slot}
+    assert voting.voter.records == {"tidy": slot}
     voting.stop()
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,32 +16,39 @@
 from vanerelay.fleet.failure_detector import Member, MemberState
 from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.interface import SECOND
-from vanerelay.lab.lease_simulation import Setting, Trouble, World, drawn, play, shortest
+from vanerelay.lab.lease_simulation import (
+    Fault,
+    Simulation,
+    SimulationSettings,
+    draw_faults,
+    minimize,
+    run_schedule,
+)
 from vanerelay.leases import assignment, messages
-from vanerelay.leases import config as lease_parts
-from vanerelay.leases.durable_store import DurableStore, StoreError
+from vanerelay.leases import config as leases_config
+from vanerelay.leases.claim import Claim, ClaimStage
+from vanerelay.leases.durable_store import DurableStore
+from vanerelay.leases.errors import StoreError
 from vanerelay.leases.fencing import FencingGate, LeaseHolder
-from vanerelay.leases.maintenance_schedule import MaintenanceSchedule, shard
+from vanerelay.leases.maintenance_schedule import MaintenanceSchedule, shard_of
 from vanerelay.leases.voter import (
-    ERA,
+    TOKENS_PER_ERA,
     Ballot,
-    Claim,
     Grant,
-    Kept,
     LeaseTerms,
     Reply,
-    Stage,
     Voter,
     VoterAnswer,
     VoterMemory,
     VoterRecord,
     Voters,
+    VoterState,
 )
 from vanerelay.leases.voter_service import VoterService
 from vanerelay.operator_config import BadOptions, read
 
 SEEDS, EACH = 12, 8
-TERMS = LeaseTerms(term=SECOND, longest=2 * SECOND, drift=0.02, linger=SECOND // 10)
+TERMS = LeaseTerms(term=SECOND, max_term=2 * SECOND, clock_drift=0.02, takeover_delay=SECOND // 10)
 THREE = Voters(1, ("a", "b", "c"))
 
 
@@ -52,227 +59,241 @@
     structlog.reset_defaults()
 
 
-def wrong(world):
-    return [*deeds.wrong(world.rows), *register.wrong(world.rows), *world.together]
+def violations(simulation):
+    return [*deeds.wrong(simulation.rows), *register.wrong(simulation.rows), *simulation.violations]
 
 
 @pytest.mark.parametrize("first", range(0, SEEDS * EACH, EACH))
 def test_schedules_of_faults_never_let_two_act(first):
     for seed in range(first, first + EACH):
-        setting = Setting()
-        troubles = drawn(seed, setting)
-        world = play(seed, troubles, setting)
-        found = wrong(world)
+        setting = SimulationSettings()
+        faults = draw_faults(seed, setting)
+        simulation = run_schedule(seed, faults, setting)
+        found = violations(simulation)
         if found:
-            least = shortest(troubles, lambda fewer, seed=seed: bool(wrong(play(seed, fewer))))
+            least = minimize(faults, lambda fewer, seed=seed: bool(violations(run_schedule(seed, fewer))))
             raise AssertionError(f"seed {seed}: {found[:3]} after {least}")
-        assert sum(row["op"] == "order" and row["result"] == "ok" for row in world.rows) > 200
+        assert sum(row["op"] == "order" and row["result"] == "ok" for row in simulation.rows) > 200
 
 
-def test_what_is_broken_on_purpose_is_found_in_a_schedule_and_made_short(monkeypatch):
-    """Holders that count too long a term, and receivers that take what comes."""
-    monkeypatch.setattr("vanerelay.leases.voter.LeaseTerms.held", lambda self, term: 2 * term)
-    monkeypatch.setattr(FencingGate, "refuses", lambda self, *told: None)
-    extra = [*(Trouble("cut", f"m{n}", 3.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5))]
-    found = [seed for seed in range(2) if wrong(play(seed, extra))]
+def test_faults_built_in_on_purpose_are_found_in_a_schedule_that_is_minimized(monkeypatch):
+    """Holders that count too long a term, and receivers that refuse nothing."""
+    monkeypatch.setattr("vanerelay.leases.voter.LeaseTerms.holder_term", lambda self, term: 2 * term)
+    monkeypatch.setattr(FencingGate, "refusal", lambda self, *operation: None)
+    extra = [*(Fault("cut", f"m{n}", 3.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5))]
+    found = [seed for seed in range(2) if violations(run_schedule(seed, extra))]
     assert found
-    least = shortest(extra, lambda fewer: bool(wrong(play(found[0], fewer))))
+    least = minimize(extra, lambda fewer: bool(violations(run_schedule(found[0], fewer))))
     assert len(least) < len(extra)
 
 
 CASES = {
-    "the holder frozen, thawed after a successor acts": [Trouble("freeze", "m{}", 4.0, 3.0)],
-    "cut one way: it hears, is not heard": [Trouble("cut", "m{}", 4.0, 4.0)],
-    "cut the other way": [Trouble("deaf", "m{}", 4.0, 4.0)],
-    "answers 3 s late, and doubled": [Trouble("slow", "m{}", 4.0, 4.0), Trouble("double", "m1", 3.0, 8.0)],
-    "ended in mid-deed": [Trouble("end", "m{}", 4.0, 2.0)],
-    "a voter killed with its disk": [Trouble("lost", "m{}", 4.0, 2.0)],
-    "killed": [Trouble("kill", "m{}", 4.0, 3.0)],
+    "the holder frozen, thawed after a successor acts": [Fault("freeze", "m{}", 4.0, 3.0)],
+    "cut one way: it receives, and is not received": [Fault("cut", "m{}", 4.0, 4.0)],
+    "cut the other way": [Fault("deaf", "m{}", 4.0, 4.0)],
+    "replies 3 s late, and duplicated": [Fault("slow", "m{}", 4.0, 4.0), Fault("double", "m1", 3.0, 8.0)],
+    "shut down in mid-operation": [Fault("end", "m{}", 4.0, 2.0)],
+    "a voter killed with its disk": [Fault("lost", "m{}", 4.0, 2.0)],
+    "killed": [Fault("kill", "m{}", 4.0, 3.0)],
 }
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_each_holder_struck_in_turn(name):
-    for who in (1, 2, 3):
-        told = [replace(one, who=one.who.format(who)) for one in CASES[name]]
-        world = play(who, told)
-        assert wrong(world) == [] and len(world.holders()) == 3, who
-
-
-def test_the_fleet_halved_with_a_holder_on_each_side_believing():
-    halves = [Trouble("cut", one, 4.0, 5.0, other) for one in ("m1", "m4") for other in ("m2", "m3", "m5")]
-    back = [Trouble("deaf", one.who, 4.0, 5.0, one.other) for one in halves]
-    world = play(3, [*halves, *back])
-    assert wrong(world) == [] and len(world.holders()) == 3
-
-
-def test_two_of_three_voters_lost_with_their_disks_stop_until_an_operator_says_so():
-    both = [Trouble("lost", "m1", 4.0, 1.0), Trouble("lost", "m2", 4.0, 1.0)]
-    world = play(1, both)
-    assert wrong(world) == [] and world.holders() == {}
-    before = max(row["number"] for row in world.rows if row["op"] == "order")
-    world.found(2)
-    world.run([], 8.0)
-    assert len(world.holders()) == 3 and wrong(world) == []
-    after = {row["number"] for row in world.rows if row["op"] == "acquire" and row["number"] > before}
-    assert after and min(after) > 2 * ERA
-
-
-def test_all_managers_at_once_lose_nothing_but_time_where_disks_last():
-    world = play(2, [Trouble("kill", f"m{n}", 5.0, 1.0) for n in range(1, 6)])
-    assert wrong(world) == [] and len(world.holders()) == 3
-
-
-def test_sixty_tasks_and_a_third_of_the_managers_killed():
-    setting = Setting(managers=12, voters=5, tasks=60, length=8.0)
-    world = play(5, [Trouble("kill", f"m{n}", 4.0, 20.0) for n in (2, 7, 9, 12)], setting, settle=6.0)
-    held = world.holders()
-    assert wrong(world) == [] and len(held) == 60
+def test_each_kind_of_fault_hits_each_holder_in_turn(name):
+    for holder in (1, 2, 3):
+        faults = [replace(one, gateway=one.gateway.format(holder)) for one in CASES[name]]
+        simulation = run_schedule(holder, faults)
+        assert violations(simulation) == [] and len(simulation.holders()) == 3, holder
+
+
+def test_a_partition_with_a_holder_on_each_side():
+    halves = [Fault("cut", one, 4.0, 5.0, other) for one in ("m1", "m4") for other in ("m2", "m3", "m5")]
+    back = [Fault("deaf", one.gateway, 4.0, 5.0, one.other) for one in halves]
+    simulation = run_schedule(3, [*halves, *back])
+    assert violations(simulation) == [] and len(simulation.holders()) == 3
+
+
+def test_two_of_three_voters_without_disks_do_not_vote_until_an_operator_starts_an_era():
+    both = [Fault("lost", "m1", 4.0, 1.0), Fault("lost", "m2", 4.0, 1.0)]
+    simulation = run_schedule(1, both)
+    assert violations(simulation) == [] and simulation.holders() == {}
+    before = max(row["number"] for row in simulation.rows if row["op"] == "order")
+    simulation.order_era(2)
+    simulation.run([], 8.0)
+    assert len(simulation.holders()) == 3 and violations(simulation) == []
+    after = {row["number"] for row in simulation.rows if row["op"] == "acquire" and row["number"] > before}
+    assert after and min(after) > 2 * TOKENS_PER_ERA
+
+
+def test_all_gateways_killed_at_once_hold_again_where_disks_last():
+    simulation = run_schedule(2, [Fault("kill", f"m{n}", 5.0, 1.0) for n in range(1, 6)])
+    assert violations(simulation) == [] and len(simulation.holders()) == 3
+
+
+def test_sixty_tasks_and_a_third_of_the_gateways_killed():
+    setting = SimulationSettings(gateways=12, voters=5, tasks=60, length=8.0)
+    simulation = run_schedule(
+        5, [Fault("kill", f"m{n}", 4.0, 20.0) for n in (2, 7, 9, 12)], setting, settle=6.0
+    )
+    held = simulation.holders()
+    assert violations(simulation) == [] and len(held) == 60
     each = [list(held.values()).count(name) for name in set(held.values())]
-    assert max(each) <= 12  # of 8 managers left: 7.5 each, and a quarter more, and what was held already
+    assert max(each) <= 12  # of 8 gateways left: 7.5 each, and a quarter more, and what was held already
 
 
-def test_messages_at_rest_do_not_grow_with_managers():
+def test_messages_at_rest_do_not_grow_with_gateways():
     told = {}
-    for managers in (3, 12, 60):
-        world = World(1, Setting(managers=managers, voters=3, tasks=6))
-        world.found()
-        for node in world.nodes.values():
-            node.start()
-        world.run([], 10.0)
-        before, at = world.messages, world.clock.seconds()
-        world.run([], 10.0)
-        told[managers] = (world.messages - before) / (world.clock.seconds() - at)
+    for gateways in (3, 12, 60):
+        simulation = Simulation(1, SimulationSettings(gateways=gateways, voters=3, tasks=6))
+        simulation.start_all()
+        simulation.run([], 10.0)
+        before, at = simulation.messages, simulation.clock.seconds()
+        simulation.run([], 10.0)
+        told[gateways] = (simulation.messages - before) / (simulation.clock.seconds() - at)
     assert told[60] <= 1.8 * told[12] and told[60] < 200, told
 
 
 def test_voters_change_by_a_joint_step_while_tasks_are_held():
-    """From m1, m2, m3 to m3, m4, m5, manager by manager; then the old ones are gone with their disks."""
-    world = World(4, Setting(length=60.0))
-    world.found()
-    for node in world.nodes.values():
-        node.start()
-    world.run([], 4.0)
+    """From m1, m2, m3 to m3, m4, m5, gateway by gateway; then the old ones are gone with their disks."""
+    simulation = Simulation(4, SimulationSettings(length=60.0))
+    simulation.start_all()
+    simulation.run([], 4.0)
 
     def restart(name, voters):
-        node = world.nodes[name]
-        node.kill(False)
-        node.parts = replace(node.parts, voters=voters)
-        node.start()
-        world.run([], 2.5)
+        process = simulation.processes[name]
+        process.kill(False)
+        process.config = replace(process.config, voters=voters)
+        process.start()
+        simulation.run([], 2.5)
 
     joint = Voters(2, ("m3", "m4", "m5"), ("m1", "m2", "m3"))
     for name in ("m1", "m2", "m3", "m4", "m5"):
         restart(name, joint)
-    assert {n: world.nodes[n].leases.voting.voter.memory for n in ("m4", "m5")} == dict.fromkeys(
-        ("m4", "m5"), VoterMemory.KNOWS
-    )
+    new_voters = [simulation.processes[name].leases.voter_service.voter for name in ("m4", "m5")]
+    assert [voter.memory for voter in new_voters] == [VoterMemory.READY] * 2
     for name in ("m3", "m4", "m5", "m1", "m2"):
         restart(name, Voters(3, ("m3", "m4", "m5")))
-    world.nodes["m1"].kill(True)
-    world.nodes["m2"].kill(True)
-    world.run([], 6.0)
-    assert wrong(world) == [] and set(world.holders().values()) <= {"m3", "m4", "m5"}
-    assert len(world.holders()) == 3
+    simulation.processes["m1"].kill(True)
+    simulation.processes["m2"].kill(True)
+    simulation.run([], 6.0)
+    assert violations(simulation) == [] and set(simulation.holders().values()) <= {"m3", "m4", "m5"}
+    assert len(simulation.holders()) == 3
 
 
-def test_receivers_that_cannot_refuse_are_spared_by_waiting_but_for_a_frozen_packet():
-    """Without a freeze between check and deed nothing late arrives where the next holder waits; what a frozen
-    process sends at last is what stays open, and is seen."""
-    setting = Setting(refuses=False)
+def test_receivers_that_cannot_refuse_are_protected_by_the_takeover_delay_but_for_a_frozen_packet():
+    """Without a freeze between check and operation nothing late arrives where the next holder waits; what a
+    frozen process sends at last is what stays open, and is seen."""
+    setting = SimulationSettings(receivers_refuse=False)
     for seed in range(6):
-        cuts = [Trouble("cut", f"m{n}", 1.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5)]
-        assert deeds.wrong(play(seed, cuts, setting).rows) == []
-    frozen = [Trouble("freeze", f"m{n}", 1.0 + 2.9 * n + 0.001, 2.6) for n in (1, 2, 3, 4, 5)]
-    slept, able = play(7, frozen, setting).rows, play(7, frozen).rows  # frozen just then, by its seed
-    assert deeds.beyond(slept) and deeds.wrong(slept)
-    assert deeds.beyond(able) and deeds.wrong(able) == []
+        cuts = [Fault("cut", f"m{n}", 1.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5)]
+        assert deeds.wrong(run_schedule(seed, cuts, setting).rows) == []
+    frozen = [Fault("freeze", f"m{n}", 1.0 + 2.9 * n + 0.001, 2.6) for n in (1, 2, 3, 4, 5)]
+    # With this seed a process freezes just between check and operation.
+    unprotected, protected = run_schedule(7, frozen, setting).rows, run_schedule(7, frozen).rows
+    assert deeds.beyond(unprotected) and deeds.wrong(unprotected)
+    assert deeds.beyond(protected) and deeds.wrong(protected) == []
 
 
 # Voters.
 
 
-def test_a_voter_without_memory_is_silent_then_learns_from_a_majority_of_the_others():
+def test_a_voter_without_a_store_is_silent_then_recovers_from_a_majority_of_the_others():
     voter = Voter("a", TERMS, THREE, None, 0)
-    assert voter.prepare(1, 1, "t", Ballot(1, "x", 1)).said is VoterAnswer.REFUSED
-    assert not voter.wakes(TERMS.longest - 1) and voter.wakes(TERMS.longest)
+    assert voter.prepare(1, 1, "t", Ballot(1, "x", 1)).answer is VoterAnswer.REFUSED
+    assert not voter.may_recover(TERMS.max_term - 1) and voter.may_recover(TERMS.max_term)
     grant = Grant(7, "m", 1, SECOND, Ballot(4, "m", 1))
-    told = {"b": Kept(3, 1, {"t": VoterRecord(Ballot(5, "n", 1), Grant())})}
-    assert not voter.learns(30000, told)  # one of three: it may be the one that did not hear
-    assert not voter.learns(30000, {**told, "a": Kept(9, 1)})  # itself counts for nothing
-    assert voter.learns(30000, {**told, "c": Kept(2, 1, {"t": VoterRecord(Ballot(4, "m", 1), grant)})})
-    assert voter.era == 3 and voter.slots["t"] == VoterRecord(Ballot(5, "n", 1), grant, 30000 + SECOND)
+    told = {"b": VoterState(3, 1, {"t": VoterRecord(Ballot(5, "n", 1), Grant())})}
+    assert not voter.recover(30000, told)  # one of three: it may be the one that did not hear
+    assert not voter.recover(30000, {**told, "a": VoterState(9, 1)})  # itself counts for nothing
+    assert voter.recover(30000, {**told, "c": VoterState(2, 1, {"t": VoterRecord(Ballot(4, "m", 1), grant)})})
+    assert voter.era == 3 and voter.records["t"] == VoterRecord(Ballot(5, "n", 1), grant, 30000 + SECOND)
 
 
-def test_a_voter_with_its_memory_counts_terms_anew():
+def test_a_voter_with_its_store_counts_terms_anew():
     grant = Grant(7, "m", 1, SECOND, Ballot(4, "m", 1))
-    voter = Voter("a", TERMS, THREE, Kept(1, 1, {"t": VoterRecord(grant.ballot, grant)}), 50)
-    assert voter.prepare(60, 1, "t", Ballot(9, "x", 1)).said is VoterAnswer.HELD
-    assert voter.prepare(50 + SECOND, 1, "t", Ballot(9, "x", 1)).said is VoterAnswer.YES
+    voter = Voter("a", TERMS, THREE, VoterState(1, 1, {"t": VoterRecord(grant.ballot, grant)}), 50)
+    assert voter.prepare(60, 1, "t", Ballot(9, "x", 1)).answer is VoterAnswer.HELD
+    assert voter.prepare(50 + SECOND, 1, "t", Ballot(9, "x", 1)).answer is VoterAnswer.GRANTED
 
 
-@pytest.mark.parametrize("word, heard, good", [(1, 0, True), (4, 3, True), (3, 3, False), (1, 2, False)])
-def test_an_operators_word_founds_a_later_era_alone(word, heard, good):
+@pytest.mark.parametrize(
+    "era, latest_era, accepted", [(1, 0, True), (4, 3, True), (3, 3, False), (1, 2, False)]
+)
+def test_an_operator_starts_a_later_era_only(era, latest_era, accepted):
     voter = Voter("a", TERMS, THREE, None, 0)
-    assert voter.found(word, heard) == "it is silent yet"
-    voter.wakes(TERMS.longest)
-    assert (voter.found(word, heard) is None) == good
-    assert (voter.memory is VoterMemory.KNOWS) == good
+    assert voter.start_era(era, latest_era) == "it is silent yet"
+    voter.may_recover(TERMS.max_term)
+    assert (voter.start_era(era, latest_era) is None) == accepted
+    assert (voter.memory is VoterMemory.READY) == accepted
 
 
 def test_a_joint_step_needs_both_majorities_and_fences_the_step_before():
     joint = Voters(2, ("c", "d", "e"), ("a", "b", "c"))
-    assert not joint.enough({"a", "b"}) and not joint.enough({"d", "e"}) and joint.enough({"b", "c", "d"})
-    assert joint.remembers({"a", "b"}) and not joint.remembers({"d", "e"})
-    old = Voter("a", TERMS, THREE, Kept(1, 1), 0)
-    assert old.fence(2) and not old.fence(2)  # a new voter has asked for its memory
-    assert old.prepare(0, 1, "t", Ballot(1, "x", 1)).said is VoterAnswer.REFUSED
-    assert old.prepare(0, 2, "t", Ballot(1, "x", 1)).said is VoterAnswer.YES
+    assert not joint.is_quorum({"a", "b"}) and not joint.is_quorum({"d", "e"})
+    assert joint.is_quorum({"b", "c", "d"})
+    assert joint.is_recovery_quorum({"a", "b"}) and not joint.is_recovery_quorum({"d", "e"})
+    old = Voter("a", TERMS, THREE, VoterState(1, 1), 0)
+    assert old.raise_version(2) and not old.raise_version(2)  # a new voter has asked for its memory
+    assert old.prepare(0, 1, "t", Ballot(1, "x", 1)).answer is VoterAnswer.REFUSED
+    assert old.prepare(0, 2, "t", Ballot(1, "x", 1)).answer is VoterAnswer.GRANTED
 
 
 def test_a_promise_is_refused_while_another_holds_but_not_to_the_holder():
-    voter = Voter("a", TERMS, THREE, Kept(1, 1), 0)
+    voter = Voter("a", TERMS, THREE, VoterState(1, 1), 0)
     first = Ballot(1, "x", 1)
     voter.prepare(0, 1, "t", first)
     voter.accept(0, 1, "t", Grant(1, "x", 1, SECOND, first))
-    assert voter.prepare(5, 1, "t", Ballot(9, "y", 2)).said is VoterAnswer.HELD
-    assert voter.prepare(5, 1, "t", Ballot(2, "x", 1)).said is VoterAnswer.YES
-    assert voter.accept(6, 1, "t", Grant(1, "x", 1, SECOND, first)).said is VoterAnswer.LATER
-    assert voter.accept(6, 1, "u", Grant(1, "x", 1, 9 * SECOND, first)).said is VoterAnswer.REFUSED
+    assert voter.prepare(5, 1, "t", Ballot(9, "y", 2)).answer is VoterAnswer.HELD
+    assert voter.prepare(5, 1, "t", Ballot(2, "x", 1)).answer is VoterAnswer.GRANTED
+    assert voter.accept(6, 1, "t", Grant(1, "x", 1, SECOND, first)).answer is VoterAnswer.HIGHER_BALLOT
+    assert voter.accept(6, 1, "u", Grant(1, "x", 1, 9 * SECOND, first)).answer is VoterAnswer.REFUSED
 
 
-def test_a_holder_goes_past_a_later_ballot_without_a_new_number():
+def test_a_holder_goes_past_a_higher_ballot_without_a_new_token():
     claim = Claim(
-        Stage.HOLDING, Ballot(1, "x", 1), 0, grant=Grant(5, "x", 1, SECOND, Ballot(1, "x", 1)), until=900
+        ClaimStage.HOLDING,
+        Ballot(1, "x", 1),
+        0,
+        grant=Grant(5, "x", 1, SECOND, Ballot(1, "x", 1)),
+        expires_at=900,
     )
-    claim = replace(claim, rounds=())
-    claim = claim.taken(
-        "a", Ballot(1, "x", 1), 1, Reply(VoterAnswer.LATER, promised=Ballot(6, "y", 2)), THREE, TERMS
+    claim = replace(claim, accept_rounds=())
+    claim = claim.accept_replied(
+        "a", Ballot(1, "x", 1), 1, Reply(VoterAnswer.HIGHER_BALLOT, promised=Ballot(6, "y", 2)), THREE, TERMS
     )
-    assert claim.over and claim.holds(10)
-    claim = claim.ask(10, "x", 1)
-    assert claim.ballot.round == 7 and claim.holds(10)
+    assert claim.outbid and claim.is_held(10)
+    claim = claim.start_round(10, "x", 1)
+    assert claim.ballot.round == 7 and claim.is_held(10)
     for voter in "ab":
         grant = Grant(5, "x", 1, SECOND, Ballot(1, "x", 1))
-        claim = claim.promised(20, voter, claim.ballot, Reply(VoterAnswer.YES, grant), THREE, TERMS, 0)
-    assert claim.stage is Stage.TAKING and claim.grant.number == 5 and claim.holds(20)
+        claim = claim.prepare_replied(
+            20, voter, claim.ballot, Reply(VoterAnswer.GRANTED, grant), THREE, TERMS, 0
+        )
+    assert claim.stage is ClaimStage.ACCEPTING and claim.grant.token == 5 and claim.is_held(20)
 
 
-# May I act, and what receivers make of it.
+# Fencing.
 
 
-def test_a_hold_begins_nothing_that_may_end_after_its_term():
-    hold, ballot = LeaseHolder("t", "x/1"), Ballot(1, "x", 1)
-    claim = Claim(Stage.HOLDING, ballot, 0, grant=Grant(3, "x", 1, SECOND, ballot), until=1000, free=False)
-    assert hold.settle(0, claim, TERMS) and hold.acts_from == TERMS.linger
-    assert hold.begin(TERMS.linger - 1, 5) is None  # what another sent may still arrive
-    at = TERMS.linger
-    hold.until = at + 100
-    assert hold.begin(at, 100) is None and hold.begin(at, 99) is not None
-    hold.leave()
-    assert hold.begin(at, 1) is None and not hold.free
-    hold.out.clear()
-    assert hold.free
+def test_a_holder_begins_nothing_that_may_end_after_its_term():
+    holder, ballot = LeaseHolder("t", "x/1"), Ballot(1, "x", 1)
+    claim = Claim(
+        ClaimStage.HOLDING,
+        ballot,
+        0,
+        grant=Grant(3, "x", 1, SECOND, ballot),
+        expires_at=1000,
+        was_released=False,
+    )
+    assert holder.update(0, claim, TERMS) and holder.acts_from == TERMS.takeover_delay
+    assert holder.begin(TERMS.takeover_delay - 1, 5) is None  # what another sent may still arrive
+    at = TERMS.takeover_delay
+    holder.expires_at = at + 100
+    assert holder.begin(at, 100) is None and holder.begin(at, 99) is not None
+    holder.start_release()
+    assert holder.begin(at, 1) is None and not holder.may_release
+    holder.in_flight.clear()
+    assert holder.may_release
 
 
 GATE = [
@@ -287,18 +308,18 @@
 ]
 
 
-def test_a_receiver_refuses_what_was_followed_late_or_doubled():
+def test_a_receiver_refuses_outdated_late_and_repeated_operations():
     gate = FencingGate()
     for (number, serial, holder), taken in GATE:
-        assert (gate.refuses("t", number, serial, holder) is None) == taken, (number, serial, holder)
+        assert (gate.refusal("t", number, serial, holder) is None) == taken, (number, serial, holder)
         if taken:
-            gate.takes("t", number, serial, holder)
+            gate.accept("t", number, serial, holder)
     gate.learn("t", 9, "z")
-    assert gate.refuses("t", 8, 1, "x") is not None and gate.number("t") == 9
-    assert gate.refuses("u", 1, 1, "x") is None
+    assert gate.refusal("t", 8, 1, "x") is not None and gate.highest_token("t") == 9
+    assert gate.refusal("u", 1, 1, "x") is None
 
 
-# Whose task is it.
+# Assignment.
 
 
 def fleet(count, **more):
@@ -307,19 +328,19 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 40), st.integers(1, 12), st.integers(0, 11))
-def test_tasks_are_spread_and_only_those_of_one_that_left_move_far(count, managers, gone):
-    names, all_ = [f"t{n}" for n in range(count)], fleet(managers)
+def test_tasks_are_spread_and_only_those_of_a_gateway_that_left_move_far(count, gateways, gone):
+    names, all_ = [f"t{n}" for n in range(count)], fleet(gateways)
     before = assignment.assign(names, all_)
     assert set(before) == set(names) and assignment.assign(names[::-1], all_[::-1]) == before
     loads = [sum(order[0] == one.name for order in before.values()) for one in all_]
-    assert max(loads) <= assignment.most(count, all_)["m0"]
+    assert max(loads) <= assignment.load_limits(count, all_)["m0"]
     left = [one for one in all_ if one.name != f"m{gone}"]
     if left:
         after = assignment.assign(names, left)
         assert all(f"m{gone}" not in order for order in after.values())
 
 
-def test_those_behind_come_last_and_those_of_no_weight_never():
+def test_outdated_gateways_rank_last_and_those_of_no_weight_never():
     members = [
         Member("m1", 1, state="serving", program="0.2.0-aa"),
         Member("m2", 1, state="serving", program="0.10.0-bb"),
@@ -327,38 +348,44 @@
         Member("m4", 1, standing=MemberState.GONE, state="serving", program="0.10.0-bb"),
         Member("m5", 1, state="serving", program="0.10.0-bb"),
     ]
-    found = assignment.candidates(members, "m2", True, {"m5": 0.0})
+    found = assignment.eligible_candidates(members, "m2", True, {"m5": 0.0})
     assert [one.name for one in found] == ["m1", "m2"]
     assert assignment.ranked("t", found) == ["m2", "m1"]
-    assert [one.name for one in assignment.candidates(members, "m2", False)] == ["m1", "m5"]
+    assert [one.name for one in assignment.eligible_candidates(members, "m2", False)] == ["m1", "m5"]
 
 
-def test_a_task_is_given_up_for_a_better_place_less_and_less_readily():
-    watch = assignment.Watch()
-    watch.placed(0, "m2", ("m1", "m2"))
-    watch.took(0)
-    assert not watch.outlived(2 * SECOND, SECOND, True) and watch.outlived(3 * SECOND, SECOND, True)
-    assert not watch.outlived(3 * SECOND, SECOND, False)  # suspected to be gone: it would take nothing
-    watch.gave(3 * SECOND, SECOND)
-    assert not watch.wants(5 * SECOND, SECOND) and watch.wants(7 * SECOND, SECOND)
-    watch.took(7 * SECOND)
-    assert not watch.outlived(10 * SECOND, SECOND, True) and watch.outlived(13 * SECOND, SECOND, True)
+def test_a_task_is_handed_over_to_a_preferred_gateway_less_and_less_readily():
+    watch = assignment.TaskWatch()
+    watch.set_order(0, "m2", ("m1", "m2"))
+    watch.acquired(0)
+    assert not watch.should_hand_over(2 * SECOND, SECOND, True) and watch.should_hand_over(
+        3 * SECOND, SECOND, True
+    )
+    assert not watch.should_hand_over(
+        3 * SECOND, SECOND, False
+    )  # suspected to be gone: it would take nothing
+    watch.released(3 * SECOND, SECOND)
+    assert not watch.wants_lease(5 * SECOND, SECOND) and watch.wants_lease(7 * SECOND, SECOND)
+    watch.acquired(7 * SECOND)
+    assert not watch.should_hand_over(10 * SECOND, SECOND, True) and watch.should_hand_over(
+        13 * SECOND, SECOND, True
+    )
 
 
-# Chores.
+# Maintenance tasks.
 
 
-def test_orders_leave_at_an_even_pace_and_never_two_to_one_engine():
-    rounds, engines, sent, out = MaintenanceSchedule(10 * SECOND, 3), [f"e{n}" for n in range(40)], [], []
-    rounds.begin(0)
+def test_commands_leave_at_an_even_pace_and_never_two_to_one_engine():
+    schedule, engines, sent, out = MaintenanceSchedule(10 * SECOND, 3), [f"e{n}" for n in range(40)], [], []
+    schedule.begin(0)
     for tick in range(300):
         now = tick * SECOND // 10
         for name in out:
-            rounds.ended(now, name, True)
-        out = rounds.next(now, engines)
-        assert len(out) <= 3 and not set(out) & rounds.out
+            schedule.ended(now, name, True)
+        out = schedule.take_due(now, engines)
+        assert len(out) <= 3 and not set(out) & schedule.in_flight
         for name in out:
-            rounds.sent(name)
+            schedule.sent(name)
         sent += [(now, name) for name in out]
     first = [now for now, _ in sent[:40]]
     assert {name for _, name in sent[:40]} == set(engines)
@@ -366,45 +393,45 @@
     assert sum(name == "e7" for _, name in sent) in (3, 4, 5)
 
 
-def test_every_engine_has_one_shard_whoever_asks():
-    assert {shard(f"e{n}", 4) for n in range(100)} == {0, 1, 2, 3} and shard("e1", 1) == 0
+def test_every_engine_has_one_shard():
+    assert {shard_of(f"e{n}", 4) for n in range(100)} == {0, 1, 2, 3} and shard_of("e1", 1) == 0
 
 
-# The disk.
+# The store.
 
 
-class Now:
+class DirectReactor:
     """A reactor whose thread calls come at once."""
 
     def callFromThread(self, call, *values):
         call(*values)
 
 
-def test_what_is_put_outlives_the_process_and_a_full_disk_is_said(tmp_path):
-    disk = DurableStore(Now(), str(tmp_path))
+def test_what_is_put_outlives_the_process_and_a_full_disk_is_reported(tmp_path):
+    disk = DurableStore(DirectReactor(), str(tmp_path))
     disk._pool.callInThread = lambda call, *values: call(*values)
     told = []
     disk.put("a", {"x": b"1", "y": b"2"}).addCallback(told.append)
     disk.put("a", {"y": None}).addCallback(told.append)
     disk.put("a", {}).addCallback(told.append)
     assert told == [None] * 3
-    disk._base.execute("pragma max_page_count = 3")
+    disk._connection.execute("pragma max_page_count = 3")
     failed = []
     disk.put("a", {"z": b"0" * 100_000}).addErrback(lambda fault: failed.append(fault.value))
     assert isinstance(failed[0], StoreError) and disk.load("a") == {"x": b"1"}
     disk.close()
-    again = DurableStore(Now(), str(tmp_path))
+    again = DurableStore(DirectReactor(), str(tmp_path))
     assert again.load("a") == {"x": b"1"} and again.load("b") == {}
     again.close()
     with pytest.raises(StoreError):
-        DurableStore(Now(), str(tmp_path / "promises.db"))
+        DurableStore(DirectReactor(), str(tmp_path / "promises.db"))
     (tmp_path / "promises.db").write_bytes(b"no database " * 1000)
     with pytest.raises(StoreError):
-        DurableStore(Now(), str(tmp_path))
+        DurableStore(DirectReactor(), str(tmp_path))
 
 
-class Failing:
-    """A disk that is full for a while."""
+class FailingStore:
+    """A store whose disk is full for a while."""
 
     def __init__(self):
         self.full, self.records = False, {}
@@ -418,25 +445,27 @@
         self.records |= records
         return succeed(None)
 
-    def used(self, name):
+    def remove_operator_file(self, name):
         pass
 
 
-def test_what_a_full_disk_did_not_keep_is_kept_before_anything_else_is_said():
-    disk = Failing()
+def test_what_a_full_disk_did_not_store_is_stored_before_anything_else_is_answered():
+    disk = FailingStore()
     voting = VoterService(Clock(), "a", TERMS, THREE, disk, lambda: 0, None)
-    ask = messages.Ask(1, [("t", Ballot(1, "x", 1))])
+    ask = messages.VoteRequest(1, [("t", Ballot(1, "x", 1))])
     disk.full, refused, told = True, [], []
     voting.answer(ask).addErrback(lambda fault: refused.append(fault.value))
-    assert isinstance(refused[0], RequestRefusedError) and disk.records == {} and voting.why == "full"
+    assert isinstance(refused[0], RequestRefusedError) and disk.records == {} and voting.reason == "full"
     disk.full = False
-    voting.answer(messages.Ask(1, [("u", Ballot(1, "x", 1))])).addCallback(told.append)
+    voting.answer(messages.VoteRequest(1, [("u", Ballot(1, "x", 1))])).addCallback(told.append)
     assert (
-        set(disk.records) == {"t", "u"} and told[0].prepares[0].said is VoterAnswer.YES and voting.why == ""
+        set(disk.records) == {"t", "u"}
+        and told[0].prepares[0].answer is VoterAnswer.GRANTED
+        and voting.reason == ""
     )
 
 
-# What operators write.
+# Configuration.
 
 GOOD = """
 leases {
@@ -469,17 +498,17 @@
 def filled(tmp_path, text):
     path = tmp_path / "options.hcl"
     path.write_text(text)
-    return lease_parts.read_config(read(str(path)).only("leases"))
+    return leases_config.read_config(read(str(path)).only("leases"))
 
 
 def test_the_block_is_read(tmp_path):
     found = filled(tmp_path, GOOD)
     assert found.voters == Voters(1, ("m1", "m2", "m3")) and found.terms.term == 4 * SECOND
-    assert found.chores[0].shards == 2 and found.weights == {"m9": 0}
+    assert found.maintenance_tasks[0].shards == 2 and found.weights == {"m9": 0}
 
 
 @pytest.mark.parametrize("change", BAD)
-def test_what_is_wrong_is_said_in_one_line(tmp_path, change):
+def test_a_faulty_block_is_reported_in_one_line(tmp_path, change):
     old, new = change.split("|")
     assert old in GOOD
     with pytest.raises(BadOptions) as told:
--- a/vanerelay/fleet/commands.py
+++ b/vanerelay/fleet/commands.py
@@ -198,7 +198,9 @@
 
         def finish(results: list[tuple[bool, Any]]) -> dict[str, Any]:
             node.stop()
-            replies = [lease_messages.decode(body, lease_messages.View) for good, body in results if good]
+            replies = [
+                lease_messages.decode(body, lease_messages.LeasesStatus) for good, body in results if good
+            ]
             return {view.name: view for view in replies if view is not None}
 
         return DeferredList(requests, consumeErrors=True).addCallback(finish)
--- a/vanerelay/fleet/lease_summary.py
+++ b/vanerelay/fleet/lease_summary.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from vanerelay.leases.messages import View
+    from vanerelay.leases.messages import LeasesStatus
 
 COUNTER_BITS = 32
 """Low bits of a fencing token, which count within one era; the bits above are the era."""
@@ -69,31 +69,33 @@
         return (*self.tasks, *self.voters)
 
 
-def summarize(views: Mapping[str, View]) -> LeaseSummary:
+def summarize(views: Mapping[str, LeasesStatus]) -> LeaseSummary:
     """Summarizes the views of the gateways that replied, by name."""
     from vanerelay.leases.voter import VoterMemory, Voters
 
     tasks = _tasks(views)
     newest = max(views.values(), key=lambda view: view.version, default=None)
-    voters = Voters(1, tuple(newest.voters), tuple(newest.before)) if newest is not None else Voters()
-    rows = tuple(_voter(name, views.get(name)) for name in voters.all)
-    quorum = voters.enough(row.voter for row in rows if row.memory == VoterMemory.KNOWS.value)
+    voters = (
+        Voters(1, tuple(newest.voters), tuple(newest.previous_voters)) if newest is not None else Voters()
+    )
+    rows = tuple(_voter(name, views.get(name)) for name in voters.names)
+    quorum = voters.is_quorum(row.voter for row in rows if row.memory == VoterMemory.READY.value)
     healthy = quorum and bool(tasks) and all(task.holder for task in tasks)
     return LeaseSummary(tasks, rows, healthy)
 
 
-def _tasks(views: Mapping[str, View]) -> tuple[TaskSummary, ...]:
+def _tasks(views: Mapping[str, LeasesStatus]) -> tuple[TaskSummary, ...]:
     """Each task with the holder that reports the highest fencing token."""
     tasks = dict[str, TaskSummary]()
     for gateway, view in sorted(views.items()):
-        for row in view.rows:
+        for row in view.tasks:
             known = tasks.setdefault(row.task, TaskSummary(row.task))
-            if row.holds and row.number > known.number:
-                tasks[row.task] = TaskSummary(row.task, gateway, row.number, row.left_ms)
+            if row.holds and row.token > known.number:
+                tasks[row.task] = TaskSummary(row.task, gateway, row.token, row.remaining_ms)
     return tuple(tasks[name] for name in sorted(tasks))
 
 
-def _voter(name: str, view: View | None) -> VoterSummary:
+def _voter(name: str, view: LeasesStatus | None) -> VoterSummary:
     if view is None:
         return VoterSummary(name, "no answer", 0, "")
-    return VoterSummary(name, view.memory, view.era, view.why)
+    return VoterSummary(name, view.memory, view.era, view.reason)
--- a/vanerelay/freshness/config.py
+++ b/vanerelay/freshness/config.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from vanerelay.interface import MILLISECOND, SECOND, Duration
-from vanerelay.leases.config import WORDS_MOST
+from vanerelay.leases.config import MAX_COMMAND_WORDS
 from vanerelay.operator_config import Block
 
 
@@ -57,7 +57,7 @@
         sessions=sessions.fill(Sessions) if sessions is not None else Sessions(),
     )
     one = found.watch
-    if not 0 < len(one.words) <= WORDS_MOST or "@ID@" not in one.words:
+    if not 0 < len(one.words) <= MAX_COMMAND_WORDS or "@ID@" not in one.words:
         raise watch.wrong("words: expected 1 to 16, @ID@ one of them, under which engines answer", "words")
     if min(one.every, one.patience, one.shards, one.at_once, one.hear) <= 0:
         raise watch.wrong("every, patience, shards, at_once, hear: expected more than 0", "every")
--- a/vanerelay/freshness/dissemination.py
+++ b/vanerelay/freshness/dissemination.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from vanerelay.leases.assignment import RANKS
+from vanerelay.leases.assignment import WATCHERS_PER_TASK
 
 FAN = 8  # that ask one
 
@@ -15,12 +15,12 @@
 def source(own: str, order: Sequence[str], holder: str, failed: int) -> str | None:
     """Whom to ask now. `order`: all that are there, by rendezvous for the shard's task; `holder`: who
     watches, as far as known; `failed`: questions in a row that brought nothing."""
-    heads = [name for name in dict.fromkeys((holder, *order[:RANKS])) if name and name != own]
-    place = order.index(own) if own in order else RANKS
-    if place >= RANKS:
+    heads = [name for name in dict.fromkeys((holder, *order[:WATCHERS_PER_TASK])) if name and name != own]
+    place = order.index(own) if own in order else WATCHERS_PER_TASK
+    if place >= WATCHERS_PER_TASK:
         above = list[str]()
-        while place >= RANKS:
-            place = (place - RANKS) // FAN
+        while place >= WATCHERS_PER_TASK:
+            place = (place - WATCHERS_PER_TASK) // FAN
             above.append(order[place])
         heads = list(dict.fromkeys((*above, *heads)))
     return heads[failed % len(heads)] if heads else None
--- a/vanerelay/freshness/extension.py
+++ b/vanerelay/freshness/extension.py
@@ -44,7 +44,7 @@
         for number, shard in enumerate(self.freshness.shards):
             chat = Watching(self.freshness, shard)
             self._doing.append(MaintenanceRunner(host, leases, chore, number, chat, bears))
-        self.freshness.holds = [one.hold for one in self._doing]
+        self.freshness.holds = [one.holder for one in self._doing]
         self._opened = True
 
     def loop_starting(self) -> None:
--- a/vanerelay/freshness/service.py
+++ b/vanerelay/freshness/service.py
@@ -41,12 +41,12 @@
         self._begun = dict[str, tuple[int, dict[int, Told]]]()  # answers that are not whole yet
         self._unread = set[str]()
 
-    def began(self, hold: LeaseHolder) -> None:
+    def acquired(self, holder: LeaseHolder) -> None:
         self._begun.clear()
-        self._shard.begin(hold.number, self._freshness.name)
+        self._shard.begin(holder.token, self._freshness.name)
         self._freshness.changed()
 
-    def heard(self, engine: str, at: int, end: AttemptEnd) -> str | None:
+    def replied(self, engine: str, started_at: int, end: AttemptEnd) -> str | None:
         told = messages.rows(end.rows, ROWS_OF_ONE) if end.cause is EndCause.OK else None
         begun = self._begun.pop(engine, None)
         if told is None:
@@ -55,13 +55,13 @@
                 log.warning("an engine's word on its copies can't be read", engine=engine)
             return None
         self._unread.discard(engine)
-        if begun is not None and begun[0] == at:
+        if begun is not None and begun[0] == started_at:
             told = begun[1] | told
         follow = end.fields.get("next", "")
         if follow.isdecimal() and 0 < len(follow) <= 15 and len(told) < ROWS_OF_ONE:
-            self._begun[engine] = at, told
+            self._begun[engine] = started_at, told
             return follow
-        self._shard.saw(engine, at, told)
+        self._shard.saw(engine, started_at, told)
         self._freshness.changed()
         return None
 
@@ -71,7 +71,7 @@
 
     def __init__(self, reactor: Any, fleet: Fleet, leases: Leases, parts: FreshnessConfig) -> None:
         self._reactor, self._fleet, self.parts = reactor, fleet, parts
-        self.name, self.clock, self._drift = fleet.name, leases.clock, leases.parts.terms.drift
+        self.name, self.clock, self._drift = fleet.name, leases.clock, leases.config.terms.clock_drift
         self.positions = Positions()
         self.shards = [Shard(self.positions) for _ in range(parts.watch.shards)]
         self.holds = list[LeaseHolder]()  # of the shards, in their order
@@ -114,7 +114,7 @@
         now = self.clock()
         for shard, hold in zip(self.shards, self.holds, strict=True):
             for engine in engines:
-                if hold.may(now) and engine in shard.asked:
+                if hold.may_act(now) and engine in shard.asked:
                     shard.lost(engine, now)
 
     # News.
@@ -132,7 +132,7 @@
             self._orders = [ranked(hold.task, there) for hold in self.holds]
         now = self.clock()
         for number, hold in enumerate(self.holds):
-            if not hold.may(now):
+            if not hold.may_act(now):
                 self._pull(number)
             self._look(number, now)
 
--- a/vanerelay/lab/engine_server.py
+++ b/vanerelay/lab/engine_server.py
@@ -185,14 +185,14 @@
         number, serial = int(fields.get("number", 0)), int(fields.get("serial", 0))
         begun = self._history.now()
         row: dict[str, Any] = {"task": task, "number": number, "serial": serial, "holder": holder}
-        why = self._gate.refuses(task, number, serial, holder) if self._refuses else None
+        why = self._gate.refusal(task, number, serial, holder) if self._refuses else None
         if self.model.down or self.model.stalled:
             return  # nobody is there to hear it, or to answer
         if why is not None:
             self._history.add("order", begun, result="refused", **row)
-            session.say(ident, b"ERR", b"number=%d" % self._gate.number(task))
+            session.say(ident, b"ERR", b"number=%d" % self._gate.highest_token(task))
             return
-        self._gate.takes(task, number, serial, holder)
+        self._gate.accept(task, number, serial, holder)
 
         def done() -> None:
             self._history.add("order", begun, result="ok", **row)
--- a/vanerelay/leases/assignment.py
+++ b/vanerelay/leases/assignment.py
@@ -1,8 +1,9 @@
-"""Which task is whose. Pure: all managers that see the same fleet come to the same answer without a word.
+"""Which gateway should hold which task. Pure: gateways that see the same fleet agree without a message.
 
-Weighted rendezvous (Thaler and Ravishankar 1998; logarithmic weights as in Schindelhauer and Schomaker
-2005): when managers come and go only their own tasks move. What one takes is bounded (Mirrokni, Thorup,
-Zadimoghaddam 2018): one that is full is passed over for the next in line."""
+Weighted rendezvous hashing (Thaler and Ravishankar 1998; logarithmic weights as in Schindelhauer and
+Schomaker 2005): when gateways come and go only their own tasks move. The load of each is bounded
+(Mirrokni, Thorup, Zadimoghaddam 2018): a gateway that is full is passed over for the next in rank.
+"""
 
 from __future__ import annotations
 
@@ -15,128 +16,166 @@
 from vanerelay.fleet.failure_detector import Member, MemberState
 from vanerelay.interface import Duration
 
-SLACK = 1.25  # times its even share that a manager takes at most
-RANKS = 3  # managers that have an eye on a task: the first takes it, the others look whether it is held
-STEADY = 3  # terms for which a better one must have been there, while we held, before it is given up for it
-PATIENT = 8  # times that, at most: one that did not take what it was given is believed less each time
-REST = 3  # terms for which one that gave a task back does not want it again
-SPREAD = 2.0**64
+LOAD_SLACK = 1.25
+"""A gateway takes at most this many times its even share of the tasks."""
+
+WATCHERS_PER_TASK = 3
+"""Gateways that watch a task: the first takes it, the others check whether it is held."""
+
+HANDOVER_TERMS = 3
+"""Terms for which a better placed gateway must have been there before a held task is handed over to it."""
+
+MAX_HANDOVER_FACTOR = 8
+"""`HANDOVER_TERMS` grows up to this many times, for a gateway that did not take what was handed over."""
+
+COOLDOWN_TERMS = 3
+"""Terms for which a gateway that gave a task back does not want it again."""
+
+RETRY_FRACTION = 10
+"""The preferred gateway retries after about this fraction of a term."""
+
+HASH_RANGE = 2.0**64
+UNRANKED = -1
+"""The rank of a gateway that does not watch a task."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A manager that may hold tasks. `weight`: its part beside the others'; `behind`: it runs an older
-    release, and comes after all that do not."""
+    """A gateway that may hold tasks.
+
+    `weight` is its share beside the others'. One with `outdated` runs an older release, and ranks after all
+    that do not.
+    """
 
     name: str
     weight: float = 1.0
-    behind: bool = False
+    outdated: bool = False
 
 
 def score(task: str, candidate: Candidate) -> float:
-    """The highest has the first claim."""
-    drawn = (xxhash.xxh3_64_intdigest(f"{task}\0{candidate.name}".encode()) + 1) / (SPREAD + 2)
+    """The rendezvous score: the candidate with the highest comes first."""
+    drawn = (xxhash.xxh3_64_intdigest(f"{task}\0{candidate.name}".encode()) + 1) / (HASH_RANGE + 2)
     return -candidate.weight / math.log(drawn)
 
 
 def ranked(task: str, candidates: Iterable[Candidate]) -> list[str]:
-    order = sorted(candidates, key=lambda one: (one.behind, -score(task, one), one.name))
+    """The names of the candidates, the preferred one first."""
+    order = sorted(candidates, key=lambda one: (one.outdated, -score(task, one), one.name))
     return [one.name for one in order]
 
 
-def most(tasks: int, candidates: Sequence[Candidate]) -> dict[str, int]:
-    """How many tasks each takes at most."""
+def load_limits(tasks: int, candidates: Sequence[Candidate]) -> dict[str, int]:
+    """How many tasks each candidate takes at most."""
     total = sum(one.weight for one in candidates) or 1.0
-    return {one.name: math.ceil(SLACK * tasks * one.weight / total) for one in candidates}
+    return {one.name: math.ceil(LOAD_SLACK * tasks * one.weight / total) for one in candidates}
 
 
 def assign(tasks: Iterable[str], candidates: Sequence[Candidate]) -> dict[str, tuple[str, ...]]:
-    """For each task the managers that have an eye on it, the one that is to take it first."""
-    names, taken = list(tasks), dict[str, int]()
-    room = most(len(names), candidates)
-    found = dict[str, tuple[str, ...]]()
-    # In an order of their own, so that one task more moves few of the others.
+    """For each task the gateways that watch it; the first is to take it."""
+    names, load = list(tasks), dict[str, int]()
+    limits = load_limits(len(names), candidates)
+    watchers = dict[str, tuple[str, ...]]()
+    # In an order by hash, so that one task more moves few of the others.
     for task in sorted(names, key=lambda name: (xxhash.xxh3_64_intdigest(name.encode()), name)):
         order = ranked(task, candidates)
-        free = [name for name in order if taken.get(name, 0) < room[name]]
-        first = (free or order)[:1]
+        not_full = [name for name in order if load.get(name, 0) < limits[name]]
+        first = (not_full or order)[:1]
         for name in first:
-            taken[name] = taken.get(name, 0) + 1
-        found[task] = (*first, *[name for name in order if name not in first])[:RANKS]
-    return found
+            load[name] = load.get(name, 0) + 1
+        others = [name for name in order if name not in first]
+        watchers[task] = (*first, *others)[:WATCHERS_PER_TASK]
+    return watchers
 
 
-def candidates(
-    members: Iterable[Member], own: str, fit: bool, weights: Mapping[str, float] | None = None
+def eligible_candidates(
+    members: Iterable[Member], own: str, own_is_fit: bool, weights: Mapping[str, float] | None = None
 ) -> list[Candidate]:
-    """Who may hold tasks, as one manager sees its fleet. `fit`: whether we ourselves may."""
+    """The gateways that may hold tasks, as the gateway `own` sees its fleet."""
     serving = [
-        one
-        for one in members
-        if one.standing in (MemberState.ALIVE, MemberState.SUSPECT)
-        and one.state == "serving"
-        and (fit or one.name != own)
+        member
+        for member in members
+        if member.standing in (MemberState.ALIVE, MemberState.SUSPECT)
+        and member.state == "serving"
+        and (own_is_fit or member.name != own)
     ]
-    newest = max((version(one.program) for one in serving), default=())
-    told = weights or {}
+    newest = max((release_version(member.program) for member in serving), default=())
+    given = weights or {}
     return [
-        Candidate(one.name, told.get(one.name, 1.0), version(one.program) < newest)
-        for one in serving
-        if told.get(one.name, 1.0) > 0
+        Candidate(member.name, given.get(member.name, 1.0), release_version(member.program) < newest)
+        for member in serving
+        if given.get(member.name, 1.0) > 0
     ]
 
 
-def version(program: str) -> tuple[int, ...]:
-    """Of a release as managers tell it, such as 0.2.0-5e1f; empty where it is none."""
+def release_version(program: str) -> tuple[int, ...]:
+    """The version in a release's name such as 0.2.0-5e1f; empty where there is none."""
     parts = program.partition("-")[0].split(".")
     return tuple(int(part) for part in parts) if all(part.isdecimal() for part in parts) else ()
 
 
 @dataclass(slots=True)
-class Watch:
-    """One task, seen from one manager: when it is to be taken, looked at, or given up for a better place."""
-
-    place: int = -1  # of ours among those that have an eye on it; -1: none
-    since: int = 0  # when our place became what it is
-    look_at: int = 0
-    rests_until: int = 0
-    held: int = -1  # since when it is ours
-    doubts: int = 1
-
-    def placed(self, now: int, own: str, order: Sequence[str]) -> None:
-        place = order.index(own) if own in order else -1
-        if place != self.place:
-            self.place, self.since, self.look_at = place, now, now
-            if place == 0:
-                self.rests_until = now  # whom it was given up for is there no more
-
-    def wants(self, now: int, term: Duration) -> bool:
-        """Whether to ask for it now: the first at once, the others when their turn to look has come, as the
-        first may be there and yet not reach the voters."""
-        if self.place < 0 or now < self.rests_until or now < self.look_at:
+class TaskWatch:
+    """One task as one gateway watches it: when to request its lease, and when to hand the task over.
+
+    Attributes:
+        rank: our place among those that watch the task; `UNRANKED` where we don't.
+        ranked_at: when our rank became what it is.
+        next_check: when to request the lease at the earliest.
+        cooldown_until: until when we do not want the task, having given it back.
+        acquired_at: since when it is ours; -1 where it never was, or was given back.
+        handover_factor: how many times `HANDOVER_TERMS` we wait before handing it over.
+    """
+
+    rank: int = UNRANKED
+    ranked_at: int = 0
+    next_check: int = 0
+    cooldown_until: int = 0
+    acquired_at: int = -1
+    handover_factor: int = 1
+
+    def set_order(self, now: int, own: str, order: Sequence[str]) -> None:
+        """Takes note of the gateways that watch the task now."""
+        rank = order.index(own) if own in order else UNRANKED
+        if rank == self.rank:
+            return
+        self.rank, self.ranked_at, self.next_check = rank, now, now
+        if rank == 0:
+            self.cooldown_until = now  # the gateway that it was handed over to has gone
+
+    def wants_lease(self, now: int, term: Duration) -> bool:
+        """Whether to request the lease now.
+
+        The preferred gateway does so at once. The others do when their turn to check has come, as the
+        preferred one may be alive and yet not reach the voters.
+        """
+        if self.rank < 0 or now < self.cooldown_until or now < self.next_check:
             return False
-        return self.place == 0 or now >= self.since + term * self.place
-
-    def asked(self, now: int, term: Duration, left: int, draw: float) -> None:
-        """It was asked for in vain: again when whoever holds it has let it run out. `left`: for how long it
-        is held yet, 0 where a contest was lost or nothing came; `draw`: 0 to 1."""
-        base = term // 10 if self.place == 0 else term * self.place // 2
-        self.look_at = now + max(left + 1, int(base * (0.5 + draw)))
-
-    def freed(self, now: int) -> None:
-        """Who held it says that it is free, and ours first."""
-        self.look_at = min(self.look_at, now)
-
-    def took(self, now: int) -> None:
-        self.held = now
-
-    def outlived(self, now: int, term: Duration, sound: bool) -> bool:
-        """Whether what we hold is to be given up for one that has a better place. `sound`: whether nobody
-        suspects that one to be gone."""
-        since = max(self.since, self.held)
-        return self.place != 0 and sound and now >= since + STEADY * self.doubts * term
-
-    def gave(self, now: int, term: Duration) -> None:
-        """It was given back: others have the time to take it."""
-        self.held, self.rests_until = -1, now + REST * term
-        self.doubts = min(PATIENT, 2 * self.doubts) if self.place else 1
+        return self.rank == 0 or now >= self.ranked_at + term * self.rank
+
+    def request_failed(self, now: int, term: Duration, remaining: int, jitter: float) -> None:
+        """Retries once the present holder's lease has expired.
+
+        `remaining` is for how long it is still held, 0 where a contest was lost or no reply came; `jitter` is
+        drawn from 0 to 1.
+        """
+        delay = term // RETRY_FRACTION if self.rank == 0 else term * self.rank // 2
+        self.next_check = now + max(remaining + 1, int(delay * (0.5 + jitter)))
+
+    def holder_released(self, now: int) -> None:
+        """The holder reports that the lease was given back."""
+        self.next_check = min(self.next_check, now)
+
+    def acquired(self, now: int) -> None:
+        """The lease is ours."""
+        self.acquired_at = now
+
+    def should_hand_over(self, now: int, term: Duration, preferred_is_alive: bool) -> bool:
+        """Whether to give a held task back for the better placed gateway, which nobody may suspect."""
+        since = max(self.ranked_at, self.acquired_at)
+        waited = now >= since + HANDOVER_TERMS * self.handover_factor * term
+        return self.rank != 0 and preferred_is_alive and waited
+
+    def released(self, now: int, term: Duration) -> None:
+        """We gave the lease back: others have the time to acquire it."""
+        self.acquired_at, self.cooldown_until = -1, now + COOLDOWN_TERMS * term
+        self.handover_factor = min(MAX_HANDOVER_FACTOR, 2 * self.handover_factor) if self.rank else 1
--- a/vanerelay/leases/config.py
+++ b/vanerelay/leases/config.py
@@ -1,74 +1,117 @@
-"""The `leases` block of the operators' file, into the arguments of each part."""
+"""The `leases` block of the operators' file, typed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
+from vanerelay.config_field import config_field
 from vanerelay.interface import SECOND, Duration
 from vanerelay.leases.voter import LeaseTerms, Voters
 from vanerelay.operator_config import Block
 
-SIZES = (3, 5, 7)
-WORDS_MOST = 16
+VOTER_COUNTS = (3, 5, 7)
+"""Voters that a fleet may have: odd, as one more would add no fault that can be survived."""
+
+MAX_COMMAND_WORDS = 16
+"""Words of a maintenance command: what a protocol line of the engines may hold."""
+
+MIN_TERM = SECOND // 10
+"""The shortest term: it has to be several times a round trip between gateways."""
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceTask:
-    """A command that one manager sends to every engine. `every`: to each engine once in so long; `words`: the
-    command, with @ID@, @TASK@, @NUMBER@, @SERIAL@, @HOLDER@ and @FROM@ filled in; `patience`: for an answer;
-    `shards`: parts of the engines, a task each; `at_once`: orders of one shard that are out."""
+    """A command that one gateway sends to every engine.
+
+    Attributes:
+        name: the task's name.
+        command: its words, with @ID@, @TASK@, @NUMBER@, @SERIAL@, @HOLDER@ and @FROM@ filled in.
+        interval: between two commands to one engine.
+        timeout: for an engine's reply.
+        shards: parts of the engines; each is a task with a lease of its own.
+        max_in_flight: commands of one shard that are in flight at once.
+    """
 
     name: str
-    words: tuple[str, ...]
-    every: Duration = 60 * SECOND
-    patience: Duration = 2 * SECOND
+    command: tuple[str, ...] = config_field("words")
+    interval: Duration = config_field("every", default=60 * SECOND)
+    timeout: Duration = config_field("patience", default=2 * SECOND)
     shards: int = 1
-    at_once: int = 4
+    max_in_flight: int = config_field("at_once", default=4)
 
 
 @dataclass(frozen=True, slots=True)
 class LeasesConfig:
-    """`voters` by name, `before` those that they take the place of, in a joint step; `folder`: where a voter
-    remembers; `weights`: of managers, 0: one holds nothing; `history`: a file for the laboratory."""
+    """The block's content.
+
+    Attributes:
+        voters: the gateways that vote, by name.
+        folder: where a voter stores what it promised.
+        weights: of gateways beside the others' 1.0; one of weight 0 holds nothing.
+        history: a file for the laboratory.
+        terms: durations and bounds.
+        maintenance_tasks: commands to all engines.
+    """
 
     voters: Voters
     folder: str = ""
     weights: dict[str, float] = field(default_factory=dict)
     history: str = ""
     terms: LeaseTerms = LeaseTerms()
-    chores: tuple[MaintenanceTask, ...] = ()
+    maintenance_tasks: tuple[MaintenanceTask, ...] = config_field("chores", default=())
 
 
 def read_config(block: Block) -> LeasesConfig:
-    """Raises BadOptions with the line of what is wrong."""
-    named = block.take("voters", tuple[str, ...], ())
-    before = block.take("voters_before", tuple[str, ...], ())
+    """Reads the block.
+
+    Raises:
+        BadOptions: with the line of what is wrong.
+    """
+    voters = _read_voters(block)
+    terms_block = block.only("terms")
+    terms = _read_terms(terms_block) if terms_block is not None else LeaseTerms()
+    tasks = tuple(_read_maintenance_task(one) for one in block.all("chore"))
+    config = block.fill(LeasesConfig, voters=voters, terms=terms, maintenance_tasks=tasks)
+    block.done()
+    if terms_block is not None:
+        terms_block.done()
+    return config
+
+
+def _read_voters(block: Block) -> Voters:
+    current = block.take("voters", tuple[str, ...], ())
+    previous = block.take("voters_before", tuple[str, ...], ())
     version = block.take("version", int, 1)
-    for word, names in (("voters", named), *((("voters_before", before),) if before else ())):
-        if len(names) not in SIZES or len(set(names)) != len(names):
-            told = ", ".join(names) or "none"
-            raise block.wrong(f"{word}: {told}, expected 3, 5 or 7 managers by name", word)
-    pace = block.only("terms")
-    terms = pace.fill(LeaseTerms) if pace is not None else LeaseTerms()
-    if pace is not None and not SECOND // 10 <= terms.term <= terms.longest:
-        raise pace.wrong("term: expected one of 100ms or more, and not past longest", "term")
-    if pace is not None and not 0 < terms.drift < 1:
-        raise pace.wrong(f"drift: {terms.drift}, expected a part between 0 and 1, such as 0.02", "drift")
-    chores = tuple(_chore(one) for one in block.all("chore"))
-    found = block.fill(LeasesConfig, voters=Voters(version, named, before), terms=terms, chores=chores)
-    for one in (block, pace):
-        if one is not None:
-            one.done()
-    return found
-
-
-def _chore(block: Block) -> MaintenanceTask:
-    found = block.fill(MaintenanceTask, name=block.label)
+    _check_voters(block, "voters", current)
+    if previous:
+        _check_voters(block, "voters_before", previous)
+    return Voters(version, current, previous)
+
+
+def _check_voters(block: Block, key: str, names: tuple[str, ...]) -> None:
+    if len(names) not in VOTER_COUNTS or len(set(names)) != len(names):
+        listed = ", ".join(names) or "none"
+        raise block.wrong(f"{key}: {listed}, expected 3, 5 or 7 managers by name", key)
+
+
+def _read_terms(block: Block) -> LeaseTerms:
+    terms = block.fill(LeaseTerms)
+    if not MIN_TERM <= terms.term <= terms.max_term:
+        raise block.wrong("term: expected one of 100ms or more, and not past longest", "term")
+    if not 0 < terms.clock_drift < 1:
+        raise block.wrong(
+            f"drift: {terms.clock_drift}, expected a part between 0 and 1, such as 0.02", "drift"
+        )
+    return terms
+
+
+def _read_maintenance_task(block: Block) -> MaintenanceTask:
+    task = block.fill(MaintenanceTask, name=block.label)
     block.done()
-    if not found.name or "/" in found.name:
+    if not task.name or "/" in task.name:
         raise block.wrong('chore: expected a name without "/", such as chore "refresh"')
-    if not 0 < len(found.words) <= WORDS_MOST or "@ID@" not in found.words:
+    if not 0 < len(task.command) <= MAX_COMMAND_WORDS or "@ID@" not in task.command:
         raise block.wrong("words: expected 1 to 16, @ID@ one of them, under which engines answer", "words")
-    if found.shards < 1 or found.at_once < 1 or found.every <= 0 or found.patience <= 0:
+    if task.shards < 1 or task.max_in_flight < 1 or task.interval <= 0 or task.timeout <= 0:
         raise block.wrong("shards, at_once, every, patience: expected more than 0", "shards")
-    return found
+    return task
--- a/vanerelay/leases/durable_store.py
+++ b/vanerelay/leases/durable_store.py
@@ -1,12 +1,13 @@
-"""A store that survives crashes: records under a space and a key, whole or not there, on disk before their
-Deferred fires. A thin driver on SQLite; what waits while one commit runs goes with the next.
+"""A store that survives crashes: records under a space and a key, on disk before their Deferred fires.
 
-It knows nothing of leases: whatever managers promise each other can lie here."""
+A thin driver of SQLite with one thread; what arrives while one commit runs goes with the next. It knows
+nothing of leases. The names of the file, the table and its columns are those of the first release.
+"""
 
 from __future__ import annotations
 
 import sqlite3
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import Any
 
@@ -14,116 +15,137 @@
 from twisted.internet.defer import Deferred
 from twisted.python.threadpool import ThreadPool
 
-FILE = "promises.db"
-SCHEMA = "create table if not exists kept (space text, key text, body blob, primary key (space, key))"
-WAITING_MOST = 10_000  # records that wait for a commit; past it nothing further is kept, nor said
-
-log = structlog.get_logger()
+from vanerelay.leases.errors import StoreError
 
+__all__ = ["DurableStore", "StoreError"]
 
-class StoreError(Exception):
-    """It could not be kept; why, in one line."""
+FILE_NAME = "promises.db"
+SCHEMA = "create table if not exists kept (space text, key text, body blob, primary key (space, key))"
+MAX_PENDING_RECORDS = 10_000
+"""Records that wait for a commit. Past it the disk can't follow, and further ones are refused."""
 
+log = structlog.get_logger()
 
-Rows = dict[tuple[str, str], bytes | None]
+PendingRecords = dict[tuple[str, str], bytes | None]
+"""Records to be written by space and key; None for one to be deleted."""
 
 
 class DurableStore:
-    """Raises Unkept where the folder can't be used."""
+    """The store in one folder."""
 
     def __init__(self, reactor: Any, folder: str) -> None:
-        self._reactor, self._path = reactor, Path(folder) / FILE
-        self._waiting: Rows = {}
-        self._calls, self._busy = list[Deferred[None]](), False
-        self._closed = False
-        self.commits = 0
+        """Opens or creates the store.
+
+        Raises:
+            StoreError: the folder can't be used.
+        """
+        self._reactor, self._path = reactor, Path(folder) / FILE_NAME
+        self._pending: PendingRecords = {}
+        self._waiting = list[Deferred[None]]()
+        self._is_committing = self._is_closed = False
         try:
             self._path.parent.mkdir(parents=True, exist_ok=True)
-            self._base = sqlite3.connect(self._path, isolation_level=None, check_same_thread=False)
-            self._base.execute("pragma journal_mode = wal")
-            self._base.execute("pragma synchronous = full")
-            self._base.execute(SCHEMA)
-            self._base.execute("select count(*) from kept").fetchone()
-        except (OSError, sqlite3.Error) as fault:
-            raise StoreError(f"{self._path}: {fault}") from None
+            self._connection = sqlite3.connect(self._path, isolation_level=None, check_same_thread=False)
+            self._connection.execute("pragma journal_mode = wal")
+            self._connection.execute("pragma synchronous = full")
+            self._connection.execute(SCHEMA)
+            self._connection.execute("select count(*) from kept").fetchone()
+        except (OSError, sqlite3.Error) as error:
+            raise StoreError(f"{self._path}: {error}") from error
         self._pool = ThreadPool(0, 1, "disk")
         self._pool.start()
 
     def load(self, space: str) -> dict[str, bytes]:
-        """All of a space. Raises Unkept."""
+        """All records of a space.
+
+        Raises:
+            StoreError: they can't be read.
+        """
+        query = "select key, body from kept where space = ?"
         try:
-            rows = self._base.execute("select key, body from kept where space = ?", (space,)).fetchall()
-        except sqlite3.Error as fault:
-            raise StoreError(f"{self._path}: {fault}") from None
+            rows = self._connection.execute(query, (space,)).fetchall()
+        except sqlite3.Error as error:
+            raise StoreError(f"{self._path}: {error}") from error
         return {str(key): bytes(body) for key, body in rows}
 
-    def word(self, name: str) -> str:
-        """A word of an operator, in a file beside the records; empty where there is none."""
+    def read_operator_file(self, name: str) -> str:
+        """The text of a file that an operator put beside the records; empty where there is none."""
         try:
             return self._path.with_name(name).read_text(encoding="utf-8").strip()
         except (OSError, UnicodeDecodeError):
             return ""
 
-    def used(self, name: str) -> None:
-        """The word counts no more."""
+    def remove_operator_file(self, name: str) -> None:
+        """Removes an operator's file once it was followed."""
         self._path.with_name(name).unlink(missing_ok=True)
 
     def put(self, space: str, records: Mapping[str, bytes | None]) -> Deferred[None]:
-        """Fires once these, and all put before them, are on disk; None takes a record away. Fails with
-        Unkept. Without records: once all put before are."""
+        """Writes records; None deletes one.
+
+        The result fires once these, and all that were put before, are on disk, and fails with StoreError.
+        Without records it fires once all that were put before are on disk.
+        """
         done: Deferred[None] = Deferred()
-        if self._closed or len(self._waiting) + len(records) > WAITING_MOST:
-            done.errback(
-                StoreError(f"{self._path}: " + ("closed" if self._closed else "too much waits for it"))
-            )
+        if self._is_closed or len(self._pending) + len(records) > MAX_PENDING_RECORDS:
+            reason = "closed" if self._is_closed else "too much waits for it"
+            done.errback(StoreError(f"{self._path}: {reason}"))
             return done
-        self._waiting |= {(space, key): body for key, body in records.items()}
-        self._calls.append(done)
-        if not self._busy:
+        self._pending |= {(space, key): body for key, body in records.items()}
+        self._waiting.append(done)
+        if not self._is_committing:
             self._commit()
         return done
 
     def _commit(self) -> None:
-        if not self._calls:
+        if not self._waiting:
             return
-        rows, self._waiting = self._waiting, {}
-        calls, self._calls = self._calls, []
-        self._busy = True
-
-        def ended(fault: StoreError | None) -> None:
-            self._busy = False
-            for call in calls:
-                (call.callback(None) if fault is None else call.errback(fault))
+        records, self._pending = self._pending, {}
+        waiting, self._waiting = self._waiting, []
+        self._is_committing = True
+
+        def committed(error: StoreError | None) -> None:
+            self._is_committing = False
+            for done in waiting:
+                if error is None:
+                    done.callback(None)
+                else:
+                    done.errback(error)
             self._commit()
 
-        if not rows:
-            ended(None)
+        if not records:
+            committed(None)
             return
-        self.commits += 1
-        self._pool.callInThread(self._write, rows, ended)
+        self._pool.callInThread(self._write, records, committed)
 
-    def _write(self, rows: Rows, ended: Any) -> None:
-        """In the thread."""
-        fault = None
+    def _write(self, records: PendingRecords, committed: Callable[[StoreError | None], None]) -> None:
+        """Commits the records; runs in the pool's thread."""
+        failure = None
         try:
-            self._base.execute("begin immediate")
-            for (space, key), body in rows.items():
-                if body is None:
-                    self._base.execute("delete from kept where space = ? and key = ?", (space, key))
-                else:
-                    self._base.execute("insert or replace into kept values (?, ?, ?)", (space, key, body))
-            self._base.execute("commit")
-        except sqlite3.Error as wrong:
-            fault = StoreError(f"{self._path}: {wrong}")
-            try:
-                if self._base.in_transaction:
-                    self._base.execute("rollback")
-            except sqlite3.Error as again:
-                log.warning("a commit could not be taken back", why=str(again))
-        self._reactor.callFromThread(ended, fault)
+            self._connection.execute("begin immediate")
+            for (space, key), body in records.items():
+                self._write_record(space, key, body)
+            self._connection.execute("commit")
+        except sqlite3.Error as error:
+            failure = StoreError(f"{self._path}: {error}")
+            self._roll_back()
+        self._reactor.callFromThread(committed, failure)
+
+    def _write_record(self, space: str, key: str, body: bytes | None) -> None:
+        if body is None:
+            self._connection.execute("delete from kept where space = ? and key = ?", (space, key))
+        else:
+            self._connection.execute("insert or replace into kept values (?, ?, ?)", (space, key, body))
+
+    def _roll_back(self) -> None:
+        try:
+            if self._connection.in_transaction:
+                self._connection.execute("rollback")
+        except sqlite3.Error as error:
+            log.warning("a failed commit could not be rolled back", error=str(error))
 
     def close(self) -> None:
-        if not self._closed:
-            self._closed = True
+        """Ends the thread and closes the file. May be called twice."""
+        if not self._is_closed:
+            self._is_closed = True
             self._pool.stop()
-            self._base.close()
+            self._connection.close()
--- a/vanerelay/leases/fencing.py
+++ b/vanerelay/leases/fencing.py
@@ -1,8 +1,10 @@
-"""May I act now, until when, under which number; and what a receiver makes of a deed. Pure.
+"""Fencing: when a lease holder may act, and which operations a receiver refuses. Pure.
 
-A lease alone does not hold back a frozen process's last packet: each deed names its task, number and serial,
-and a receiver that can refuse does. For those that can't, who takes over from one that did not give the lease
-back first waits as long as a deed may still be on its way (`linger`)."""
+A lease alone does not hold back the last packet of a frozen process. Each operation therefore carries its
+task, its fencing token and a serial, and a receiver that can refuse does so. For receivers that can't, a
+holder that follows one which did not give the lease back first waits as long as an operation may still be on
+its way (`LeaseTerms.takeover_delay`).
+"""
 
 from __future__ import annotations
 
@@ -10,116 +12,144 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from vanerelay.leases.voter import Claim, LeaseTerms
+from vanerelay.leases.claim import Claim
+from vanerelay.leases.voter import LeaseTerms
 
-MOST_DEEDS = 64  # of one task that are out at once
-MOST_GATES = 1000  # tasks whose numbers a receiver remembers
+MAX_IN_FLIGHT = 64
+"""Operations of one task that are in flight at once: a bound on memory, far above what any task needs."""
+
+MAX_FENCED_TASKS = 1000
+"""Tasks whose tokens a receiver remembers: a bound on memory, above `voter.MAX_TASKS`."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeasedOperation:
-    """What goes with whatever is done. `until`: by our own clock, when nobody may count on it any more."""
+    """What is sent along with an operation that is done under a lease.
+
+    `expires_at`, by the holder's own clock, is when nobody may count on the operation any more.
+    """
 
     task: str
-    number: int
+    token: int
     serial: int
     holder: str
-    until: int
+    expires_at: int
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """One task that may be ours."""
+    """One task's lease as this gateway may hold it.
+
+    Attributes:
+        task: the task's name.
+        holder: this process, as receivers know it.
+        token: the fencing token of the holding; that of the last one where nothing is held.
+        acts_from: when operations may begin.
+        expires_at: when the lease ends; 0 where it is not held.
+        is_releasing: nothing further begins, as the lease is being given back.
+        in_flight: serials of the operations that have not ended.
+    """
 
     task: str
     holder: str
-    number: int = 0
+    token: int = 0
     acts_from: int = 0
-    until: int = 0
-    leaving: bool = False
-    out: set[int] = field(default_factory=set)  # deeds that have not ended
+    expires_at: int = 0
+    is_releasing: bool = False
+    in_flight: set[int] = field(default_factory=set)
     _serial: int = 0
 
-    def settle(self, now: int, claim: Claim, terms: LeaseTerms) -> bool:
-        """What became of the claim; whether a new number is ours."""
-        if not claim.holds(now):
-            self.until = 0
+    def update(self, now: int, claim: Claim, terms: LeaseTerms) -> bool:
+        """Follows what became of the claim; whether a new holding, with a new token, has begun."""
+        if not claim.is_held(now):
+            self.expires_at = 0
             return False
-        new = claim.grant.number != self.number
-        if new:
-            self.number, self.leaving, self._serial = claim.grant.number, False, 0
-            self.out.clear()
-            self.acts_from = now if claim.free else now + terms.linger
-        self.until = claim.until
-        return new
-
-    def may(self, now: int) -> bool:
-        return not self.leaving and self.acts_from <= now < self.until
-
-    def begin(self, now: int, bound: int) -> LeasedOperation | None:
-        """A deed that takes `bound` at most; None where it may not begin, as it might end after our term."""
-        if not self.may(now) or now + bound >= self.until or len(self.out) >= MOST_DEEDS:
+        is_new = claim.grant.token != self.token
+        if is_new:
+            self.token, self.is_releasing, self._serial = claim.grant.token, False, 0
+            self.in_flight.clear()
+            self.acts_from = now if claim.was_released else now + terms.takeover_delay
+        self.expires_at = claim.expires_at
+        return is_new
+
+    def may_act(self, now: int) -> bool:
+        """Whether the lease is held and operations may begin."""
+        return not self.is_releasing and self.acts_from <= now < self.expires_at
+
+    def begin(self, now: int, max_duration: int) -> LeasedOperation | None:
+        """Begins an operation; None where it may not begin, as it might end after the lease."""
+        if not self.may_act(now) or now + max_duration >= self.expires_at:
+            return None
+        if len(self.in_flight) >= MAX_IN_FLIGHT:
             return None
         self._serial += 1
-        self.out.add(self._serial)
-        return LeasedOperation(self.task, self.number, self._serial, self.holder, self.until)
+        self.in_flight.add(self._serial)
+        return LeasedOperation(self.task, self.token, self._serial, self.holder, self.expires_at)
 
-    def end(self, deed: LeasedOperation) -> None:
-        if deed.number == self.number:
-            self.out.discard(deed.serial)
+    def end(self, operation: LeasedOperation) -> None:
+        """An operation has ended, whatever came of it."""
+        if operation.token == self.token:
+            self.in_flight.discard(operation.serial)
 
-    def leave(self) -> None:
-        """Nothing further begins; `free` once all has ended."""
-        self.leaving = True
+    def start_release(self) -> None:
+        """Nothing further begins; the lease may be given back once all has ended (`may_release`)."""
+        self.is_releasing = True
 
     @property
-    def free(self) -> bool:
-        return self.leaving and not self.out
+    def may_release(self) -> bool:
+        """Whether the lease is being given back and nothing is in flight any more."""
+        return self.is_releasing and not self.in_flight
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
-    """The last deed of one task that a receiver took."""
+class AcceptedOperation:
+    """The last operation of a task that a receiver accepted."""
 
-    number: int
+    token: int
     holder: str
     serial: int
 
 
 class FencingGate:
-    """A receiver's part: deeds of a holder that was followed, and late or doubled ones, are refused."""
+    """A receiver's side: refuses operations of a holder that has a successor, late ones and repeated ones."""
+
+    def __init__(self, accepted: Mapping[str, AcceptedOperation] | None = None) -> None:
+        self._accepted: OrderedDict[str, AcceptedOperation] = OrderedDict(accepted or {})
 
-    def __init__(self, kept: Mapping[str, Passed] | None = None) -> None:
-        self._passed: OrderedDict[str, Passed] = OrderedDict(kept or {})
+    def refusal(self, task: str, token: int, serial: int, holder: str) -> str | None:
+        """Why an operation is refused.
 
-    def refuses(self, task: str, number: int, serial: int, holder: str) -> str | None:
-        """Why a deed is not taken; None if it is. What follows is to be kept before the deed is done."""
-        known = self._passed.get(task)
+        None where it is not: then `accept` is to be called before the operation is done.
+        """
+        known = self._accepted.get(task)
         if known is None:
-            full = len(self._passed) >= MOST_GATES
+            full = len(self._accepted) >= MAX_FENCED_TASKS
             return "too many tasks are known" if full else None
-        if number < known.number:
-            return f"number {number} of {task}, expected {known.number} or higher: another has taken over"
-        if number == known.number and holder != known.holder:
-            return f"number {number} of {task} is {known.holder}'s"
-        if number == known.number and serial <= known.serial:
+        if token < known.token:
+            return f"number {token} of {task}, expected {known.token} or higher: another has taken over"
+        if token == known.token and holder != known.holder:
+            return f"number {token} of {task} is {known.holder}'s"
+        if token == known.token and serial <= known.serial:
             return f"deed {serial} of {task} comes late, {known.serial} was taken"
         return None
 
-    def takes(self, task: str, number: int, serial: int, holder: str) -> None:
-        self._passed[task] = Passed(number, holder, serial)
+    def accept(self, task: str, token: int, serial: int, holder: str) -> None:
+        """Remembers an operation that was not refused."""
+        self._accepted[task] = AcceptedOperation(token, holder, serial)
 
-    def learn(self, task: str, number: int, holder: str) -> None:
-        """That a number is held, heard otherwise than by a deed: those before are refused from now on."""
-        known = self._passed.get(task)
-        room = len(self._passed) < MOST_GATES
-        if known is None and room or known is not None and known.number < number:
-            self._passed[task] = Passed(number, holder, 0)
+    def learn(self, task: str, token: int, holder: str) -> None:
+        """A token is known to be held, though no operation came under it: lower ones are refused from now."""
+        known = self._accepted.get(task)
+        has_space = len(self._accepted) < MAX_FENCED_TASKS
+        if known is None and has_space or known is not None and known.token < token:
+            self._accepted[task] = AcceptedOperation(token, holder, 0)
 
-    def number(self, task: str) -> int:
-        known = self._passed.get(task)
-        return known.number if known is not None else 0
+    def highest_token(self, task: str) -> int:
+        """The highest token that was accepted for a task; 0 where none was."""
+        known = self._accepted.get(task)
+        return known.token if known is not None else 0
 
     @property
-    def passed(self) -> Mapping[str, Passed]:
-        return self._passed
+    def accepted(self) -> Mapping[str, AcceptedOperation]:
+        """The last accepted operation of each task."""
+        return self._accepted
--- a/vanerelay/leases/messages.py
+++ b/vanerelay/leases/messages.py
@@ -1,97 +1,133 @@
-"""What managers say to each other of leases, as bytes and back. Pure."""
+"""Messages about leases between gateways, as bytes and back. Pure.
+
+Names on the wire are those of the first release: a field that has another name in Python says so. Messages
+that are arrays on the wire must keep the order of their fields.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
 from vanerelay.fleet.messages import MAX_MESSAGE_BYTES, decode, encode
-from vanerelay.leases.voter import Ballot, Grant, Reply, VoterAnswer, VoterRecord
+from vanerelay.leases.voter import Ballot, Grant, Reply, VoterAnswer, VoterMemory, VoterRecord
 
 __all__ = [
-    "AT_ONCE",
+    "KIND_RELEASED",
+    "KIND_STATUS",
+    "KIND_VOTE",
     "MAX_MESSAGE_BYTES",
-    "Answer",
-    "Ask",
-    "Replied",
-    "Row",
-    "Told",
-    "View",
-    "encode",
+    "MAX_TASKS_PER_MESSAGE",
+    "LeasesStatus",
+    "RecordMessage",
+    "ReplyMessage",
+    "TaskStatus",
+    "VoteRequest",
+    "VoteResponse",
     "decode",
+    "encode",
 ]
 
-AT_ONCE = 200  # tasks asked for in one message: its answer stays under what a message may be
+KIND_VOTE = "lease"
+"""A `VoteRequest` to a voter, answered by a `VoteResponse`."""
+KIND_RELEASED = "lease-free"
+"""A notice to the task's preferred gateway that its lease was given back: the task's name."""
+KIND_STATUS = "leases"
+"""An empty request, answered by a `LeasesStatus`."""
+
+MAX_TASKS_PER_MESSAGE = 200
+"""Tasks in one request: the response stays under `MAX_MESSAGE_BYTES`."""
 
 
-class Ask(msgspec.Struct, frozen=True, omit_defaults=True):
-    """To a voter, for several tasks at once. `version`: of the voters that the asker counts by; `memory`: all
-    that it remembers, of tasks after `after`."""
+class VoteRequest(msgspec.Struct, frozen=True, omit_defaults=True):
+    """To a voter, for several tasks at once.
+
+    `version` is that of the voters by which the sender counts. With `read_records` the voter returns all that
+    it remembers, of the tasks after `after`.
+    """
 
     version: int = 1
     prepares: list[tuple[str, Ballot]] = []
     accepts: list[tuple[str, Grant]] = []
-    memory: bool = False
+    read_records: bool = msgspec.field(default=False, name="memory")
     after: str = ""
 
 
-class Replied(msgspec.Struct, frozen=True, array_like=True):
-    said: VoterAnswer
+class ReplyMessage(msgspec.Struct, frozen=True, array_like=True):
+    """A voter's reply for one task."""
+
+    answer: VoterAnswer
     grant: Grant
-    left: int
+    remaining: int
     promised: Ballot
 
+    @classmethod
+    def of(cls, reply: Reply) -> ReplyMessage:
+        """The message that carries a reply."""
+        return cls(reply.answer, reply.grant, reply.remaining, reply.promised)
+
     def reply(self) -> Reply:
-        return Reply(self.said, self.grant, self.left, self.promised)
+        """The reply that it carries."""
+        return Reply(self.answer, self.grant, self.remaining, self.promised)
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True):
-    """One task of a voter's memory."""
+class RecordMessage(msgspec.Struct, frozen=True, array_like=True):
+    """What a voter remembers of one task. Stored in this form as well."""
 
     task: str
     promised: Ballot
     grant: Grant
 
-    def slot(self) -> VoterRecord:
+    @classmethod
+    def of(cls, task: str, record: VoterRecord) -> RecordMessage:
+        """The message that carries a voter's record of a task."""
+        return cls(task, record.promised, record.grant)
+
+    def record(self) -> VoterRecord:
+        """The record that it carries."""
         return VoterRecord(self.promised, self.grant)
 
 
-class Answer(msgspec.Struct, frozen=True, omit_defaults=True):
-    """In the order of what was asked. `memory`: how it stands with the voter; `more`: where its memory goes
-    on."""
+class VoteResponse(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A voter's replies, in the order of the request.
+
+    `memory` is the value of its `VoterMemory`; with `more`, its records go on after the last of `records`.
+    """
 
-    memory: str = "knows"
+    memory: str = VoterMemory.READY.value
     era: int = 0
     version: int = 0
-    prepares: list[Replied] = []
-    accepts: list[Replied] = []
-    slots: list[Told] = []
+    prepares: list[ReplyMessage] = []
+    accepts: list[ReplyMessage] = []
+    records: list[RecordMessage] = msgspec.field(default_factory=list, name="slots")
     more: bool = False
 
 
-class Row(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One task as a manager knows it; times in milliseconds."""
+class TaskStatus(msgspec.Struct, frozen=True, omit_defaults=True):
+    """One task as a gateway sees it.
+
+    `operations` are in flight; `rank` is the gateway's place among those that watch the task, -1 for none.
+    """
 
     task: str
     holds: bool = False
-    number: int = 0
-    left_ms: int = 0
-    deeds: int = 0
-    place: int = -1
+    token: int = msgspec.field(default=0, name="number")
+    remaining_ms: int = msgspec.field(default=0, name="left_ms")
+    operations: int = msgspec.field(default=0, name="deeds")
+    rank: int = msgspec.field(default=-1, name="place")
 
 
-class View(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a manager stands with leases, for people. `memory` is empty where it does not vote."""
+class LeasesStatus(msgspec.Struct, frozen=True, omit_defaults=True):
+    """How a gateway stands with leases, for operators.
+
+    `memory` is empty where the gateway does not vote; `reason` says why it does not vote although it should.
+    """
 
     name: str
     voters: list[str] = []
-    before: list[str] = []
+    previous_voters: list[str] = msgspec.field(default_factory=list, name="before")
     version: int = 1
     memory: str = ""
     era: int = 0
-    rows: list[Row] = []
-    sent: int = 0
-    why: str = ""
-
-
-def replied(reply: Reply) -> Replied:
-    return Replied(reply.said, reply.grant, reply.left, reply.promised)
+    tasks: list[TaskStatus] = msgspec.field(default_factory=list, name="rows")
+    requests_sent: int = msgspec.field(default=0, name="sent")
+    reason: str = msgspec.field(default="", name="why")
--- a/vanerelay/leases/service.py
+++ b/vanerelay/leases/service.py
@@ -1,381 +1,393 @@
-"""One manager's part in leases: asks voters, renews, gives back. Thin: `quorum`, `tasks`, `hold` decide."""
+"""One gateway's part in leases: requests them from voters, renews them and gives them back.
+
+A thin driver: `claim`, `assignment` and `fencing` decide.
+"""
 
 from __future__ import annotations
 
 import random
 import time
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Mapping
 from functools import partial
 from typing import Any
 
 import structlog
-from twisted.internet.defer import Deferred, fail
+from twisted.internet.defer import Deferred
 
 from vanerelay.fleet.failure_detector import MemberState
-from vanerelay.fleet.rpc import NoReplyError, RequestRefusedError, UnknownKindError
+from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.fleet.service import Fleet
 from vanerelay.history import History
 from vanerelay.interface import MILLISECOND, SECOND
 from vanerelay.leases import assignment, messages
-from vanerelay.leases.assignment import Watch
+from vanerelay.leases.assignment import Candidate
+from vanerelay.leases.claim import Claim, ClaimStage
 from vanerelay.leases.config import LeasesConfig
 from vanerelay.leases.durable_store import DurableStore
 from vanerelay.leases.fencing import LeasedOperation, LeaseHolder
-from vanerelay.leases.voter import ERA, Claim, Stage, VoterAnswer
+from vanerelay.leases.lease_task import AcceptRequest, HistoryOp, HolderCallback, LeaseTask
+from vanerelay.leases.status import leases_status
+from vanerelay.leases.voter import TOKENS_PER_ERA, Ballot, Reply, VoterAnswer
+from vanerelay.leases.voter_client import VoterClient, ignore_no_reply
 from vanerelay.leases.voter_service import VoterService
 
-RENEWALS = 3  # in a term
-TURNS = 20  # in a term
-LEAVE_S = 1.0  # for deeds to end, once nothing new is to be begun
-ROUNDS = (Stage.ASKING, Stage.TAKING)
-SLOW, SLOWS = 2, 2  # a part of the term that renewals took, so often in a row: others do it better
+RENEWALS_PER_TERM = 3
+"""A lease outlives the loss of two renewals in a row."""
+TURNS_PER_TERM = 20
+"""How often all tasks are looked through."""
+RELEASE_TIMEOUT_S = 1.0
+"""For operations in flight to end on shutdown; what is held after it expires by itself."""
+RELEASE_POLL_S = RELEASE_TIMEOUT_S / 20
+RELEASE_NOTICE_TIMEOUT_S = 1.0
+"""For the notice to the preferred gateway, which requests the lease a little later without it."""
+SLOW_RENEWAL_FRACTION = 2
+"""A renewal is slow where it takes more than the term divided by this."""
+MAX_SLOW_RENEWALS = 2
+"""Slow renewals in a row after which this gateway leaves tasks to others."""
+ROUND_STAGES = (ClaimStage.PREPARING, ClaimStage.ACCEPTING)
+NANOSECONDS_PER_UNIT = 100_000
+"""Nanoseconds in the unit of all durations, a tenth of a millisecond."""
 
 log = structlog.get_logger()
 
 
 def boottime() -> int:
-    """Monotonic, and counting while the machine is suspended; in the module's unit."""
-    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 100_000
-
-
-@dataclass(slots=True)
-class Task:
-    """`began` and `ended` are told that deeds may begin, and that they may not any more."""
-
-    name: str
-    hold: LeaseHolder
-    began: Callable[[LeaseHolder], None]
-    ended: Callable[[LeaseHolder], None]
-    watch: Watch = field(default_factory=Watch)
-    claim: Claim = field(default_factory=Claim)
-    renewed: int = 0
-    asked_at: int = 0  # by the histories' clock
-    acting: bool = False
+    """The clock by which leases count: monotonic, and counting while the machine is suspended."""
+    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_UNIT
 
 
 class Leases:
-    """All tasks of the fleet, as one manager sees them. Voters among them vote beside it."""
+    """All tasks of the fleet, as one gateway sees them.
+
+    Attributes:
+        tasks: by name.
+        voter_service: this gateway's voter, where it votes.
+        clock: by which all its times count.
+        history: for the laboratory.
+    """
 
     def __init__(
         self,
         reactor: Any,
         fleet: Fleet,
-        parts: LeasesConfig,
-        chance: random.Random,
+        config: LeasesConfig,
+        random_source: random.Random,
         process: int,
-        disk: DurableStore | None,
+        store: DurableStore | None,
         clock: Callable[[], int] = boottime,
     ) -> None:
-        """`process`: drawn for this process alone; `disk`: where it votes, what it remembers by. Raises
-        Unkept where that can't be read."""
-        self._reactor, self._fleet, self.parts, self._chance = reactor, fleet, parts, chance
+        """`process` is drawn for this process alone; `store` is given where the gateway votes.
+
+        Raises:
+            StoreError: the store can't be read.
+        """
+        self._reactor, self._fleet, self.config, self._random = reactor, fleet, config, random_source
         self._process, self.name, self.clock = process, fleet.name, clock
-        self.history = History(self.name, parts.history)
-        self.tasks = dict[str, Task]()
-        self._era, self.sent, self._slow, self._slow_until = 0, 0, 0, 0
-        self._floors = dict[str, int]()  # numbers that receivers have seen
-        self._firsts = dict[str, str]()  # who has the first claim on each task
-        self._seen: tuple[Any, ...] = ()
-        self._leaving = self._stopped = False
-        self.voting: VoterService | None = None
-        if disk is not None:
-            self.voting = VoterService(reactor, self.name, parts.terms, parts.voters, disk, clock, self._ask)
-        fleet.links.handlers |= {"lease": self._asked, "lease-free": self._freed, "leases": self._viewed}
-
-    def add(
-        self, name: str, began: Callable[[LeaseHolder], None], ended: Callable[[LeaseHolder], None]
-    ) -> LeaseHolder:
-        """A task of the fleet; every manager adds the same ones."""
-        hold = LeaseHolder(name, f"{self.name}/{self._process:x}")
-        self.tasks[name] = Task(name, hold, began, ended)
-        return hold
+        self.history = History(self.name, config.history)
+        self.tasks = dict[str, LeaseTask]()
+        self._slow_renewals, self._slow_until = 0, 0
+        self._known_tokens = dict[str, int]()  # the highest that receivers have reported, by task
+        self._preferred = dict[str, str]()  # the gateway that should hold a task, by task
+        self._assigned_for: tuple[tuple[Candidate, ...], int] | None = None
+        self._is_leaving = self._stopped = False
+        self._voters = VoterClient(fleet, config.voters, config.terms.term / RENEWALS_PER_TERM / SECOND)
+        self.voter_service: VoterService | None = None
+        if store is not None:
+            self.voter_service = VoterService(
+                reactor, self.name, config.terms, config.voters, store, clock, self._voters.request
+            )
+            self._voters.local = self.voter_service
+        fleet.links.handlers |= {
+            messages.KIND_VOTE: self._answer_vote,
+            messages.KIND_RELEASED: self._answer_released,
+            messages.KIND_STATUS: self._answer_status,
+        }
+
+    @property
+    def requests_sent(self) -> int:
+        """Requests to voters so far."""
+        return self._voters.requests_sent
+
+    def add_task(self, name: str, on_acquired: HolderCallback, on_lost: HolderCallback) -> LeaseHolder:
+        """Adds a task of the fleet; every gateway adds the same ones."""
+        holder = LeaseHolder(name, f"{self.name}/{self._process:x}")
+        self.tasks[name] = LeaseTask(name, holder, on_acquired, on_lost)
+        return holder
 
     def start(self) -> None:
+        """Begins to request leases."""
         self._turn()
 
-    # In turn.
+    # Regular turns.
 
     def _turn(self) -> None:
         if self._stopped:
             return
-        self._reactor.callLater(self.parts.terms.term / TURNS / SECOND, self._turn)
-        now, term = self.clock(), self.parts.terms.term
-        self._place(now)
-        prepares, accepts = list[Task](), list[tuple[Task, int]]()
+        self._reactor.callLater(self.config.terms.term / TURNS_PER_TERM / SECOND, self._turn)
+        now = self.clock()
+        self._update_assignment(now)
+        preparing, renewing = list[LeaseTask](), list[tuple[LeaseTask, int]]()
         for task in self.tasks.values():
-            claim, holds = task.claim, task.claim.holds(now)
-            late = now - claim.asked >= term // RENEWALS
-            if claim.stage is Stage.HOLDING and not holds or claim.stage in ROUNDS and late:
-                claim = task.claim = claim.ended(now)
-                if not holds:
-                    task.watch.asked(now, term, 0, self._chance.random())
-            self._note(task, now)
-            if claim.stage is Stage.HOLDING and self._leaves(task, now):
-                self._give_back(task, now)
-            elif claim.stage is Stage.HOLDING and not claim.over:
-                if now - task.renewed >= term // RENEWALS:
+            claim = self._end_overdue_round(task, now)
+            self._update_holder(task, now)
+            if claim.stage is ClaimStage.HOLDING and self._should_release(task, now):
+                self._release(task, now)
+            elif claim.stage is ClaimStage.HOLDING and not claim.outbid:
+                if now - task.renewed_at >= self.config.terms.term // RENEWALS_PER_TERM:
                     task.claim, serial = claim.renew(now)
-                    task.renewed = now
-                    accepts.append((task, serial))
-            elif holds and claim.stage not in ROUNDS or not holds and self._wants(task, now):
-                # While it is held: above a later ballot that some voter met, so that it counts again.
-                task.claim = claim.ask(now, self.name, self._process)
-                task.asked_at = self.history.now()
-                prepares.append(task)
-        self._prepare(prepares)
-        self._accept(accepts)
-
-    def _wants(self, task: Task, now: int) -> bool:
+                    task.renewed_at = now
+                    renewing.append((task, serial))
+            elif self._should_start_round(task, claim, now):
+                task.claim = claim.start_round(now, self.name, self._process)
+                task.requested_at = self.history.now()
+                preparing.append(task)
+        self._send_prepares(preparing)
+        self._send_accepts(renewing)
+
+    def _end_overdue_round(self, task: LeaseTask, now: int) -> Claim:
+        """Gives a round up that has lasted too long, or a holding that has expired; the claim after it."""
+        claim, term = task.claim, self.config.terms.term
+        is_held = claim.is_held(now)
+        is_late = now - claim.started_at >= term // RENEWALS_PER_TERM
+        has_expired = claim.stage is ClaimStage.HOLDING and not is_held
+        if has_expired or claim.stage in ROUND_STAGES and is_late:
+            claim = task.claim = claim.end_round(now)
+            if not is_held:
+                task.watch.request_failed(now, term, 0, self._random.random())
+        return claim
+
+    def _should_start_round(self, task: LeaseTask, claim: Claim, now: int) -> bool:
+        """Whether to request the lease.
+
+        While it is held, that is above a higher ballot that some voter promised, so that our ballot counts
+        again.
+        """
+        if claim.is_held(now):
+            return claim.stage not in ROUND_STAGES
+        return self._wants_lease(task, now)
+
+    def _wants_lease(self, task: LeaseTask, now: int) -> bool:
         alive = self._fleet.alive
-        joined = not alive.replaced and (alive.has_joined or len(alive.members) == 1)
-        idle = task.claim.stage is Stage.IDLE
-        return idle and joined and self._fit(now) and task.watch.wants(now, self.parts.terms.term)
-
-    def _leaves(self, task: Task, now: int) -> bool:
-        first = self._fleet.alive.members.get(self._firsts.get(task.name, ""))
-        sound = first is not None and first.standing is MemberState.ALIVE
+        has_joined = not alive.replaced and (alive.has_joined or len(alive.members) == 1)
+        is_idle = task.claim.stage is ClaimStage.IDLE
+        term = self.config.terms.term
+        return is_idle and has_joined and self._is_fit(now) and task.watch.wants_lease(now, term)
+
+    def _should_release(self, task: LeaseTask, now: int) -> bool:
+        preferred = self._fleet.alive.members.get(self._preferred.get(task.name, ""))
+        is_alive = preferred is not None and preferred.standing is MemberState.ALIVE
         return (
-            task.hold.leaving or not self._fit(now) or task.watch.outlived(now, self.parts.terms.term, sound)
+            task.holder.is_releasing
+            or not self._is_fit(now)
+            or task.watch.should_hand_over(now, self.config.terms.term, is_alive)
         )
 
-    def _fit(self, now: int) -> bool:
-        return self._fleet.alive.own.state == "serving" and not self._leaving and now >= self._slow_until
-
-    def _place(self, now: int) -> None:
-        """Whose turn it is, anew where the fleet has changed."""
-        fit = self._fit(now)
-        members = self._fleet.alive.members.values()
-        found = tuple(assignment.candidates(members, self.name, fit, self.parts.weights))
-        if (found, len(self.tasks)) != self._seen:
-            self._seen = found, len(self.tasks)
-            for name, order in assignment.assign(self.tasks, found).items():
-                self.tasks[name].watch.placed(now, self.name, order)
-                self._firsts[name] = order[0] if order else ""
-
-    # What is asked of voters.
-
-    def _ask(self, voter: str, ask: messages.Ask) -> Deferred[messages.Answer]:
-        self.sent += 1
-        if voter == self.name and self.voting is not None:
-            try:
-                return self.voting.answer(ask)
-            except RequestRefusedError as fault:
-                return fail(fault)
-        patience_s = self.parts.terms.term / RENEWALS / SECOND
-
-        def read(body: bytes) -> messages.Answer:
-            told = messages.decode(body, messages.Answer)
-            if told is None:
-                raise RequestRefusedError("unreadable")
-            return told
-
-        return self._fleet.ask(voter, "lease", messages.encode(ask), patience_s).addCallback(read)
-
-    def _send(self, ask: messages.Ask, heard: Callable[[str, messages.Answer], None]) -> None:
-        for voter in self.parts.voters.all:
-            asked = self._ask(voter, ask)
-            asked.addCallback(partial(self._heard, heard, voter))
-            asked.addErrback(self._unheard)
-
-    def _heard(
-        self, heard: Callable[[str, messages.Answer], None], voter: str, told: messages.Answer
+    def _is_fit(self, now: int) -> bool:
+        """Whether this gateway may hold tasks."""
+        is_serving = self._fleet.alive.own.state == "serving"
+        return is_serving and not self._is_leaving and now >= self._slow_until
+
+    def _update_assignment(self, now: int) -> None:
+        """Assigns the tasks anew where the fleet has changed."""
+        members, is_fit = self._fleet.alive.members.values(), self._is_fit(now)
+        candidates = tuple(assignment.eligible_candidates(members, self.name, is_fit, self.config.weights))
+        if (candidates, len(self.tasks)) == self._assigned_for:
+            return
+        self._assigned_for = candidates, len(self.tasks)
+        for name, order in assignment.assign(self.tasks, candidates).items():
+            self.tasks[name].watch.set_order(now, self.name, order)
+            self._preferred[name] = order[0] if order else ""
+
+    # Requests to voters.
+
+    def _send_prepares(self, tasks: list[LeaseTask]) -> None:
+        """Asks all voters to promise the ballots of these tasks."""
+        size, version = messages.MAX_TASKS_PER_MESSAGE, self.config.voters.version
+        for first in range(0, len(tasks), size):
+            ballots = {task.name: task.claim.ballot for task in tasks[first : first + size]}
+            request = messages.VoteRequest(version, list(ballots.items()))
+            self._voters.request_all(request, partial(self._prepares_replied, ballots))
+
+    def _prepares_replied(
+        self, ballots: Mapping[str, Ballot], voter: str, response: messages.VoteResponse
+    ) -> None:
+        now, promised = self.clock(), list[tuple[LeaseTask, int]]()
+        for (name, ballot), message in zip(ballots.items(), response.prepares, strict=False):
+            task = self.tasks[name]
+            if self._prepare_replied(task, now, voter, ballot, message.reply()):
+                promised.append((task, 0))
+        self._send_accepts(promised)
+
+    def _prepare_replied(self, task: LeaseTask, now: int, voter: str, ballot: Ballot, reply: Reply) -> bool:
+        """Counts a voter's reply for one task; whether its grant is to be accepted now."""
+        terms, voters, stage_before = self.config.terms, self.config.voters, task.claim.stage
+        min_token = max(self._voters.era * TOKENS_PER_ERA, self._known_tokens.get(task.name, 0))
+        claim = task.claim.prepare_replied(now, voter, ballot, reply, voters, terms, min_token)
+        task.claim = claim
+        if stage_before is ClaimStage.PREPARING and claim.stage is ClaimStage.ACCEPTING:
+            return True
+        if claim.cannot_win(voters) and not claim.is_held(now):
+            # Another holds it, or requests it at the same time: one of us has to come again later.
+            remaining = reply.remaining if reply.answer is VoterAnswer.HELD else 0
+            task.watch.request_failed(now, terms.term, remaining, self._random.random())
+            task.claim = claim.end_round(now)
+        return False
+
+    def _send_accepts(self, accepting: list[tuple[LeaseTask, int]]) -> None:
+        """Asks all voters to accept the grants of these tasks, each with the serial of the request."""
+        size, version = messages.MAX_TASKS_PER_MESSAGE, self.config.voters.version
+        for first in range(0, len(accepting), size):
+            requests = [
+                AcceptRequest(task, serial, task.claim.grant)
+                for task, serial in accepting[first : first + size]
+            ]
+            begin, sent_at = self.history.now(), self.clock()
+            for request in requests:
+                if not request.serial:
+                    request.task.renewed_at = sent_at
+                    self._record(HistoryOp.REQUEST, request.task, begin, request.grant.token, "unknown")
+            grants = [(request.task.name, request.grant) for request in requests]
+            handle = partial(self._accepts_replied, requests, begin, sent_at)
+            self._voters.request_all(messages.VoteRequest(version, accepts=grants), handle)
+
+    def _accepts_replied(
+        self,
+        requests: list[AcceptRequest],
+        begin: int,
+        sent_at: int,
+        voter: str,
+        response: messages.VoteResponse,
     ) -> None:
-        self._era = max(self._era, told.era)
-        if not self._stopped:
-            heard(voter, told)
-
-    @staticmethod
-    def _unheard(failure: Any) -> None:
-        """Nothing came, or the voter will not: a majority of the others may do."""
-        failure.trap(UnknownKindError, RequestRefusedError, NoReplyError)
-
-    def _prepare(self, asking: list[Task]) -> None:
-        for first in range(0, len(asking), messages.AT_ONCE):
-            some = asking[first : first + messages.AT_ONCE]
-            ballots = {task.name: task.claim.ballot for task in some}
-
-            def heard(voter: str, told: messages.Answer, ballots: dict[str, Any] = ballots) -> None:
-                now, ready = self.clock(), list[tuple[Task, int]]()
-                terms, voters = self.parts.terms, self.parts.voters
-                for (name, ballot), reply in zip(ballots.items(), told.prepares, strict=False):
-                    task, one = self.tasks[name], reply.reply()
-                    was = task.claim.stage
-                    floor = max(self._era * ERA, self._floors.get(name, 0))
-                    task.claim = task.claim.promised(now, voter, ballot, one, voters, terms, floor)
-                    if was is Stage.ASKING and task.claim.stage is Stage.TAKING:
-                        ready.append((task, 0))
-                    elif task.claim.vain(voters) and not task.claim.holds(now):
-                        # Another holds it, or asks at the same time: one of us has to come again later.
-                        left = one.left if one.said is VoterAnswer.HELD else 0
-                        task.watch.asked(now, terms.term, left, self._chance.random())
-                        task.claim = task.claim.ended(now)
-                self._accept(ready)
-
-            self._send(messages.Ask(self.parts.voters.version, list(ballots.items())), heard)
-
-    def _accept(self, taking: list[tuple[Task, int]]) -> None:
-        """Acceptances, first ones and renewals; with the serial of each."""
-        for first in range(0, len(taking), messages.AT_ONCE):
-            part = taking[first : first + messages.AT_ONCE]
-            some = [(task, serial, task.claim.grant) for task, serial in part]
-            begun, at = self.history.now(), self.clock()
-
-            def heard(
-                voter: str, told: messages.Answer, some: Any = some, begun: int = begun, at: int = at
-            ) -> None:
-                now = self.clock()
-                for (task, serial, grant), reply in zip(some, told.accepts, strict=False):
-                    until = task.claim.until
-                    task.claim = task.claim.taken(
-                        voter, grant.ballot, serial, reply.reply(), self.parts.voters, self.parts.terms
-                    )
-                    if task.claim.until > until:
-                        self._took(now - at, now)
-                        op = "renew" if grant.number == task.hold.number else "acquire"
-                        self._told(op, task, task.asked_at if not serial else begun, grant.number, "ok")
-                        self._note(task, now)
-
-            for task, serial, grant in some:
-                if not serial:
-                    task.renewed = at
-                    self._told("asked", task, begun, grant.number, "unknown")
-            accepts = [(task.name, grant) for task, _, grant in some]
-            self._send(messages.Ask(self.parts.voters.version, accepts=accepts), heard)
-
-    def _took(self, span: int, now: int) -> None:
-        """How long voters took: one whose renewals are slow leaves tasks to others."""
-        term = self.parts.terms.term
-        self._slow = self._slow + 1 if span > term // SLOW else 0
-        if self._slow >= SLOWS and now >= self._slow_until:
-            log.warning("voters reach us slowly: tasks are left to others", ms=span // MILLISECOND)
-            self._slow, self._slow_until = 0, now + assignment.REST * term
-
-    # What comes of it.
-
-    def _note(self, task: Task, now: int) -> None:
-        """Tells those who act that they may, or may no more."""
-        hold = task.hold
-        if hold.settle(now, task.claim, self.parts.terms):
-            wait = max(0, hold.acts_from - now)
-            log.info("lease held", task=task.name, number=hold.number, waits_ms=wait // MILLISECOND)
-            task.acting = True
-            task.watch.took(now)
-            task.began(hold)
-        elif task.acting and not task.claim.holds(now):
-            task.acting = False
-            log.warning("lease lost", task=task.name, number=hold.number)
-            self._told("lost", task, self.history.now(), hold.number, "ok")
-            task.ended(hold)
-
-    def _give_back(self, task: Task, now: int) -> None:
-        """Once what is out has ended; until then nothing further begins."""
-        hold = task.hold
-        if not hold.leaving:
-            hold.leave()
-            task.acting = False
-            task.ended(hold)
-        if not hold.free:
+        now, terms, voters = self.clock(), self.config.terms, self.config.voters
+        for request, message in zip(requests, response.accepts, strict=False):
+            task, grant = request.task, request.grant
+            expires_before = task.claim.expires_at
+            task.claim = task.claim.accept_replied(
+                voter, grant.ballot, request.serial, message.reply(), voters, terms
+            )
+            if task.claim.expires_at > expires_before:
+                self._note_latency(now - sent_at, now)
+                is_renewal = grant.token == task.holder.token
+                op = HistoryOp.RENEW if is_renewal else HistoryOp.ACQUIRE
+                self._record(op, task, begin if request.serial else task.requested_at, grant.token, "ok")
+                self._update_holder(task, now)
+
+    def _note_latency(self, latency: int, now: int) -> None:
+        """A gateway whose renewals are slow leaves tasks to others for a while."""
+        term = self.config.terms.term
+        is_slow = latency > term // SLOW_RENEWAL_FRACTION
+        self._slow_renewals = self._slow_renewals + 1 if is_slow else 0
+        if self._slow_renewals >= MAX_SLOW_RENEWALS and now >= self._slow_until:
+            log.warning("slow replies from voters: tasks are left to others", ms=latency // MILLISECOND)
+            self._slow_renewals, self._slow_until = 0, now + assignment.COOLDOWN_TERMS * term
+
+    # Leases acquired, lost and given back.
+
+    def _update_holder(self, task: LeaseTask, now: int) -> None:
+        """Calls those who act under the lease where it was acquired or lost."""
+        holder = task.holder
+        if holder.update(now, task.claim, self.config.terms):
+            wait = max(0, holder.acts_from - now)
+            log.info("lease held", task=task.name, token=holder.token, wait_ms=wait // MILLISECOND)
+            task.is_acting = True
+            task.watch.acquired(now)
+            task.on_acquired(holder)
+        elif task.is_acting and not task.claim.is_held(now):
+            task.is_acting = False
+            log.warning("lease lost", task=task.name, token=holder.token)
+            self._record(HistoryOp.LOSE, task, self.history.now(), holder.token, "ok")
+            task.on_lost(holder)
+
+    def _release(self, task: LeaseTask, now: int) -> None:
+        """Gives the lease back once what is in flight has ended; until then nothing further begins."""
+        holder = task.holder
+        if not holder.is_releasing:
+            holder.start_release()
+            task.is_acting = False
+            task.on_lost(holder)
+        if not holder.may_release:
             return
-        begun, number = self.history.now(), hold.number
-        task.claim = task.claim.given_back()
+        begin, token = self.history.now(), holder.token
+        task.claim = task.claim.release()
         grant = task.claim.grant
-        hold.settle(now, task.claim, self.parts.terms)
-        task.watch.gave(now, self.parts.terms.term)
-        log.info("lease given back", task=task.name, number=number)
-        self._told("release", task, begun, number, "ok")
-        freed, first = set[str](), self._firsts.get(task.name, self.name)
-
-        def heard(voter: str, told: messages.Answer) -> None:
-            """Whoever has the first claim is told at once, and need not wait for its turn to look."""
-            freed.add(voter)
-            if first not in ("", self.name) and self.parts.voters.enough(freed):
-                freed.clear()
-                self._fleet.ask(first, "lease-free", task.name.encode(), 1.0).addErrback(self._unheard)
-
-        self._send(messages.Ask(self.parts.voters.version, accepts=[(task.name, grant)]), heard)
-
-    def behind(self, deed: LeasedOperation, number: int) -> None:
-        """A receiver has seen a higher number than ours: another acts, and what we hold is worth nothing."""
-        task = self.tasks[deed.task]
-        self._floors[deed.task] = max(self._floors.get(deed.task, 0), number)
-        if number > task.hold.number and task.claim.holds(self.clock()):
-            log.warning("a receiver knows a later number", task=deed.task, number=deed.number, later=number)
-            task.claim = Claim(seen=task.claim.seen)
-            self._note(task, self.clock())  # a new round goes past that number
-
-    def leave(self) -> Deferred[Any]:
-        """Gives everything back; fires once voters have been told, or could not be."""
-        self._leaving = True
-        done: Deferred[Any] = Deferred()
+        holder.update(now, task.claim, self.config.terms)
+        task.watch.released(now, self.config.terms.term)
+        log.info("lease released", task=task.name, token=token)
+        self._record(HistoryOp.RELEASE, task, begin, token, "ok")
+        request = messages.VoteRequest(self.config.voters.version, accepts=[(task.name, grant)])
+        self._voters.request_all(request, self._release_notifier(task.name))
+
+    def _release_notifier(self, task: str) -> Callable[[str, messages.VoteResponse], None]:
+        """Notifies the preferred gateway once a majority knows: it need not wait for its turn to check."""
+        released, preferred = set[str](), self._preferred.get(task, self.name)
+
+        def replied(voter: str, _: messages.VoteResponse) -> None:
+            released.add(voter)
+            if preferred not in ("", self.name) and self.config.voters.is_quorum(released):
+                released.clear()
+                body = task.encode()
+                notice = self._fleet.ask(preferred, messages.KIND_RELEASED, body, RELEASE_NOTICE_TIMEOUT_S)
+                notice.addErrback(ignore_no_reply)
+
+        return replied
+
+    def report_newer_token(self, operation: LeasedOperation, token: int) -> None:
+        """A receiver knows a newer token than the operation's: another acts, and our lease is void."""
+        task = self.tasks[operation.task]
+        self._known_tokens[task.name] = max(self._known_tokens.get(task.name, 0), token)
+        if token > task.holder.token and task.claim.is_held(self.clock()):
+            log.warning("a receiver knows a newer token", task=task.name, token=operation.token, newer=token)
+            task.claim = Claim(highest_round=task.claim.highest_round)
+            self._update_holder(task, self.clock())  # a new round goes past that token
+
+    def release_all(self) -> Deferred[None]:
+        """Gives everything back; fires once voters have been notified, or could not be."""
+        self._is_leaving = True
+        done: Deferred[None] = Deferred()
         since = self.clock()
-        self._place(since)  # without us: whoever comes first now is told of what we give back
-
-        def look() -> None:
-            now = self.clock()
-            held = [task for task in self.tasks.values() if task.claim.holds(now)]
-            for task in held:
-                if task.claim.stage is Stage.HOLDING:
-                    self._give_back(task, now)
-            left = [task for task in held if task.claim.holds(now)]
-            if left and now - since < LEAVE_S * SECOND:
-                self._reactor.callLater(LEAVE_S / TURNS, look)
-            elif held and self.parts.voters.all:
-                self._reactor.callLater(LEAVE_S / TURNS, done.callback, None)  # what was written leaves
-            else:
-                done.callback(None)
-
-        look()
+        self._update_assignment(since)  # without us: the next preferred gateway is notified
+        self._poll_release(since, done)
         return done
 
+    def _poll_release(self, since: int, done: Deferred[None]) -> None:
+        now = self.clock()
+        held = [task for task in self.tasks.values() if task.claim.is_held(now)]
+        for task in held:
+            if task.claim.stage is ClaimStage.HOLDING:
+                self._release(task, now)
+        remaining = [task for task in held if task.claim.is_held(now)]
+        if remaining and now - since < RELEASE_TIMEOUT_S * SECOND:
+            self._reactor.callLater(RELEASE_POLL_S, self._poll_release, since, done)
+        elif held and self.config.voters.names:
+            self._reactor.callLater(RELEASE_POLL_S, done.callback, None)  # what was written leaves first
+        else:
+            done.callback(None)
+
     def stop(self) -> None:
+        """Requests and answers nothing further."""
         self._stopped = True
-        if self.voting is not None:
-            self.voting.stop()
+        self._voters.stop()
+        if self.voter_service is not None:
+            self.voter_service.stop()
 
-    # What others ask.
+    # Requests from other gateways.
 
-    def _asked(self, body: bytes) -> Deferred[bytes]:
-        ask = messages.decode(body, messages.Ask)
-        if ask is None or self.voting is None or self._stopped:
-            raise RequestRefusedError("unreadable" if ask is None else "this manager does not vote")
-        return self.voting.answer(ask).addCallback(messages.encode)
+    def _answer_vote(self, body: bytes) -> Deferred[bytes]:
+        request = messages.decode(body, messages.VoteRequest)
+        if request is None or self.voter_service is None or self._stopped:
+            raise RequestRefusedError("unreadable" if request is None else "this manager does not vote")
+        return self.voter_service.answer(request).addCallback(messages.encode)
 
-    def _freed(self, body: bytes) -> bytes:
+    def _answer_released(self, body: bytes) -> bytes:
         task = self.tasks.get(body.decode(errors="replace"))
-        if task is not None and not task.claim.holds(self.clock()):
-            task.watch.freed(self.clock())
+        if task is not None and not task.claim.is_held(self.clock()):
+            task.watch.holder_released(self.clock())
         return b""
 
-    def _viewed(self, _: bytes) -> bytes:
-        now, voters = self.clock(), self.parts.voters
-        rows = [
-            messages.Row(
-                task.name,
-                task.claim.holds(now),
-                task.hold.number,
-                max(0, task.claim.until - now) // MILLISECOND if task.claim.holds(now) else 0,
-                len(task.hold.out),
-                task.watch.place,
-            )
-            for task in self.tasks.values()
-            if task.watch.place >= 0 or task.claim.holds(now)
-        ]
-        voting = self.voting
-        memory, why = (voting.voter.memory.value, voting.why) if voting is not None else ("", "")
-        return messages.encode(
-            messages.View(
-                self.name,
-                list(voters.now),
-                list(voters.before),
-                voters.version,
-                memory,
-                voting.voter.era if voting is not None else self._era,
-                rows[: messages.AT_ONCE],
-                self.sent,
-                why,
-            )
-        )
+    def _answer_status(self, _: bytes) -> bytes:
+        status = leases_status(self.name, self.config.voters, self.tasks.values(), self._voters, self.clock())
+        return messages.encode(status)
 
-    def _told(self, op: str, task: Task, begun: int, number: int, result: str) -> None:
-        self.history.add(op, begun, task=task.name, number=number, holder=task.hold.holder, result=result)
+    def _record(self, op: HistoryOp, task: LeaseTask, begin: int, token: int, result: str) -> None:
+        """Writes a row of the history; checkers read these keys."""
+        self.history.add(op, begin, task=task.name, number=token, holder=task.holder.holder, result=result)
--- a/vanerelay/leases/voter.py
+++ b/vanerelay/leases/voter.py
@@ -1,17 +1,19 @@
-"""One voter and one asker of a lease. Pure: values in, values out, told the time by their own clocks.
-
-PaxosLease (Trencseni, Gazso, Reinhardt 2010) on voters that remember: a ballot, its promise, its acceptance,
-and a term after which a voter forgets that the lease is held. What is added: a number that only rises, kept
-through the same ballots; a promise that is refused while another holds, so that nobody who looks around takes
-a lease away; and the rules by which a voter that lost its memory votes again.
-
-Why two never hold. A holder counts its term from the asking, on its own clock, and shorter than voters count
-theirs from the acceptance: by the stated bound on how far two clocks' rates differ. Who takes over has
-promises of a majority, each given by a voter for whom the other's term was over; every renewal of the other
-was accepted by one of these before it promised, and none can be after. A voter without memory keeps silent
-for the longest term, so that whatever it said before is over, then learns from a majority of the others, of
-which one knows whatever a majority with it had accepted; and an asker drops a round that is older than a
-term."""
+"""One voter of the lease protocol. Pure: values in, values out; the caller passes the voter's own clock.
+
+The protocol is PaxosLease (Trencseni, Gazso, Reinhardt 2010) on voters that store what they promised: a
+ballot is promised, then a grant is accepted, and after the grant's term the voter forgets that the lease is
+held. Three things are added: a fencing token that only rises, carried by the same ballots; a promise that is
+refused while another process holds the lease, so that a gateway which only looks around takes no lease away;
+and the rules by which a voter that lost its store votes again. `claim` is the other side of the protocol.
+
+Why two processes never hold one lease. A holder counts its term from its request, on its own clock, and
+shorter than voters count theirs from the acceptance, by the stated bound on how far the rates of two clocks
+differ. Its successor has the promises of a majority, each given by a voter for which the holder's term was
+over. Every renewal of the holder was accepted by one of these voters before it promised, and none can be
+accepted after. A voter without a store keeps silent for the longest term, so that whatever it said before has
+expired, then learns from a majority of the others, one of which knows whatever a majority with it accepted.
+A claimant drops a round that is older than a term.
+"""
 
 from __future__ import annotations
 
@@ -20,15 +22,21 @@
 from enum import Enum
 from typing import NamedTuple
 
+from vanerelay.config_field import config_field
 from vanerelay.interface import SECOND, Duration
 
-ERA = 2**32  # numbers of one era; a later era is past all numbers of those before
-MOST_TASKS = 500  # that a voter remembers; one more is refused
-ROUNDS = 4  # renewals of one lease that are out at once: an answer to an older one counts for nothing
+TOKENS_PER_ERA = 2**32
+"""Fencing tokens of one era. Tokens of a later era are above all tokens of the eras before it."""
+
+MAX_TASKS = 500
+"""Tasks that a voter remembers: its store and its answers stay small. A further one is refused."""
 
 
 class Ballot(NamedTuple):
-    """`process`: drawn anew by each process, so that no two ever use one ballot."""
+    """A ballot of the protocol; ballots are ordered as tuples.
+
+    `process` is drawn anew by each process, so that no two processes ever use the same ballot.
+    """
 
     round: int = 0
     name: str = ""
@@ -36,9 +44,13 @@
 
 
 class Grant(NamedTuple):
-    """A lease as it was accepted. `holder` is empty where it was given back; `term` by voters' clocks."""
+    """A lease as a voter accepted it.
 
-    number: int = 0
+    `token` is the fencing token, `term` counts by the voters' clocks, and `holder` is empty where the lease
+    was given back. Grants travel and are stored as arrays: the order of the fields must stay.
+    """
+
+    token: int = 0
     holder: str = ""
     process: int = 0
     term: int = 0
@@ -47,323 +59,237 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """`term`: how long a lease lasts unless renewed; `longest`: that any manager may ask for, and how long a
-    voter without memory keeps silent; `drift`: how much faster one clock may run than another, at most;
-    `linger`: for how long a deed may still arrive after its holder's term, at receivers that can't refuse."""
+    """The durations and bounds on which the safety of leases rests.
+
+    Attributes:
+        term: how long a lease lasts unless it is renewed.
+        max_term: the longest term that any gateway may ask for, and how long a voter without a store is
+            silent.
+        clock_drift: how much faster one clock may run than another, at most (0.02: two percent).
+        takeover_delay: how long an operation may still arrive after its holder's term, at receivers that
+            can't refuse it by its fencing token.
+    """
 
     term: Duration = 10 * SECOND
-    longest: Duration = 30 * SECOND
-    drift: float = 0.02
-    linger: Duration = 2 * SECOND
+    max_term: Duration = config_field("longest", default=30 * SECOND)
+    clock_drift: float = config_field("drift", default=0.02)
+    takeover_delay: Duration = config_field("linger", default=2 * SECOND)
 
-    def held(self, term: int) -> int:
-        """For how long a holder may act, by its own clock, counted from the asking."""
-        return int(term / (1.0 + self.drift))
+    def holder_term(self, term: int) -> int:
+        """How long a holder may act, by its own clock, counted from its request."""
+        return int(term / (1.0 + self.clock_drift))
 
 
 @dataclass(frozen=True, slots=True)
 class Voters:
-    """Who votes. In a joint step, between two sets, a majority of both is needed. `version` rises by one with
-    each step: 1 (old), 2 (old and new), 3 (new)."""
+    """The voters of a fleet.
+
+    While one set replaces another, a joint step needs a majority of both sets. `version` rises by one with
+    each step: 1 (the old set), 2 (both sets), 3 (the new set).
+    """
 
     version: int = 1
-    now: tuple[str, ...] = ()
-    before: tuple[str, ...] = ()
+    current: tuple[str, ...] = ()
+    previous: tuple[str, ...] = ()
 
     @property
-    def all(self) -> tuple[str, ...]:
-        return tuple(dict.fromkeys((*self.now, *self.before)))
+    def names(self) -> tuple[str, ...]:
+        """All voters, each once."""
+        return tuple(dict.fromkeys((*self.current, *self.previous)))
 
-    def enough(self, names: Iterable[str]) -> bool:
-        told = set(names)
-        return all(2 * len(told & set(one)) > len(one) for one in (self.now, self.before) if one)
+    def is_quorum(self, names: Iterable[str]) -> bool:
+        """Whether these are a majority of each set."""
+        given = set(names)
+        return all(2 * len(given & set(one)) > len(one) for one in (self.current, self.previous) if one)
 
-    def remembers(self, names: Iterable[str]) -> bool:
-        """Whether so many know all that was ever accepted: of the set before, where there is one."""
-        one = self.before or self.now
-        return 2 * len(set(names) & set(one)) > len(one)
+    def is_recovery_quorum(self, names: Iterable[str]) -> bool:
+        """Whether these know everything that was ever accepted: a majority of the set that voted before."""
+        voted = self.previous or self.current
+        return 2 * len(set(names) & set(voted)) > len(voted)
 
 
 class VoterAnswer(Enum):
-    """What a voter answers."""
+    """What a voter answers; the values are sent."""
 
-    YES = "yes"
-    HELD = "held"  # by another
-    LATER = "later"  # a later ballot was promised
-    REFUSED = "refused"  # for a reason that is no ballot's: older voters, too long a term, too many tasks
+    GRANTED = "yes"
+    HELD = "held"
+    """Another process holds the lease."""
+    HIGHER_BALLOT = "later"
+    """A higher ballot was promised to somebody else."""
+    REFUSED = "refused"
+    """For a reason that no ballot mends: outdated voters, too long a term, too many tasks, no memory."""
 
 
 @dataclass(frozen=True, slots=True)
 class VoterRecord:
-    """What a voter remembers of one task. `until`: by its own clock; it is not kept, the rest is."""
+    """What a voter remembers of one task. `expires_at`, by its own clock, is not stored; the rest is."""
 
     promised: Ballot = Ballot()
     grant: Grant = Grant()
-    until: int = 0
+    expires_at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """`grant`: the last that was accepted; `left`: how long it still holds; `promised`: the highest."""
+    """A voter's reply for one task.
 
-    said: VoterAnswer
+    Attributes:
+        answer: whether it promised or accepted.
+        grant: the last grant that it accepted.
+        remaining: for how long that grant still holds.
+        promised: the highest ballot that it promised.
+    """
+
+    answer: VoterAnswer
     grant: Grant = Grant()
-    left: int = 0
+    remaining: int = 0
     promised: Ballot = Ballot()
 
 
-def prepare(slot: VoterRecord, now: int, ballot: Ballot) -> tuple[VoterRecord, Reply]:
-    """The answer to one that wants the lease under a ballot; what it changes is kept before it is said."""
-    grant, left = slot.grant, max(0, slot.until - now)
-    if left and grant.holder and (grant.holder, grant.process) != (ballot.name, ballot.process):
-        return slot, Reply(VoterAnswer.HELD, grant, left, slot.promised)
-    if ballot <= slot.promised:
-        return slot, Reply(VoterAnswer.LATER, grant, left, slot.promised)
-    return replace(slot, promised=ballot), Reply(VoterAnswer.YES, grant, left, ballot)
+def prepare(record: VoterRecord, now: int, ballot: Ballot) -> tuple[VoterRecord, Reply]:
+    """Answers a claimant that wants a promise for a ballot.
+
+    Returns the voter's new record, which has to be stored before the reply is sent, and the reply.
+    """
+    grant, remaining = record.grant, max(0, record.expires_at - now)
+    if remaining and grant.holder and (grant.holder, grant.process) != (ballot.name, ballot.process):
+        return record, Reply(VoterAnswer.HELD, grant, remaining, record.promised)
+    if ballot <= record.promised:
+        return record, Reply(VoterAnswer.HIGHER_BALLOT, grant, remaining, record.promised)
+    return replace(record, promised=ballot), Reply(VoterAnswer.GRANTED, grant, remaining, ballot)
+
 
+def accept(record: VoterRecord, now: int, grant: Grant) -> tuple[VoterRecord, Reply]:
+    """Answers a claimant that has a majority's promises, renews its lease or gives it back.
 
-def accept(slot: VoterRecord, now: int, grant: Grant) -> tuple[VoterRecord, Reply]:
-    """The answer to one that has a majority's promises, renews or gives back; kept before it is said."""
-    if grant.ballot < slot.promised:
-        return slot, Reply(VoterAnswer.LATER, slot.grant, max(0, slot.until - now), slot.promised)
-    return VoterRecord(grant.ballot, grant, now + grant.term if grant.holder else 0), Reply(
-        VoterAnswer.YES, grant
-    )
+    Returns the voter's new record, which has to be stored before the reply is sent, and the reply.
+    """
+    if grant.ballot < record.promised:
+        remaining = max(0, record.expires_at - now)
+        return record, Reply(VoterAnswer.HIGHER_BALLOT, record.grant, remaining, record.promised)
+    expires_at = now + grant.term if grant.holder else 0
+    return VoterRecord(grant.ballot, grant, expires_at), Reply(VoterAnswer.GRANTED, grant)
 
 
 class VoterMemory(Enum):
-    """How it stands with what a voter remembers."""
+    """Whether a voter remembers what it promised; the values are sent and shown to operators."""
 
-    SILENT = "silent"  # it lost its memory: it waits until whatever it said is over
-    BLANK = "blank"  # it asks the others
-    KNOWS = "knows"
+    SILENT = "silent"
+    """It lost its store, and waits until whatever it said before has expired."""
+    RECOVERING = "blank"
+    """It asks the other voters what they remember."""
+    READY = "knows"
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """What outlives a voter's process."""
+class VoterState:
+    """What outlives a voter's process, or what one voter learns from another."""
 
     era: int = 0
     version: int = 0
-    slots: Mapping[str, VoterRecord] = field(default_factory=dict)
+    records: Mapping[str, VoterRecord] = field(default_factory=dict)
 
 
 class Voter:
-    """One voter's part in all leases. `fresh` names what has to be on disk before the answer leaves."""
-
-    def __init__(self, name: str, terms: LeaseTerms, voters: Voters, kept: Kept | None, now: int) -> None:
-        """`kept`: of before; None where there is nothing, and it keeps silent first."""
+    """One voter's part in all leases.
+
+    Attributes:
+        memory: whether it may vote.
+        era: the era of fencing tokens that it knows.
+        version: the highest version of voters that asked for its memory; requests under older ones are
+            refused.
+        records: what it remembers, by task.
+        unsaved: the tasks whose records have to be on disk before the next reply is sent.
+    """
+
+    def __init__(
+        self, name: str, terms: LeaseTerms, voters: Voters, stored: VoterState | None, now: int
+    ) -> None:
+        """`stored`: what it remembered before; None where there is nothing, and the voter is silent first."""
         self.name, self.terms, self.voters = name, terms, voters
-        self.memory = VoterMemory.KNOWS if kept is not None else VoterMemory.SILENT
-        self.era, self.version = (kept.era, kept.version) if kept is not None else (0, 0)
-        self._silent_until = now + terms.longest
-        # A clock that began anew says nothing of terms that ran: they begin again.
-        told = kept.slots if kept is not None else {}
-        self.slots = {task: replace(slot, until=now + slot.grant.term) for task, slot in told.items()}
-        self.fresh = set[str]()
+        self.memory = VoterMemory.READY if stored is not None else VoterMemory.SILENT
+        self.era, self.version = (stored.era, stored.version) if stored is not None else (0, 0)
+        self._silent_until = now + terms.max_term
+        # A clock that began anew says nothing of terms that were running: they begin again.
+        records = stored.records if stored is not None else {}
+        self.records = {
+            task: replace(record, expires_at=now + record.grant.term) for task, record in records.items()
+        }
+        self.unsaved = set[str]()
 
     def prepare(self, now: int, version: int, task: str, ballot: Ballot) -> Reply:
-        return self._ask(version, task, lambda slot: prepare(slot, now, ballot), 0)
+        """Answers a request for a promise."""
+        return self._answer(version, task, lambda record: prepare(record, now, ballot), 0)
 
     def accept(self, now: int, version: int, task: str, grant: Grant) -> Reply:
-        return self._ask(version, task, lambda slot: accept(slot, now, grant), grant.term)
-
-    def read(self, now: int, task: str) -> Reply:
-        """What it knows, for those who only look."""
-        slot = self.slots.get(task, VoterRecord())
-        return Reply(VoterAnswer.YES, slot.grant, max(0, slot.until - now), slot.promised)
+        """Answers a request to accept a grant."""
+        return self._answer(version, task, lambda record: accept(record, now, grant), grant.term)
 
-    def _ask(
-        self, version: int, task: str, of: Callable[[VoterRecord], tuple[VoterRecord, Reply]], term: int
+    def _answer(
+        self, version: int, task: str, decide: Callable[[VoterRecord], tuple[VoterRecord, Reply]], term: int
     ) -> Reply:
         if (
-            self.memory is not VoterMemory.KNOWS
+            self.memory is not VoterMemory.READY
             or version < self.version
-            or term > self.terms.longest
-            or task not in self.slots
-            and len(self.slots) >= MOST_TASKS
+            or term > self.terms.max_term
+            or task not in self.records
+            and len(self.records) >= MAX_TASKS
         ):
             return Reply(VoterAnswer.REFUSED)
-        slot, reply = of(self.slots.get(task, VoterRecord()))
-        if slot != self.slots.get(task):
-            self.slots[task] = slot
-            self.fresh.add(task)
+        record, reply = decide(self.records.get(task, VoterRecord()))
+        if record != self.records.get(task):
+            self.records[task] = record
+            self.unsaved.add(task)
         return reply
 
-    def fence(self, version: int) -> bool:
-        """Asks under older voters are refused from now on; whether that is news, to be kept first."""
-        news = version > self.version
+    def raise_version(self, version: int) -> bool:
+        """Refuses requests under older voters from now on; whether this is new, and to be stored first."""
+        is_new = version > self.version
         self.version = max(self.version, version)
-        return news
+        return is_new
 
-    # After its memory was lost.
+    # Recovery after a lost store.
 
-    def wakes(self, now: int) -> bool:
-        """Whether it is time to ask the others."""
+    def may_recover(self, now: int) -> bool:
+        """Whether it is time to ask the other voters; ends the silence once it has lasted long enough."""
         if self.memory is VoterMemory.SILENT and now >= self._silent_until:
-            self.memory = VoterMemory.BLANK
-        return self.memory is VoterMemory.BLANK
+            self.memory = VoterMemory.RECOVERING
+        return self.memory is VoterMemory.RECOVERING
 
-    def learns(self, now: int, told: Mapping[str, Kept]) -> bool:
-        """What others that know remember, by their names; whether it is enough to vote again."""
-        others = {name: kept for name, kept in told.items() if name != self.name}
-        if self.memory is not VoterMemory.BLANK or not self.voters.remembers(others):
+    def recover(self, now: int, states: Mapping[str, VoterState]) -> bool:
+        """Learns what other voters remember, by their names; whether it is enough to vote again."""
+        others = {name: state for name, state in states.items() if name != self.name}
+        if self.memory is not VoterMemory.RECOVERING or not self.voters.is_recovery_quorum(others):
             return False
-        for kept in others.values():
-            self.era, self.version = max(self.era, kept.era), max(self.version, kept.version)
-            for task, slot in kept.slots.items():
-                self.slots[task] = _later(self.slots.get(task, VoterRecord()), slot, now)
-        self._know()
+        for state in others.values():
+            self.era, self.version = max(self.era, state.era), max(self.version, state.version)
+            for task, record in state.records.items():
+                self.records[task] = _merged(self.records.get(task, VoterRecord()), record, now)
+        self._become_ready()
         return True
 
-    def found(self, era: int, heard: int) -> str | None:
-        """An operator says that nobody remembers, and numbers go on in a later era; why not. `heard`: the
-        latest era that anybody tells of."""
-        if self.memory is not VoterMemory.BLANK:
+    def start_era(self, era: int, latest_era: int) -> str | None:
+        """Votes again on an operator's order, with fencing tokens of a later era.
+
+        An operator gives it when no majority remembers. `latest_era` is the latest that any voter reports.
+        Returns why the order is refused; None where it is followed.
+        """
+        if self.memory is not VoterMemory.RECOVERING:
             return "it is silent yet" if self.memory is VoterMemory.SILENT else "it knows"
-        if era <= max(heard, self.era):
-            return f"era {era}, expected one after {max(heard, self.era)}"
+        if era <= max(latest_era, self.era):
+            return f"era {era}, expected one after {max(latest_era, self.era)}"
         self.era = era
-        self._know()
+        self._become_ready()
         return None
 
-    def _know(self) -> None:
-        self.memory = VoterMemory.KNOWS
+    def _become_ready(self) -> None:
+        self.memory = VoterMemory.READY
         self.version = max(self.version, self.voters.version)
-        self.fresh |= set(self.slots)
+        self.unsaved |= set(self.records)
 
 
-def _later(mine: VoterRecord, theirs: VoterRecord, now: int) -> VoterRecord:
-    """The later of what two remember; held, as far as is known, from now on."""
-    grant = max(mine.grant, theirs.grant, key=lambda one: one.ballot)
-    return VoterRecord(max(mine.promised, theirs.promised), grant, now + grant.term if grant.holder else 0)
-
-
-class Stage(Enum):
-    """Where an asker is with its round of one task. It may hold the task all the while (`Claim.holds`)."""
-
-    IDLE = "idle"
-    ASKING = "asking"  # for promises
-    TAKING = "taking"  # promised by a majority, not accepted yet
-    HOLDING = "holding"
-
-
-class Round(NamedTuple):
-    """Acceptances that are out under one asking."""
-
-    serial: int
-    asked: int
-    by: frozenset[str] = frozenset()
-
-
-@dataclass(frozen=True, slots=True)
-class Claim:
-    """One asker's place in one task. `until`: when what it holds is over, by its own clock, 0 where it holds
-    nothing; `asked`: when the round began; `free`: whether who held it before has given it back; `seen`: the
-    highest round that it met; `over`: some voter met a later ballot, so a round is due above that."""
-
-    stage: Stage = Stage.IDLE
-    ballot: Ballot = Ballot()
-    asked: int = 0
-    by: frozenset[str] = frozenset()
-    no: frozenset[str] = frozenset()
-    best: Grant = Grant()
-    grant: Grant = Grant()
-    rounds: tuple[Round, ...] = ()
-    until: int = 0
-    free: bool = True
-    seen: int = 0
-    over: bool = False
-
-    def holds(self, now: int) -> bool:
-        return now < self.until
-
-    def ask(self, now: int, name: str, process: int) -> Claim:
-        """Begins a round: promises are wanted for `ballot`. What is held goes on being held."""
-        ballot = Ballot(self.seen + 1, name, process)
-        held = self.holds(now)
-        return Claim(
-            Stage.ASKING,
-            ballot,
-            now,
-            grant=self.grant if held else Grant(),
-            until=self.until if held else 0,
-            seen=ballot.round,
-        )
-
-    def promised(
-        self,
-        now: int,
-        voter: str,
-        ballot: Ballot,
-        reply: Reply,
-        voters: Voters,
-        terms: LeaseTerms,
-        floor: int,
-    ) -> Claim:
-        """A voter's answer. With the last that is wanted `grant` is to be accepted by all. `floor`: a number
-        that a new one has to be past, of the era and of what receivers are known to have seen."""
-        claim = replace(self, seen=max(self.seen, reply.promised.round))
-        if self.stage is not Stage.ASKING or ballot != self.ballot:
-            return claim
-        if reply.said is not VoterAnswer.YES:
-            return replace(claim, no=self.no | {voter})
-        if now >= self.asked + terms.held(terms.term):
-            return claim.ended(now)
-        best = max(self.best, reply.grant, key=lambda one: one.ballot)
-        claim = replace(claim, by=self.by | {voter}, best=best)
-        if not voters.enough(claim.by):
-            return claim
-        ours = (best.holder, best.process) == (ballot.name, ballot.process)
-        # Nobody else can have held it since: it is the same holding under a later ballot.
-        same = ours and self.holds(now) and best.number == self.grant.number > floor
-        number = best.number if same else max(best.number, floor) + 1
-        grant = Grant(number, ballot.name, ballot.process, terms.term, ballot)
-        # Counted from the first asking, whose promises it stands on.
-        return replace(
-            claim,
-            stage=Stage.TAKING,
-            grant=grant,
-            rounds=(Round(0, self.asked),),
-            until=self.until if same else 0,
-            free=not best.holder or ours,
-        )
-
-    def vain(self, voters: Voters) -> bool:
-        """Whether so many have refused that no majority is left to promise."""
-        return self.stage is Stage.ASKING and not voters.enough(set(voters.all) - self.no)
-
-    def renew(self, now: int) -> tuple[Claim, int]:
-        """Once more under the same ballot; with the serial of this asking."""
-        serial = self.rounds[-1].serial + 1 if self.rounds else 1
-        return replace(self, rounds=(*self.rounds, Round(serial, now))[-ROUNDS:]), serial
-
-    def taken(
-        self, voter: str, ballot: Ballot, serial: int, reply: Reply, voters: Voters, terms: LeaseTerms
-    ) -> Claim:
-        """A voter's answer to an acceptance: the first, or a renewal."""
-        claim = replace(self, seen=max(self.seen, reply.promised.round))
-        if ballot != self.ballot or self.stage not in (Stage.TAKING, Stage.HOLDING):
-            return claim
-        if reply.said is VoterAnswer.LATER:
-            return replace(claim, over=True)
-        if reply.said is not VoterAnswer.YES:
-            return claim
-        rounds, until, stage = list(self.rounds), self.until, self.stage
-        for place, one in enumerate(rounds):
-            if one.serial == serial:
-                rounds[place] = one._replace(by=one.by | {voter})
-                if voters.enough(rounds[place].by):
-                    until = max(until, one.asked + terms.held(self.grant.term))
-                    stage = Stage.HOLDING
-        return replace(claim, rounds=tuple(rounds), until=until, stage=stage)
-
-    def ended(self, now: int) -> Claim:
-        """The round came to nothing; what is held is held until it is over."""
-        held = self.holds(now)
-        return Claim(grant=self.grant if held else Grant(), until=self.until if held else 0, seen=self.seen)
-
-    def given_back(self) -> Claim:
-        """Held no more from this moment; `grant` without a holder is to be accepted."""
-        free = self.grant._replace(holder="", term=0)
-        return Claim(ballot=self.ballot, grant=free, seen=self.seen)
+def _merged(own: VoterRecord, other: VoterRecord, now: int) -> VoterRecord:
+    """The later of what two voters remember; as far as is known, its term begins now."""
+    grant = max(own.grant, other.grant, key=lambda one: one.ballot)
+    expires_at = now + grant.term if grant.holder else 0
+    return VoterRecord(max(own.promised, other.promised), grant, expires_at)
--- a/vanerelay/leases/voter_service.py
+++ b/vanerelay/leases/voter_service.py
@@ -1,29 +1,59 @@
-"""A voter's part on the wire and on disk: a thin driver of `quorum.Voter`. Nothing it says leaves before what
-it changed is kept."""
+"""A voter on the wire and on disk: a thin driver of `voter.Voter`.
+
+Nothing that it says leaves before what it changed is on disk.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import msgspec
 import structlog
 from twisted.internet.defer import Deferred, DeferredList
+from twisted.python.failure import Failure
 
 from vanerelay.fleet.rpc import RequestRefusedError
+from vanerelay.interface import SECOND
 from vanerelay.leases import messages
-from vanerelay.leases.durable_store import DurableStore, StoreError
-from vanerelay.leases.voter import Kept, LeaseTerms, Voter, VoterMemory, VoterRecord, Voters
-
-SPACE, META = "votes", "meta"
-FOUND = "found"  # a file in the folder, an operator's word: the era in which numbers go on from nothing
-LOOK_S, ASK_S = 0.5, 3.0
+from vanerelay.leases.durable_store import DurableStore
+from vanerelay.leases.errors import StoreError
+from vanerelay.leases.voter import LeaseTerms, Voter, VoterMemory, VoterRecord, Voters, VoterState
+
+VOTES_SPACE = "votes"
+"""The store's space for a voter's records, each under its task's name."""
+META_KEY = "meta"
+"""The record of era and version, in the same space."""
+ERA_FILE = "found"
+"""A file that an operator puts into the folder: the era with which voters that remember nothing begin."""
+
+SILENCE_POLL_S = 0.5
+"""Between two looks whether the silence is over."""
+RECOVERY_RETRY_S = 1.0
+"""Between two rounds of asking the other voters what they remember."""
 
 log = structlog.get_logger()
 
+RequestVoter = Callable[[str, messages.VoteRequest], Deferred[messages.VoteResponse]]
+"""Sends a request to the voter of a name."""
+
+
+@dataclass(frozen=True, slots=True)
+class _PeerMemory:
+    """What another voter reports: its era, and what it remembers; None where it remembers nothing either."""
+
+    era: int
+    state: VoterState | None
+
 
 class VoterService:
-    """`ask` puts a question to another voter by name; `clock` is the one that leases count by."""
+    """One gateway's voter.
+
+    Attributes:
+        voter: the protocol's state.
+        reason: why it does not vote at present, for operators; empty where it does.
+    """
 
     def __init__(
         self,
@@ -31,159 +61,188 @@
         name: str,
         terms: LeaseTerms,
         voters: Voters,
-        disk: DurableStore,
+        store: DurableStore,
         clock: Callable[[], int],
-        ask: Callable[[str, messages.Ask], Deferred[messages.Answer]],
+        request_voter: RequestVoter,
     ) -> None:
-        """Raises Unkept where the disk can't be read."""
-        self._reactor, self._clock, self._ask, self._disk = reactor, clock, ask, disk
-        self.voter = Voter(name, terms, voters, self._kept(), clock())
-        self._stopped, self.why = False, ""
-        self._meta = False  # era and version are to be kept with the next answer
+        """Reads the store; `clock` is the one by which leases count.
+
+        Raises:
+            StoreError: the store can't be read.
+        """
+        self._reactor, self._clock, self._store = reactor, clock, store
+        self._request_voter = request_voter
+        self.voter = Voter(name, terms, voters, self._load(), clock())
+        self._stopped, self.reason = False, ""
+        self._meta_unsaved = False  # era and version are to be stored with the next records
         if self.voter.memory is VoterMemory.SILENT:
-            log.warning("nothing is remembered of leases: silent first", for_s=terms.longest / 10_000)
-            self._look()
+            log.warning("voter has no stored state: silent before it recovers", for_s=terms.max_term / SECOND)
+            self._poll_recovery()
         else:
-            disk.used(FOUND)  # of a word that was used up before a crash
+            store.remove_operator_file(ERA_FILE)  # one that was followed before a crash
 
-    def _kept(self) -> Kept | None:
-        told = self._disk.load(SPACE)
-        meta = messages.decode(told.pop(META, b""), tuple[int, int])
+    def _load(self) -> VoterState | None:
+        stored = self._store.load(VOTES_SPACE)
+        meta = messages.decode(stored.pop(META_KEY, b""), tuple[int, int])
         if meta is None:
             return None
-        slots = dict[str, VoterRecord]()
-        for task, body in told.items():
-            found = messages.decode(body, messages.Told)
+        records = dict[str, VoterRecord]()
+        for task, body in stored.items():
+            found = messages.decode(body, messages.RecordMessage)
             if found is None:
                 return None  # what can't be read was promised to somebody all the same
-            slots[task] = found.slot()
-        return Kept(meta[0], meta[1], slots)
+            records[task] = found.record()
+        return VoterState(meta[0], meta[1], records)
 
-    def answer(self, ask: messages.Ask) -> Deferred[messages.Answer]:
-        """Fails with Refused where it can't be kept."""
-        voter, now = self.voter, self._clock()
-        if len(ask.prepares) + len(ask.accepts) > messages.AT_ONCE:
+    def answer(self, request: messages.VoteRequest) -> Deferred[messages.VoteResponse]:
+        """Answers a request once what it changed is stored; fails with RequestRefusedError if it can't be.
+
+        Raises:
+            RequestRefusedError: the request names too many tasks.
+        """
+        voter, now, version = self.voter, self._clock(), request.version
+        if len(request.prepares) + len(request.accepts) > messages.MAX_TASKS_PER_MESSAGE:
             raise RequestRefusedError("too many tasks at once")
-        slots, more = list[messages.Told](), False
-        news = ask.memory and voter.memory is VoterMemory.KNOWS and voter.fence(ask.version)
+        reads = request.read_records and voter.memory is VoterMemory.READY
+        is_new_version = reads and voter.raise_version(version)
         prepares = [
-            messages.replied(voter.prepare(now, ask.version, task, ballot)) for task, ballot in ask.prepares
+            messages.ReplyMessage.of(voter.prepare(now, version, task, ballot))
+            for task, ballot in request.prepares
         ]
         accepts = [
-            messages.replied(voter.accept(now, ask.version, task, grant)) for task, grant in ask.accepts
+            messages.ReplyMessage.of(voter.accept(now, version, task, grant))
+            for task, grant in request.accepts
         ]
-        if ask.memory and voter.memory is VoterMemory.KNOWS:
-            named = sorted(task for task in voter.slots if task > ask.after)
-            more = len(named) > messages.AT_ONCE
-            slots = [
-                messages.Told(task, voter.slots[task].promised, voter.slots[task].grant)
-                for task in named[: messages.AT_ONCE]
-            ]
-        told = messages.Answer(voter.memory.value, voter.era, voter.version, prepares, accepts, slots, more)
-        return self._keep(news).addCallback(lambda _: told)
-
-    def _keep(self, meta: bool) -> Deferred[Any]:
-        """What changed, and whatever was to be kept before it."""
+        records, more = self._page(request.after) if reads else ([], False)
+        response = messages.VoteResponse(
+            voter.memory.value, voter.era, voter.version, prepares, accepts, records, more
+        )
+        return self._save(is_new_version).addCallback(lambda _: response)
+
+    def _page(self, after: str) -> tuple[list[messages.RecordMessage], bool]:
+        """Records of tasks after a name, as many as a message may have; and whether there are more."""
+        voter, limit = self.voter, messages.MAX_TASKS_PER_MESSAGE
+        tasks = sorted(task for task in voter.records if task > after)
+        page = [messages.RecordMessage.of(task, voter.records[task]) for task in tasks[:limit]]
+        return page, len(tasks) > limit
+
+    def _save(self, with_meta: bool) -> Deferred[None]:
+        """Stores what changed; fires once it, and all that changed before, is on disk."""
         voter, records = self.voter, dict[str, bytes | None]()
-        fresh, self._meta = set(voter.fresh), self._meta or meta
-        meta = self._meta
-        for task in fresh:
-            slot = voter.slots[task]
-            records[task] = messages.encode(messages.Told(task, slot.promised, slot.grant))
-        voter.fresh.clear()
-        self._meta = False
-        if meta:
-            records[META] = msgspec.msgpack.encode((voter.era, voter.version))
-
-        def unkept(fault: Any) -> Any:
-            fault.trap(StoreError)
-            voter.fresh |= fresh  # to be kept before anything else is said
-            self._meta = self._meta or meta
-            if str(fault.value) != self.why:
-                self.why = str(fault.value)
-                log.error("votes can't be kept, and are not given", why=self.why)
-            raise RequestRefusedError(self.why)
-
-        def kept(_: Any) -> None:
-            self.why = ""
-
-        return self._disk.put(SPACE, records).addCallbacks(kept, unkept)
-
-    # After its memory was lost.
-
-    def _look(self) -> None:
-        if self._stopped or self.voter.memory is VoterMemory.KNOWS:
+        unsaved = set(voter.unsaved)
+        with_meta = self._meta_unsaved or with_meta
+        for task in unsaved:
+            records[task] = messages.encode(messages.RecordMessage.of(task, voter.records[task]))
+        voter.unsaved.clear()
+        self._meta_unsaved = False
+        if with_meta:
+            records[META_KEY] = msgspec.msgpack.encode((voter.era, voter.version))
+
+        def failed(failure: Failure) -> None:
+            failure.trap(StoreError)  # type: ignore[no-untyped-call]
+            voter.unsaved |= unsaved  # to be stored before anything else is said
+            self._meta_unsaved = self._meta_unsaved or with_meta
+            reason = str(failure.value)
+            if reason != self.reason:
+                self.reason = reason
+                log.error("votes can't be stored, and are not given", reason=reason)
+            raise RequestRefusedError(self.reason) from failure.value
+
+        def saved(_: None) -> None:
+            self.reason = ""
+
+        return self._store.put(VOTES_SPACE, records).addCallbacks(saved, failed)
+
+    # Recovery after a lost store.
+
+    def _poll_recovery(self) -> None:
+        if self._stopped or self.voter.memory is VoterMemory.READY:
             return
-        if not self.voter.wakes(self._clock()):
-            self._reactor.callLater(LOOK_S, self._look)
+        if not self.voter.may_recover(self._clock()):
+            self._reactor.callLater(SILENCE_POLL_S, self._poll_recovery)
             return
-        names = [name for name in self.voter.voters.all if name != self.voter.name]
-        DeferredList([self._whole(name) for name in names], consumeErrors=True).addCallback(self._told, names)
-
-    def _whole(self, name: str) -> Deferred[tuple[int, Kept | None]]:
-        """All that another remembers, page by page: the era it tells of, and None where it remembers none."""
-        slots = dict[str, VoterRecord]()
-        done: Deferred[tuple[int, Kept | None]] = Deferred()
-
-        def page(after: str) -> None:
-            asked = self._ask(name, messages.Ask(self.voter.voters.version, memory=True, after=after))
-            asked.addCallback(came).addErrback(done.errback)
-
-        def came(told: messages.Answer) -> None:
-            slots.update((one.task, one.slot()) for one in told.slots)
-            if told.more and told.slots:
-                page(told.slots[-1].task)
-            elif told.memory == VoterMemory.KNOWS.value:
-                done.callback((told.era, Kept(told.era, told.version, slots)))
+        names = [name for name in self.voter.voters.names if name != self.voter.name]
+        reads = [self._read_memory(name) for name in names]
+        DeferredList(reads, consumeErrors=True).addCallback(self._recover, names)
+
+    def _read_memory(self, name: str) -> Deferred[_PeerMemory]:
+        """All that another voter remembers, page by page."""
+        records = dict[str, VoterRecord]()
+        done: Deferred[_PeerMemory] = Deferred()
+
+        def request_page(after: str) -> None:
+            version = self.voter.voters.version
+            request = messages.VoteRequest(version, read_records=True, after=after)
+            self._request_voter(name, request).addCallback(received).addErrback(done.errback)
+
+        def received(response: messages.VoteResponse) -> None:
+            records.update((message.task, message.record()) for message in response.records)
+            if response.more and response.records:
+                request_page(response.records[-1].task)
+            elif response.memory == VoterMemory.READY.value:
+                state = VoterState(response.era, response.version, records)
+                done.callback(_PeerMemory(response.era, state))
             else:
-                done.callback((told.era, None))
+                done.callback(_PeerMemory(response.era, None))
 
-        page("")
+        request_page("")
         return done
 
-    def _told(self, results: list[tuple[bool, Any]], names: list[str]) -> None:
+    def _recover(self, results: list[tuple[bool, Any]], names: list[str]) -> None:
         if self._stopped:
             return
-        heard = {name: told for name, (good, told) in zip(names, results, strict=True) if good}
-        knowing = {name: kept for name, (_, kept) in heard.items() if kept is not None}
-        if self.voter.learns(self._clock(), knowing):
-            log.info("votes again", learned_from=sorted(knowing), era=self.voter.era)
-            self._know()
+        peers: dict[str, _PeerMemory] = {
+            name: result for name, (succeeded, result) in zip(names, results, strict=True) if succeeded
+        }
+        states = {name: peer.state for name, peer in peers.items() if peer.state is not None}
+        if self.voter.recover(self._clock(), states):
+            log.info("voter recovered", learned_from=sorted(states), era=self.voter.era)
+            self._become_ready()
             return
-        era = self._founded()
-        if era is not None:
-            latest = max([told for told, _ in heard.values()], default=0)
-            # One that is founded already is of the same era: it only has to be later than what was before.
-            old = max([kept.era for kept in knowing.values() if kept.era != era], default=0)
-            why = self.voter.found(era, old if latest == era else latest)
-            if why is None:
-                log.warning("founded by an operator's word", era=era)
-                self._know()
-                return
-            self.why = f"the operator's word is not taken: {why}"
-            log.warning("the operator's word is not taken", why=why)
-        else:
-            told = f"{len(knowing)} of {len(names)} other voters remember, expected more than half of all"
-            if told != self.why:
-                log.warning("does not vote yet", why=told, file=FOUND)
-            self.why = told
-        self._reactor.callLater(2 * LOOK_S, self._look)
-
-    def _founded(self) -> int | None:
-        told = self._disk.word(FOUND)
-        return int(told) if told.isdecimal() else None
-
-    def _know(self) -> None:
-        """Kept, then the word is used up: should the disk be lost later, it does not count again."""
-
-        def used(_: Any) -> None:
-            self._disk.used(FOUND)
-
-        self.why = ""
-        self._keep(True).addCallback(used).addErrback(
-            lambda fault: log.error("not kept", why=fault.getErrorMessage())
-        )
+        era = self._operators_era()
+        if era is None:
+            self._note_missing_voters(len(states), len(names))
+        elif self._start_era(era, [peer.era for peer in peers.values()], states):
+            return
+        self._reactor.callLater(RECOVERY_RETRY_S, self._poll_recovery)
+
+    def _operators_era(self) -> int | None:
+        text = self._store.read_operator_file(ERA_FILE)
+        return int(text) if text.isdecimal() else None
+
+    def _start_era(self, era: int, reported_eras: list[int], states: dict[str, VoterState]) -> bool:
+        """Follows an operator's order of a later era; whether that was possible."""
+        latest = max(reported_eras, default=0)
+        # A voter that followed the same order already is of this era: it has to be later than those before.
+        earlier = max([state.era for state in states.values() if state.era != era], default=0)
+        refusal = self.voter.start_era(era, earlier if latest == era else latest)
+        if refusal is None:
+            log.warning("voter starts a new era on an operator's order", era=era)
+            self._become_ready()
+            return True
+        self.reason = f"the operator's word is not taken: {refusal}"
+        log.warning("the operator's era is refused", reason=refusal)
+        return False
+
+    def _note_missing_voters(self, remembering: int, others: int) -> None:
+        reason = f"{remembering} of {others} other voters remember, expected more than half of all"
+        if reason != self.reason:
+            log.warning("voter can't recover yet", reason=reason, file=ERA_FILE)
+        self.reason = reason
+
+    def _become_ready(self) -> None:
+        """Stores the state, then removes the operator's file: it must not count again after a later loss."""
+
+        def saved(_: None) -> None:
+            self._store.remove_operator_file(ERA_FILE)
+
+        def failed(failure: Failure) -> None:
+            log.error("a recovered voter's state can't be stored", reason=failure.getErrorMessage())
+
+        self.reason = ""
+        self._save(True).addCallback(saved).addErrback(failed)
 
     def stop(self) -> None:
+        """Answers nothing further and closes the store."""
         self._stopped = True
-        self._disk.close()
+        self._store.close()
--- a/vanerelay/rollout/controller_lease.py
+++ b/vanerelay/rollout/controller_lease.py
@@ -61,14 +61,14 @@
         fleet: Any = _Asking(links, f"controller {name}", addresses)
         process = int.from_bytes(os.urandom(6), "big")
         self._leases = Leases(reactor, fleet, parts, random.Random(process), process, None)
-        self._hold = self._leases.add(TASK, lambda hold: None, lambda hold: lost())
+        self._hold = self._leases.add_task(TASK, lambda hold: None, lambda hold: lost())
 
     def start(self) -> None:
         self._leases.start()
 
     def fence(self) -> int | None:
         """The number under which orders may be given now; None where another may be giving them."""
-        return self._hold.number if self._hold.may(self._leases.clock()) else None
+        return self._hold.token if self._hold.may_act(self._leases.clock()) else None
 
     def stop(self) -> Deferred[Any]:
-        return self._leases.leave().addCallback(lambda _: self._leases.stop())
+        return self._leases.release_all().addCallback(lambda _: self._leases.stop())
--- a/vanerelay/warming/executor.py
+++ b/vanerelay/warming/executor.py
@@ -33,7 +33,7 @@
     def take(self, do: Do) -> Done:
         """Orders of who was followed are refused, late and doubled ones as well."""
         begun = self.history.now()
-        why = self._gate.refuses(do.task, do.number, do.serial, do.holder)
+        why = self._gate.refusal(do.task, do.number, do.serial, do.holder)
         row: dict[str, Any] = {
             "task": do.task,
             "number": do.number,
@@ -43,10 +43,12 @@
         }
         self.history.add("order", begun, **row)
         if why is not None:
-            return Done(later=self._gate.number(do.task))
-        if do.number > self._gate.number(do.task):  # of whoever is followed now nothing is begun any more
+            return Done(later=self._gate.highest_token(do.task))
+        if do.number > self._gate.highest_token(
+            do.task
+        ):  # of whoever is followed now nothing is begun any more
             self._waiting = deque(one for one in self._waiting if one[1].task != do.task)
-        self._gate.takes(do.task, do.number, do.serial, do.holder)
+        self._gate.accept(do.task, do.number, do.serial, do.holder)
         until, taken = self._clock() + do.lasts, 0
         for group, engine in do.orders:
             if len(self._waiting) < MOST:
--- a/vanerelay/warming/planner.py
+++ b/vanerelay/warming/planner.py
@@ -50,7 +50,7 @@
     ) -> None:
         self._host, self._fleet, self._leases, self._parts = host, fleet, leases, parts
         self._location, self._chance, self._holders = location, chance, holders
-        self._hold = leases.add(f"warm/{location}", self._began, self._ended)
+        self._hold = leases.add_task(f"warm/{location}", self._began, self._ended)
         self._timer: Any = None
         self._fresh()
 
@@ -83,7 +83,7 @@
 
     def _turn(self) -> None:
         self._timer = self._host.reactor.callLater(self._parts.span / SECOND, self._turn)
-        if not self._hold.may(self._leases.clock()):
+        if not self._hold.may_act(self._leases.clock()):
             return
         self._turns += 1
         self._look()
@@ -203,9 +203,9 @@
             if wish.engine in self._believed:
                 self._believed[wish.engine].read(now, wish.group)
         orders = [(wish.group, wish.engine) for wish in some]
-        left = max(0, deed.until - self._leases.clock())
+        left = max(0, deed.expires_at - self._leases.clock())
         lasts = min(self._parts.lasts, left)
-        do = messages.Do(deed.task, deed.number, deed.serial, deed.holder, lasts, orders)
+        do = messages.Do(deed.task, deed.token, deed.serial, deed.holder, lasts, orders)
         asked = self._fleet.ask(name, "warm-do", messages.encode(do), PATIENCE_S)
         asked.addErrback(lambda _: None).addCallback(self._done, deed)
 
@@ -213,7 +213,7 @@
         self._hold.end(deed)
         told = messages.decode(body, messages.Done) if body is not None else None
         if told is not None and told.later:
-            self._leases.behind(deed, told.later)
+            self._leases.report_newer_token(deed, told.later)
 
     def _open_outcomes(self, made: Plan, now: float) -> None:
         for done, some in ((True, made.done), (False, made.left)):
