--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -19,7 +19,7 @@
 from vanerelay.clock import Clock
 from vanerelay.fleet import config as fleet_parts
 from vanerelay.fleet import rpc
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.freshness import config as freshness_parts
 from vanerelay.freshness.service import Freshness
 from vanerelay.leases import config as lease_parts
@@ -80,47 +80,47 @@
     assert transport.value().hex() == GOLDEN["amp"][name]
 
 
-def fleet() -> Fleet:
+def fleet() -> FleetService:
     parts = fleet_parts.FleetConfig("127.0.0.1:7946")
-    return Fleet(FakeReactor(), Clock(), parts, "m1", "program", "settings", 1)
+    return FleetService(FakeReactor(), Clock(), parts, "m1", "program", "settings", 1)
 
 
-def leases_of(fleet: Fleet) -> Leases:
+def leases_of(fleet: FleetService) -> Leases:
     parts = lease_parts.LeasesConfig(Voters(1, ("m1", "m2", "m3"), ()), terms=LeaseTerms())
     return Leases(FakeReactor(), fleet, parts, MagicMock(), 1, None)
 
 
 def fleet_kinds() -> set[str]:
-    return set(fleet().links.handlers)
+    return set(fleet().rpc.handlers)
 
 
 def lease_kinds() -> set[str]:
     one = fleet()
     leases_of(one)
-    return set(one.links.handlers) - fleet_kinds()
+    return set(one.rpc.handlers) - fleet_kinds()
 
 
 def freshness_kinds() -> set[str]:
     one = fleet()
     watch = freshness_parts.Watch(("copies", "@ID@"))
     leases = leases_of(one)
-    before = set(one.links.handlers)
+    before = set(one.rpc.handlers)
     Freshness(FakeReactor(), one, leases, freshness_parts.FreshnessConfig(watch))
-    return set(one.links.handlers) - before
+    return set(one.rpc.handlers) - before
 
 
 def rollout_kinds() -> set[str]:
     one, host = fleet(), MagicMock()
     host.limits = {}
     host.gateway.pool.used.return_value = 0.0
-    before = set(one.links.handlers)
+    before = set(one.rpc.handlers)
     RolloutAgent(host, one, ClassTotals(), AgentStore(""))
-    return set(one.links.handlers) - before
+    return set(one.rpc.handlers) - before
 
 
 def warming_kinds() -> set[str]:
     host, joined = MagicMock(), MagicMock()
-    joined.fleet.links.handlers = handlers = {}
+    joined.fleet.rpc.handlers = handlers = {}
     host.settings, host.zones = {"classes": [{"name": "warm"}]}, {}
     parts = warming_join.WarmingConfig("warm", "SELECT @GROUP@")
     warming_join.WarmingExtension(host, parts, joined, MagicMock(), None).open()
--- a/tests/test_compatibility_stores.py
+++ b/tests/test_compatibility_stores.py
@@ -16,7 +16,7 @@
 from tests.helpers import ROOT
 from vanerelay.clock import Clock
 from vanerelay.fleet import config as fleet_parts
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.leases.durable_store import DurableStore
 from vanerelay.leases.voter import LeaseTerms, VoterRecord, Voters
 from vanerelay.leases.voter_service import VoterService
@@ -107,6 +107,6 @@
 def test_an_incarnation_goes_past_that_of_an_earlier_release(old):
     parts = fleet_parts.FleetConfig("127.0.0.1:7946", folder=str(old))
     before = int((STORES / "incarnation").read_text())
-    fleet = Fleet(FakeReactor(), Clock(), parts, "m1", "program", "settings", 1)
-    assert fleet.alive.own.incarnation == before + 1
+    fleet = FleetService(FakeReactor(), Clock(), parts, "m1", "program", "settings", 1)
+    assert fleet.detector.own.incarnation == before + 1
     assert json.loads((old / "incarnation").read_text()) == before + 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -77,20 +77,20 @@
             if name in self.down or node.replaced:
                 continue
             target = node.next_probe_target(self.now)
-            if target is None or self.ping(name, target.name, target.standing is MemberState.GONE):
+            if target is None or self.ping(name, target.name, target.status is MemberState.GONE):
                 continue
-            if target.standing is not MemberState.GONE and not any(
+            if target.status is not MemberState.GONE and not any(
                 self.ping(name, one.name) and self.ping(one.name, target.name)
                 for one in node.indirect_probe_helpers(target.name)
             ):
                 node.probe_failed(target.name, self.now)
         self.now = until
 
-    def count_views(self, standing, names=None):
+    def count_views(self, status, names=None):
         """By name: how many of the other gateways see it in that state."""
         return {
             name: sum(
-                node.members[name].standing is standing
+                node.members[name].status is status
                 for other, node in self.nodes.items()
                 if other != name and other not in self.down and name in node.members
             )
@@ -198,7 +198,7 @@
     ping = messages.decode(later, messages.Ping)
     assert ping is not None and ping.own.name == "m1" and ping.gossip == []
     assert messages.decode(b"\xc1nonsense", messages.Ping) is None
-    assert messages.to_member(messages.Row("m1", 1, standing=9)) is None
+    assert messages.to_member(messages.Row("m1", 1, status=9)) is None
 
 
 @pytest.mark.processes
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -345,7 +345,7 @@
         Member("m1", 1, state="serving", program="0.2.0-aa"),
         Member("m2", 1, state="serving", program="0.10.0-bb"),
         Member("m3", 1, state="draining", program="0.10.0-bb"),
-        Member("m4", 1, standing=MemberState.GONE, state="serving", program="0.10.0-bb"),
+        Member("m4", 1, status=MemberState.GONE, state="serving", program="0.10.0-bb"),
         Member("m5", 1, state="serving", program="0.10.0-bb"),
     ]
     found = assignment.eligible_candidates(members, "m2", True, {"m5": 0.0})
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -505,7 +505,7 @@
     def __init__(self, names):
         self.orders, self.runs, self.heeded, self.fence = [], dict.fromkeys(names, OLD), {}, 0
 
-    def ask(self, address, kind, body, patience_s):
+    def call(self, address, kind, body, patience_s):
         name = address.split(":")[0]
         if kind == "state":
             return succeed(
--- a/vanerelay/fleet/commands.py
+++ b/vanerelay/fleet/commands.py
@@ -17,7 +17,6 @@
 
 REPLY_TIMEOUT_S = 3.0
 FAILURE_EXIT_CODE = 2
-LEASES_KIND = "leases"
 
 OPTIONS_OPTION = click.option("--options", help="The operators' file of a manager: its own address is asked.")
 ADDRESS_OPTION = click.option(
@@ -107,7 +106,7 @@
 def _print_member(member: Member, answers: bool, as_json: bool) -> None:
     row = {
         "name": member.name,
-        "standing": member.standing.name.lower(),
+        "standing": member.status.name.lower(),
         "state": member.state,
         "domain": member.domain,
         "program": member.program,
@@ -118,7 +117,7 @@
     if as_json:
         click.echo(json.dumps(row))
         return
-    unreachable = not answers and member.standing is MemberState.ALIVE
+    unreachable = not answers and member.status is MemberState.ALIVE
     remark = "  does not answer us" if unreachable else ""
     click.echo(
         f"{member.name:<12} {row['standing']:<8} {row['state']:<9} {row['domain']:<10} "
@@ -142,7 +141,7 @@
     views = dict[str, messages.View]()
 
     def request_view(address: str) -> Deferred[messages.View | None]:
-        reply: Deferred[Any] = node.ask(address, messages.VIEW_KIND, b"", REPLY_TIMEOUT_S)
+        reply: Deferred[Any] = node.call(address, messages.VIEW_KIND, b"", REPLY_TIMEOUT_S)
         return reply.addCallback(lambda body: messages.decode(body, messages.View))
 
     def request_others(view: messages.View | None) -> Deferred[Any]:
@@ -163,7 +162,7 @@
 
 
 def _is_reachable(row: messages.Row) -> bool:
-    return bool(row.address) and row.standing != MemberState.LEFT
+    return bool(row.address) and row.status != MemberState.LEFT
 
 
 @fleet.command()
@@ -193,7 +192,8 @@
             row.name: row.address for view in views.values() for row in view.rows if _is_reachable(row)
         }
         requests = [
-            node.ask(addresses[name], LEASES_KIND, b"", REPLY_TIMEOUT_S) for name in sorted(addresses)
+            node.call(addresses[name], lease_messages.KIND_STATUS, b"", REPLY_TIMEOUT_S)
+            for name in sorted(addresses)
         ]
 
         def finish(results: list[tuple[bool, Any]]) -> dict[str, Any]:
--- a/vanerelay/fleet/config.py
+++ b/vanerelay/fleet/config.py
@@ -29,7 +29,7 @@
         fleet_name: Which fleet we belong to; messages of others are refused.
         domain: Our region of failure: what fails together.
         folder: Where the incarnation is kept; nowhere if empty.
-        known: Members that the operators name, to be probed first.
+        seeds: Members that the operators name, to be probed first.
         failure_detector: The tuned values of failure detection.
     """
 
@@ -37,7 +37,7 @@
     fleet_name: str = config_field("fleet", default="fleet")
     domain: str = ""
     folder: str = ""
-    known: tuple[SeedMember, ...] = ()
+    seeds: tuple[SeedMember, ...] = ()
     failure_detector: FailureDetectorConfig = FailureDetectorConfig()
 
 
@@ -46,15 +46,15 @@
     detector_block, seed_blocks = block.only("pace"), block.all("member")
     config = block.fill(
         FleetConfig,
-        known=tuple(_read_seed(one) for one in seed_blocks),
+        seeds=tuple(_read_seed(one) for one in seed_blocks),
         failure_detector=(
             detector_block.fill(FailureDetectorConfig) if detector_block else FailureDetectorConfig()
         ),
     )
     _check_address(block, "listen", config.listen)
-    for seed, seed_block in zip(config.known, seed_blocks, strict=True):
+    for seed, seed_block in zip(config.seeds, seed_blocks, strict=True):
         _check_address(seed_block, "address", seed.address)
-    if any(not seed.name for seed in config.known):
+    if any(not seed.name for seed in config.seeds):
         raise block.wrong('member: no name, expected one, such as member "m2"')
     for one in (block, detector_block, *seed_blocks):
         if one is not None:
--- a/vanerelay/fleet/extension.py
+++ b/vanerelay/fleet/extension.py
@@ -9,13 +9,13 @@
 from vanerelay.extension import Extension, ExtensionHost, StartupError
 from vanerelay.fleet import release
 from vanerelay.fleet.config import FleetConfig
-from vanerelay.fleet.service import DRAINING_STATE, SERVING_STATE, Fleet
+from vanerelay.fleet.service import DRAINING_STATE, SERVING_STATE, FleetService
 
 
 class FleetExtension(Extension):
     """Joins the fleet before the program serves, and leaves it when the program ends."""
 
-    fleet: Fleet
+    fleet: FleetService
 
     def __init__(self, host: ExtensionHost, config: FleetConfig) -> None:
         if not host.name:
@@ -25,7 +25,7 @@
     def open(self) -> None:
         """Makes the service, under the release that is about to serve."""
         host = self._host
-        self.fleet = Fleet(
+        self.fleet = FleetService(
             reactor=host.reactor,
             clock=host.clock,
             config=self._config,
@@ -38,12 +38,12 @@
     def loop_starting(self) -> None:
         """Starts to listen and to probe, and announces that this gateway serves."""
         self._host.reactor.callWhenRunning(self.fleet.start)
-        self.fleet.say(state=SERVING_STATE)
+        self.fleet.announce(state=SERVING_STATE)
 
     def settings_applied(self, settings: dict[str, Any]) -> dict[str, Any]:
         """Announces the digest of settings that now apply; returns it for the log."""
         announced = {"settings": release.settings(settings)}
-        self.fleet.say(**announced)
+        self.fleet.announce(**announced)
         return announced
 
     def draining(self) -> None:
@@ -51,7 +51,7 @@
         if self._host.supervised:
             self.fleet.hand_over()
         else:
-            self.fleet.say(state=DRAINING_STATE)
+            self.fleet.announce(state=DRAINING_STATE)
 
     def stop(self) -> Deferred[Any]:
         """Leaves the fleet; fires once that has been announced."""
--- a/vanerelay/fleet/failure_detector.py
+++ b/vanerelay/fleet/failure_detector.py
@@ -40,7 +40,7 @@
     name: str
     incarnation: int
     sequence_number: int = 0
-    standing: MemberState = MemberState.ALIVE
+    status: MemberState = MemberState.ALIVE
     domain: str = ""
     address: str = ""
     program: str = ""
@@ -50,10 +50,10 @@
 
     def newer(self, other: Member) -> bool:
         """Whether this report supersedes another one on the same member."""
-        return (self.incarnation, self.sequence_number, self.standing) > (
+        return (self.incarnation, self.sequence_number, self.status) > (
             other.incarnation,
             other.sequence_number,
-            other.standing,
+            other.status,
         )
 
 
@@ -139,7 +139,7 @@
     def leave(self) -> None:
         """Announces that we leave the fleet."""
         sequence_number = self._own.sequence_number + 1
-        self._update(replace(self._own, sequence_number=sequence_number, standing=MemberState.LEFT))
+        self._update(replace(self._own, sequence_number=sequence_number, status=MemberState.LEFT))
 
     def add_seed(self, name: str, address: str, domain: str = "") -> None:
         """Adds a member that the operators name.
@@ -169,7 +169,7 @@
         self._probe_order = [name for name in self._probe_order if name in others]
         if not self._probe_order:
             self._probe_order = sorted(
-                name for name in others if self.members[name].standing is not MemberState.LEFT
+                name for name in others if self.members[name].status is not MemberState.LEFT
             )
             self._random.shuffle(self._probe_order)
         return self.members[self._probe_order.pop()] if self._probe_order else None
@@ -179,7 +179,7 @@
         alive = sorted(
             name
             for name, member in self.members.items()
-            if member.standing is MemberState.ALIVE and name not in (target, self._own.name)
+            if member.status is MemberState.ALIVE and name not in (target, self._own.name)
         )
         count = min(self.config.indirect_probes, len(alive))
         return [self.members[name] for name in self._random.sample(alive, count)]
@@ -202,8 +202,8 @@
         """Neither we nor the helpers reached a member."""
         self._degrade(1)
         member = self.members.get(name)
-        if member is not None and member.standing is MemberState.ALIVE:
-            self._update(replace(member, standing=MemberState.SUSPECT))
+        if member is not None and member.status is MemberState.ALIVE:
+            self._update(replace(member, status=MemberState.SUSPECT))
             self._suspected_at[name] = now
 
     def process_stalled(self) -> None:
@@ -254,11 +254,11 @@
         return member.newer(known)
 
     def _note_state_times(self, member: Member, now: int) -> None:
-        if member.standing is MemberState.SUSPECT:
+        if member.status is MemberState.SUSPECT:
             self._suspected_at.setdefault(member.name, now)
         else:
             self._suspected_at.pop(member.name, None)
-        if member.standing in (MemberState.GONE, MemberState.LEFT):
+        if member.status in (MemberState.GONE, MemberState.LEFT):
             self._gone_at[member.name] = now
         else:
             self._gone_at.pop(member.name, None)
@@ -275,7 +275,7 @@
             self.replaced = True
         elif member.incarnation > own.incarnation:
             self._update(replace(own, incarnation=member.incarnation + 1, sequence_number=0))
-        elif member.newer(own) and own.standing is not MemberState.LEFT:
+        elif member.newer(own) and own.status is not MemberState.LEFT:
             self._degrade(1)
             self._update(replace(own, sequence_number=member.sequence_number + 1))
 
@@ -288,7 +288,7 @@
             if now - since >= self.suspicion_timeout():
                 del self._suspected_at[name]
                 self._gone_at[name] = now
-                self._update(replace(self.members[name], standing=MemberState.GONE))
+                self._update(replace(self.members[name], status=MemberState.GONE))
         for name, since in list(self._gone_at.items()):
             if now - since >= self.config.forget_after:
                 del self._gone_at[name]
@@ -329,7 +329,7 @@
     opinions = dict[str, dict[Liveness, list[str]]]()
     for viewer in sorted(views):
         for member in views[viewer]:
-            alive = member.standing in (MemberState.ALIVE, MemberState.SUSPECT)
+            alive = member.status in (MemberState.ALIVE, MemberState.SUSPECT)
             liveness = Liveness.ALIVE if alive else Liveness.GONE
             opinions.setdefault(member.name, {}).setdefault(liveness, []).append(viewer)
     return [
--- a/vanerelay/fleet/messages.py
+++ b/vanerelay/fleet/messages.py
@@ -32,7 +32,7 @@
     name: str
     incarnation: int
     sequence_number: int = msgspec.field(default=0, name="word")
-    standing: int = 0
+    status: int = msgspec.field(default=0, name="standing")
     domain: str = ""
     address: str = ""
     program: str = ""
@@ -89,7 +89,7 @@
         name=member.name,
         incarnation=member.incarnation,
         sequence_number=member.sequence_number,
-        standing=int(member.standing),
+        status=int(member.status),
         domain=member.domain,
         address=member.address,
         program=member.program,
@@ -106,13 +106,13 @@
 
 def to_member(row: Row) -> Member | None:
     """A member out of its form on the wire; None where it has no name or a state that is not known."""
-    if not row.name or not 0 <= row.standing <= max(MemberState):
+    if not row.name or not 0 <= row.status <= max(MemberState):
         return None
     return Member(
         name=row.name,
         incarnation=row.incarnation,
         sequence_number=row.sequence_number,
-        standing=MemberState(row.standing),
+        status=MemberState(row.status),
         domain=row.domain,
         address=row.address,
         program=row.program,
--- a/vanerelay/fleet/rpc.py
+++ b/vanerelay/fleet/rpc.py
@@ -150,13 +150,13 @@
 
     # Requests of our own.
 
-    def ask(self, address: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
+    def call(self, address: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
         """Sends a request; fires with the body of the reply, or fails with an RpcError."""
-        call = _PendingCall(self, address, timeout_s)
+        pending = _PendingCall(self, address, timeout_s)
         self._connect(address, timeout_s).addCallbacks(
-            lambda found: call.send(found, kind, body), call.failed
+            lambda found: pending.send(found, kind, body), pending.failed
         )
-        return call.result
+        return pending.result
 
     def release_connection(self, connection: RpcConnection) -> None:
         """Sends no further request over a connection."""
--- a/vanerelay/fleet/service.py
+++ b/vanerelay/fleet/service.py
@@ -33,14 +33,13 @@
 log = structlog.get_logger()
 
 
-class Fleet:
+class FleetService:
     """The gateways that know each other, as this one sees them.
 
     Attributes:
-        links: The RPC node; other subsystems add handlers of their own kinds of request to it.
-        alive: The failure detector, which knows the members.
-        seen: Called with each member that changes.
-        replaced: Called once another process goes by our name.
+        rpc: The RPC node; other subsystems add handlers of their own kinds of request to it.
+        detector: The failure detector, which knows the members.
+        member_listeners: Called with each member that changes.
     """
 
     def __init__(
@@ -53,9 +52,9 @@
         settings: str,
         seed: int,
     ) -> None:
-        self._reactor, self._clock, self.parts, self.name = reactor, clock, config, name
+        self._reactor, self._clock, self.config, self.name = reactor, clock, config, name
         self._random = random.Random(f"{seed}/fleet")
-        self.links = RpcNode(reactor)
+        self.rpc = RpcNode(reactor)
         self._incarnations = IncarnationStore(config.folder)
         own = Member(
             name=name,
@@ -65,16 +64,15 @@
             program=program,
             settings=settings,
         )
-        self.alive = FailureDetector(own, config.failure_detector, self._random)
-        self._seed_addresses = {one.name: one.address for one in config.known}
-        for one in config.known:
-            self.alive.add_seed(one.name, one.address, one.domain)
-        self.seen = list[Callable[[Member], None]]()
-        self.replaced = list[Callable[[], None]]()
+        self.detector = FailureDetector(own, config.failure_detector, self._random)
+        self._seed_addresses = {one.name: one.address for one in config.seeds}
+        for one in config.seeds:
+            self.detector.add_seed(one.name, one.address, one.domain)
+        self.member_listeners = list[Callable[[Member], None]]()
         self._requests_sent = self._requests_answered = 0
         self._timer: Any = None
         self._next_turn_at, self._stopped, self._silent = 0, False, False
-        self.links.handlers |= {
+        self.rpc.handlers |= {
             messages.PING_KIND: self._handle_ping,
             messages.INDIRECT_PING_KIND: self._handle_indirect_ping,
             messages.VIEW_KIND: self._handle_view,
@@ -85,36 +83,36 @@
 
         While a predecessor still listens under our name, the fleet hears of that one alone.
         """
-        self.links.listen(self.parts.listen, self._begin)
+        self.rpc.listen(self.config.listen, self._begin)
 
     def _begin(self) -> None:
         self._next_turn_at = self._clock.now()
         self._turn()
-        seeds = self.parts.known
+        seeds = self.config.seeds
         for one in self._random.sample(seeds, min(DIRECT_ANNOUNCEMENTS, len(seeds))):
             self._ping(self._address_of(one.name, one.address), join=True)
 
-    def say(self, **changed: str) -> None:
+    def announce(self, **changed: str) -> None:
         """Announces our state, settings, program or orders, if they have changed."""
-        own = self.alive.own
+        own = self.detector.own
         if any(getattr(own, name) != value for name, value in changed.items()):
-            self.alive.announce(**changed)
+            self.detector.announce(**changed)
             self._notify_changes()
 
     def hand_over(self) -> None:
         """Falls silent: our successor under the same name takes our place."""
         self._silent = True
-        self.links.stop()
+        self.rpc.stop()
 
     def leave(self) -> Deferred[Any]:
         """Announces that we leave. Fires once a few members have replied, or could not be reached."""
         if self._silent:
             return succeed(None)
-        self.alive.leave()
+        self.detector.leave()
         others = [
             member
-            for member in self.alive.members.values()
-            if member.standing is MemberState.ALIVE and member.name != self.name
+            for member in self.detector.members.values()
+            if member.status is MemberState.ALIVE and member.name != self.name
         ]
         chosen = self._random.sample(others, min(DIRECT_ANNOUNCEMENTS, len(others)))
         return DeferredList([self._ping(self._address_of(one.name, one.address)) for one in chosen])
@@ -124,16 +122,16 @@
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self.links.stop()
+        self.rpc.stop()
 
     def address(self, name: str) -> str | None:
         """Where a member is reached: as the operators say, else as it says itself."""
         if name in self._seed_addresses:
             return self._seed_addresses[name]
-        member = self.alive.members.get(name)
+        member = self.detector.members.get(name)
         return member.address or None if member is not None else None
 
-    def ask(self, name: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
+    def call(self, name: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
         """Sends a request of another subsystem to a member by name.
 
         Fails with an RpcError; with RequestRefusedError where no address of that name is known.
@@ -143,27 +141,27 @@
             failed: Deferred[bytes] = Deferred()
             failed.errback(RequestRefusedError(f"no address of {name} is known"))
             return failed
-        return self.links.ask(address, kind, body, timeout_s)
+        return self.rpc.call(address, kind, body, timeout_s)
 
     # Probes, one in each interval.
 
     def _turn(self) -> None:
         if self._stopped:
             return
-        now, interval = self._clock.now(), self.parts.failure_detector.probe_interval
+        now, interval = self._clock.now(), self.config.failure_detector.probe_interval
         if now - self._next_turn_at > STALL_THRESHOLD:
-            self.alive.process_stalled()
+            self.detector.process_stalled()
         self._next_turn_at = now + interval
         self._timer = self._reactor.callLater(interval / SECOND, self._turn)
         if self._silent:
             return
-        target = self.alive.next_probe_target(now)
+        target = self.detector.next_probe_target(now)
         if target is not None:
             self._probe(target)
         self._notify_changes()
 
     def _probe(self, target: Member) -> None:
-        is_gone = target.standing is MemberState.GONE
+        is_gone = target.status is MemberState.GONE
         probing = self._ping(self._address_of(target.name, target.address), join=is_gone)
         if not is_gone:
             probing.addCallback(self._probed, target)
@@ -171,8 +169,8 @@
     def _probed(self, reached: bool, target: Member) -> None:
         if reached or self._stopped:
             return
-        helpers = self.alive.indirect_probe_helpers(target.name)
-        request = messages.IndirectPing(self.parts.fleet_name, target.name, target.address)
+        helpers = self.detector.indirect_probe_helpers(target.name)
+        request = messages.IndirectPing(self.config.fleet_name, target.name, target.address)
         replies = [
             self._request(
                 self._address_of(helper.name, helper.address),
@@ -189,22 +187,22 @@
             messages.decode(body, messages.PingReply) for good, body in results if good and body is not None
         ]
         if not any(reply is not None and reply.reached for reply in replies):
-            self.alive.probe_failed(target.name, self._clock.now())
+            self.detector.probe_failed(target.name, self._clock.now())
             self._notify_changes()
 
     def _ping(self, address: str, join: bool = False) -> Deferred[bool]:
         """Sends a probe; fires with whether it was answered."""
-        own = self.alive.own
-        reports = self.alive.full_state()[: messages.MAX_ROWS] if join else self.alive.gossip()
-        ping = messages.Ping(self.parts.fleet_name, messages.to_row(own), messages.to_rows(reports), join)
+        own = self.detector.own
+        reports = self.detector.full_state()[: messages.MAX_ROWS] if join else self.detector.gossip()
+        ping = messages.Ping(self.config.fleet_name, messages.to_row(own), messages.to_rows(reports), join)
 
         def replied(body: bytes | None) -> bool:
             reply = messages.decode(body, messages.PingReply) if body is not None else None
             if reply is None:
                 return False
             self._receive_gossip(reply.gossip)
-            self.alive.acknowledged(own.incarnation)
-            self.alive.probe_succeeded()
+            self.detector.acknowledged(own.incarnation)
+            self.detector.probe_succeeded()
             return True
 
         return self._request(address, messages.PING_KIND, messages.encode(ping)).addCallback(replied)
@@ -214,62 +212,60 @@
     ) -> Deferred[bytes | None]:
         """Sends a request of the detector; fires with None where no reply came."""
         self._requests_sent += 1
-        timeout_s = self.alive.probe_timeout() * timeout_factor / SECOND
-        reply: Deferred[Any] = self.links.ask(address, kind, body, timeout_s)
+        timeout_s = self.detector.probe_timeout() * timeout_factor / SECOND
+        reply: Deferred[Any] = self.rpc.call(address, kind, body, timeout_s)
         return reply.addErrback(lambda _: None)
 
     # Requests of others.
 
     def _handle_ping(self, body: bytes) -> bytes:
         ping = messages.decode(body, messages.Ping)
-        if ping is None or ping.fleet != self.parts.fleet_name or self._silent:
+        if ping is None or ping.fleet != self.config.fleet_name or self._silent:
             raise RequestRefusedError("not of this fleet" if ping is not None else "unreadable")
         self._requests_answered += 1
         sender = messages.to_member(ping.own)
         self._receive_gossip([ping.own, *ping.gossip])
         if sender is None:
             return messages.encode(messages.PingReply())
-        full_state = self.alive.full_state()[: messages.MAX_ROWS] if ping.join else []
-        reports = [*full_state, *self.alive.gossip_reply(sender)]
+        full_state = self.detector.full_state()[: messages.MAX_ROWS] if ping.join else []
+        reports = [*full_state, *self.detector.gossip_reply(sender)]
         return messages.encode(messages.PingReply(messages.to_rows(reports)))
 
     def _handle_indirect_ping(self, body: bytes) -> Deferred[bytes]:
         request = messages.decode(body, messages.IndirectPing)
-        if request is None or request.fleet != self.parts.fleet_name or self._silent:
+        if request is None or request.fleet != self.config.fleet_name or self._silent:
             raise RequestRefusedError("not of this fleet")
         self._requests_answered += 1
         probing = self._ping(self._address_of(request.target, request.address))
         return probing.addCallback(lambda reached: messages.encode(messages.PingReply([], reached)))
 
     def _handle_view(self, body: bytes) -> bytes:
-        rows = messages.to_rows(list(self.alive.members.values()))[: messages.MAX_ROWS]
+        rows = messages.to_rows(list(self.detector.members.values()))[: messages.MAX_ROWS]
         view = messages.View(
             name=self.name,
-            fleet=self.parts.fleet_name,
+            fleet=self.config.fleet_name,
             rows=rows,
-            replaced=self.alive.replaced,
+            replaced=self.detector.replaced,
             requests_sent=self._requests_sent,
             requests_answered=self._requests_answered,
         )
         return messages.encode(view)
 
     def _receive_gossip(self, rows: list[messages.Row]) -> None:
-        incarnation_before = self.alive.own.incarnation
-        self.alive.receive_gossip(messages.to_members(rows), self._clock.now())
-        if self.alive.own.incarnation != incarnation_before:
-            self._incarnations.save(self.alive.own.incarnation)
-        if self.alive.replaced and not self._silent:
+        incarnation_before = self.detector.own.incarnation
+        self.detector.receive_gossip(messages.to_members(rows), self._clock.now())
+        if self.detector.own.incarnation != incarnation_before:
+            self._incarnations.save(self.detector.own.incarnation)
+        if self.detector.replaced and not self._silent:
             self._silent = True
             log.warning("another process has joined under our name, falling silent", name=self.name)
-            for listener in self.replaced:
-                listener()
         self._notify_changes()
 
     def _notify_changes(self) -> None:
-        for member in self.alive.take_changes():
+        for member in self.detector.take_changes():
             if member.name != self.name:
                 _log_change(member)
-            for listener in self.seen:
+            for listener in self.member_listeners:
                 listener(member)
 
     def _address_of(self, name: str, announced: str) -> str:
@@ -285,7 +281,7 @@
     log.info(
         "member changed",
         member=member.name,
-        standing=member.standing.name.lower(),
+        standing=member.status.name.lower(),
         state=member.state,
         program=member.program,
         settings=member.settings,
--- a/vanerelay/freshness/service.py
+++ b/vanerelay/freshness/service.py
@@ -13,7 +13,7 @@
 from vanerelay.attempt_outcome import AttemptEnd, EndCause
 from vanerelay.fleet.failure_detector import MemberState
 from vanerelay.fleet.rpc import RequestRefusedError
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.freshness import dissemination, messages, session_affinity
 from vanerelay.freshness.config import FreshnessConfig
 from vanerelay.freshness.replication_positions import Point, Positions, Told
@@ -69,7 +69,7 @@
 class Freshness:
     """`moved` is called once news have come."""
 
-    def __init__(self, reactor: Any, fleet: Fleet, leases: Leases, parts: FreshnessConfig) -> None:
+    def __init__(self, reactor: Any, fleet: FleetService, leases: Leases, parts: FreshnessConfig) -> None:
         self._reactor, self._fleet, self.parts = reactor, fleet, parts
         self.name, self.clock, self._drift = fleet.name, leases.clock, leases.config.terms.clock_drift
         self.positions = Positions()
@@ -82,11 +82,11 @@
         told, self._since = parts.sessions, self.clock()
         self.keeper = Keeper(self.clock(), told.most, told.longest)
         self.loads, self._own_loads = Loads(told.most), Loads(told.most)
-        self._managers = sorted({fleet.name, *(known.name for known in fleet.parts.known)})
+        self._managers = sorted({fleet.name, *(known.name for known in fleet.config.seeds)})
         self.moved: Callable[[], None] = lambda: None
         self._timer: Any = None
         self.asked = self.told = 0
-        fleet.links.handlers |= {
+        fleet.rpc.handlers |= {
             "fresh-news": self._pulled,
             "fresh-pin": self._pin_asked,
             "fresh-pin-put": self._pin_put,
@@ -123,8 +123,8 @@
         self._timer = self._reactor.callLater(self.parts.watch.hear / SECOND, self._turn)
         alive = sorted(
             one.name
-            for one in self._fleet.alive.members.values()
-            if one.standing is MemberState.ALIVE or one.name == self.name
+            for one in self._fleet.detector.members.values()
+            if one.status is MemberState.ALIVE or one.name == self.name
         )
         if alive != self._alive:
             self._alive = alive
@@ -170,7 +170,7 @@
         def failed(_: Any) -> None:
             self._failed[number] += self._turns
 
-        self._fleet.ask(whom, "fresh-news", body, patience_s).addCallback(heard).addErrback(failed)
+        self._fleet.call(whom, "fresh-news", body, patience_s).addCallback(heard).addErrback(failed)
 
     def _pulled(self, body: bytes) -> bytes:
         pull = messages.decode(body, messages.Pull)
@@ -246,7 +246,7 @@
             if name == self.name:
                 self.loads.put(ref, group, point)
             else:
-                asked = self._fleet.ask(name, "fresh-load-put", body, self._patience_s)
+                asked = self._fleet.call(name, "fresh-load-put", body, self._patience_s)
                 asked.addErrback(lambda _: None)
 
     def load(self, ref: str) -> Deferred[tuple[int, Point] | None]:
@@ -296,7 +296,7 @@
             if name == self.name and own is not None:
                 came(own(packed), name)
             else:
-                asked = self._fleet.ask(name, kind, packed, self._patience_s)
+                asked = self._fleet.call(name, kind, packed, self._patience_s)
                 asked.addErrback(lambda _: None).addCallback(came, name)
         if not left and not done.called:
             done.callback(found)
--- a/vanerelay/lab/lease_process.py
+++ b/vanerelay/lab/lease_process.py
@@ -148,14 +148,14 @@
         for name, other in simulation.processes.items():
             if other is not self._process:
                 is_seen = simulation.sees(self._process, other)
-                standing = MemberState.ALIVE if is_seen else MemberState.GONE
+                status = MemberState.ALIVE if is_seen else MemberState.GONE
                 state = "draining" if other.is_draining else "serving"
-                found[name] = Member(name, 1, standing=standing, state=state, program=PROGRAM)
+                found[name] = Member(name, 1, status=status, state=state, program=PROGRAM)
         return found
 
 
 @dataclass
-class SimulatedLinks:
+class SimulatedRpcNode:
     """The handlers of requests, by kind."""
 
     handlers: dict[str, Callable[[bytes], Any]] = field(default_factory=dict)
@@ -166,9 +166,9 @@
 
     def __init__(self, process: SimulatedProcess) -> None:
         self._process, self.name = process, process.name
-        self.links, self.alive = SimulatedLinks(), SimulatedFailureDetector(process)
+        self.rpc, self.detector = SimulatedRpcNode(), SimulatedFailureDetector(process)
 
-    def ask(self, name: str, kind: str, body: bytes, patience_s: float) -> Deferred[bytes]:
+    def call(self, name: str, kind: str, body: bytes, patience_s: float) -> Deferred[bytes]:
         """Sends a request to another gateway."""
         return self._process.simulation.send_request(self._process, name, kind, body, patience_s)
 
--- a/vanerelay/lab/lease_simulation.py
+++ b/vanerelay/lab/lease_simulation.py
@@ -185,7 +185,7 @@
         def arrived(incarnation: int) -> None:
             if receiver.fleet is None or receiver.is_dead:
                 return
-            handler = receiver.fleet.links.handlers[kind]
+            handler = receiver.fleet.rpc.handlers[kind]
             reply: Deferred[bytes] = maybeDeferred(handler, body)
             reply.addCallbacks(
                 lambda value: send_back(value, True, incarnation),
--- a/vanerelay/leases/assignment.py
+++ b/vanerelay/leases/assignment.py
@@ -94,7 +94,7 @@
     serving = [
         member
         for member in members
-        if member.standing in (MemberState.ALIVE, MemberState.SUSPECT)
+        if member.status in (MemberState.ALIVE, MemberState.SUSPECT)
         and member.state == "serving"
         and (own_is_fit or member.name != own)
     ]
--- a/vanerelay/leases/service.py
+++ b/vanerelay/leases/service.py
@@ -16,7 +16,7 @@
 
 from vanerelay.fleet.failure_detector import MemberState
 from vanerelay.fleet.rpc import RequestRefusedError
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.history import History
 from vanerelay.interface import MILLISECOND, SECOND
 from vanerelay.leases import assignment, messages
@@ -69,7 +69,7 @@
     def __init__(
         self,
         reactor: Any,
-        fleet: Fleet,
+        fleet: FleetService,
         config: LeasesConfig,
         random_source: random.Random,
         process: int,
@@ -97,7 +97,7 @@
                 reactor, self.name, config.terms, config.voters, store, clock, self._voters.request
             )
             self._voters.local = self.voter_service
-        fleet.links.handlers |= {
+        fleet.rpc.handlers |= {
             messages.KIND_VOTE: self._answer_vote,
             messages.KIND_RELEASED: self._answer_released,
             messages.KIND_STATUS: self._answer_status,
@@ -167,15 +167,15 @@
         return self._wants_lease(task, now)
 
     def _wants_lease(self, task: LeaseTask, now: int) -> bool:
-        alive = self._fleet.alive
+        alive = self._fleet.detector
         has_joined = not alive.replaced and (alive.has_joined or len(alive.members) == 1)
         is_idle = task.claim.stage is ClaimStage.IDLE
         term = self.config.terms.term
         return is_idle and has_joined and self._is_fit(now) and task.watch.wants_lease(now, term)
 
     def _should_release(self, task: LeaseTask, now: int) -> bool:
-        preferred = self._fleet.alive.members.get(self._preferred.get(task.name, ""))
-        is_alive = preferred is not None and preferred.standing is MemberState.ALIVE
+        preferred = self._fleet.detector.members.get(self._preferred.get(task.name, ""))
+        is_alive = preferred is not None and preferred.status is MemberState.ALIVE
         return (
             task.holder.is_releasing
             or not self._is_fit(now)
@@ -184,12 +184,12 @@
 
     def _is_fit(self, now: int) -> bool:
         """Whether this gateway may hold tasks."""
-        is_serving = self._fleet.alive.own.state == "serving"
+        is_serving = self._fleet.detector.own.state == "serving"
         return is_serving and not self._is_leaving and now >= self._slow_until
 
     def _update_assignment(self, now: int) -> None:
         """Assigns the tasks anew where the fleet has changed."""
-        members, is_fit = self._fleet.alive.members.values(), self._is_fit(now)
+        members, is_fit = self._fleet.detector.members.values(), self._is_fit(now)
         candidates = tuple(assignment.eligible_candidates(members, self.name, is_fit, self.config.weights))
         if (candidates, len(self.tasks)) == self._assigned_for:
             return
@@ -326,7 +326,7 @@
             if preferred not in ("", self.name) and self.config.voters.is_quorum(released):
                 released.clear()
                 body = task.encode()
-                notice = self._fleet.ask(preferred, messages.KIND_RELEASED, body, RELEASE_NOTICE_TIMEOUT_S)
+                notice = self._fleet.call(preferred, messages.KIND_RELEASED, body, RELEASE_NOTICE_TIMEOUT_S)
                 notice.addErrback(ignore_no_reply)
 
         return replied
--- a/vanerelay/rollout/agent.py
+++ b/vanerelay/rollout/agent.py
@@ -14,7 +14,7 @@
 from vanerelay.extension import ExtensionHost
 from vanerelay.fleet import release
 from vanerelay.fleet.rpc import RequestRefusedError
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.rollout import messages
 from vanerelay.rollout.agent_store import AgentStore
 from vanerelay.rollout.canary_analysis import BUCKETS, bucket
@@ -58,21 +58,23 @@
 class RolloutAgent:
     """Answers a controller, and does as it says."""
 
-    def __init__(self, host: ExtensionHost, fleet: Fleet, tally: ClassTotals, store: AgentStore) -> None:
+    def __init__(
+        self, host: ExtensionHost, fleet: FleetService, tally: ClassTotals, store: AgentStore
+    ) -> None:
         self._host, self._fleet, self._tally = host, fleet, tally
         self._memory = int(host.limits.get("memory_mb") or 192) * 2**20
         self._cores = float(host.limits.get("cores") or 1.0)
         self._held, self._store = 0.0, store
         self.fence = Fence(store.fence())
-        fleet.seen.append(lambda member: self._learn(member.orders))
+        fleet.member_listeners.append(lambda member: self._learn(member.orders))
         if self.fence.told:
-            fleet.say(orders=self.fence.told)
-        fleet.links.handlers |= {"state": self._state, "order": self._order}
+            fleet.announce(orders=self.fence.told)
+        fleet.rpc.handlers |= {"state": self._state, "order": self._order}
         self._read_held()
 
     def _learn(self, told: str) -> None:
         if self.fence.learn(told):
-            self._fleet.say(orders=self.fence.told)
+            self._fleet.announce(orders=self.fence.told)
 
     def _read_held(self) -> None:
         self._held += self._host.gateway.held_share() * HELD_S
@@ -80,7 +82,7 @@
 
     def _state(self, body: bytes) -> bytes:
         asked = messages.decode(body, messages.Asked)
-        own = self._fleet.alive.own
+        own = self._fleet.detector.own
         figures = messages.Figures()
         if asked is None or asked.figures:
             usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -112,7 +114,7 @@
         told = messages.decode(body, messages.Order)
         if told is None:
             raise RequestRefusedError("unreadable")
-        order, alive = Order(told.fence, told.name, told.number), self._fleet.alive
+        order, alive = Order(told.fence, told.name, told.number), self._fleet.detector
         alone = len(alive.members) == 1
         why = self.fence.refuses(order, alive.replaced, self._store.lasts or alive.has_joined or alone)
         if why is None and told.fence > self.fence.highest:
--- a/vanerelay/rollout/controller.py
+++ b/vanerelay/rollout/controller.py
@@ -147,8 +147,8 @@
             if (
                 one.keeper and self._loaded.plan.restarts
             ):  # told as well; it is no manager, and does not count
-                self._links.ask(one.keeper, "order", order, ASK_S).addErrback(lambda _: None)
-        answers_of = [self._links.ask(one.address, "order", order, ASK_S) for one in managers]
+                self._links.call(one.keeper, "order", order, ASK_S).addErrback(lambda _: None)
+        answers_of = [self._links.call(one.address, "order", order, ASK_S) for one in managers]
         DeferredList(answers_of, consumeErrors=True).addCallback(asked)
 
     # In turn.
@@ -186,10 +186,12 @@
     def _ask(self, name: str, one: Reached) -> None:
         known = self._known[name]
         known.asking = True
-        asked: Deferred[Any] = self._links.ask(one.address, "state", messages.encode(messages.Asked()), ASK_S)
+        asked: Deferred[Any] = self._links.call(
+            one.address, "state", messages.encode(messages.Asked()), ASK_S
+        )
         asked.addCallbacks(lambda body: self._told(name, body), lambda _: None)
         if one.keeper and self._loaded.plan.restarts:
-            kept: Deferred[Any] = self._links.ask(one.keeper, "state", b"", ASK_S)
+            kept: Deferred[Any] = self._links.call(one.keeper, "state", b"", ASK_S)
             kept.addCallbacks(lambda body: self._keeper_told(name, body), lambda _: None)
 
         def over(_: Any) -> None:
@@ -322,7 +324,7 @@
         if restarts:
             self._known[name].restarts = 1
         address = one.keeper if restarts else one.address
-        asked: Deferred[Any] = self._links.ask(
+        asked: Deferred[Any] = self._links.call(
             address, "order", messages.encode(order), KEEPER_S if restarts else ORDER_S
         )
 
--- a/vanerelay/rollout/controller_lease.py
+++ b/vanerelay/rollout/controller_lease.py
@@ -33,17 +33,17 @@
     """What leases ask of a fleet, by a controller's own links."""
 
     def __init__(self, links: RpcNode, name: str, addresses: Mapping[str, str]) -> None:
-        self.links, self.name, self._addresses = links, name, addresses
+        self.rpc, self.name, self._addresses = links, name, addresses
         own = Member(name, 1, state="serving")
-        self.alive = _Alone(own, {name: own})
+        self.detector = _Alone(own, {name: own})
 
-    def ask(self, name: str, kind: str, body: bytes, patience_s: float) -> Deferred[bytes]:
+    def call(self, name: str, kind: str, body: bytes, patience_s: float) -> Deferred[bytes]:
         address = self._addresses.get(name)
         if address is None:
             failed: Deferred[bytes] = Deferred()
             failed.errback(RequestRefusedError(f"no address of {name} is known"))
             return failed
-        return self.links.ask(address, kind, body, patience_s)
+        return self.rpc.call(address, kind, body, patience_s)
 
 
 class ControllerLease:
--- a/vanerelay/warming/extension.py
+++ b/vanerelay/warming/extension.py
@@ -39,7 +39,7 @@
             chance = random.Random(f"{host.seed}/warming/{location}")
             one = Planner(host, self._fleet.fleet, leases, parts, location, chance, self._holders)
             self._planners.append(one)
-        self._fleet.fleet.links.handlers |= {"warm-told": self._told, "warm-do": self._ordered}
+        self._fleet.fleet.rpc.handlers |= {"warm-told": self._told, "warm-do": self._ordered}
 
     def loop_starting(self) -> None:
         self._host.reactor.callWhenRunning(self._hands.turn)
--- a/vanerelay/warming/planner.py
+++ b/vanerelay/warming/planner.py
@@ -13,7 +13,7 @@
 
 from vanerelay.extension import ExtensionHost
 from vanerelay.fleet.failure_detector import MemberState
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.interface import SECOND, EngineState
 from vanerelay.leases.assignment import Candidate, ranked
 from vanerelay.leases.fencing import LeasedOperation, LeaseHolder
@@ -41,7 +41,7 @@
     def __init__(
         self,
         host: ExtensionHost,
-        fleet: Fleet,
+        fleet: FleetService,
         leases: Leases,
         parts: WarmingConfig,
         location: str,
@@ -87,10 +87,10 @@
             return
         self._turns += 1
         self._look()
-        alive = [one.name for one in self._fleet.alive.members.values() if one.standing is MemberState.ALIVE]
+        alive = [one.name for one in self._fleet.detector.members.values() if one.status is MemberState.ALIVE]
         for name in alive:
             body = messages.encode(messages.Ask(self._heard.get(name, 0)))
-            asked = self._fleet.ask(name, "warm-told", body, PATIENCE_S)
+            asked = self._fleet.call(name, "warm-told", body, PATIENCE_S)
             asked.addCallback(partial(self._told, name)).addErrback(lambda _: None)
         slices, self._slices = self._slices, []
         self._learn(*merged(slices))
@@ -206,7 +206,7 @@
         left = max(0, deed.expires_at - self._leases.clock())
         lasts = min(self._parts.lasts, left)
         do = messages.Do(deed.task, deed.token, deed.serial, deed.holder, lasts, orders)
-        asked = self._fleet.ask(name, "warm-do", messages.encode(do), PATIENCE_S)
+        asked = self._fleet.call(name, "warm-do", messages.encode(do), PATIENCE_S)
         asked.addErrback(lambda _: None).addCallback(self._done, deed)
 
     def _done(self, body: bytes | None, deed: LeasedOperation) -> None:
