--- a/tests/operator_samples.py
+++ b/tests/operator_samples.py
@@ -51,7 +51,7 @@
 
 
 LOADERS: dict[str, Callable[[Path], Any]] = {
-    "options.hcl": lambda path: operator_config.subsystems(str(path)),
+    "options.hcl": lambda path: operator_config.read_subsystems(str(path)),
     "plan.hcl": _plan,
     "program-plan.hcl": _plan,
     "supervisor.hcl": lambda path: supervisor.load(str(path)),
@@ -71,7 +71,7 @@
     """What the reader says is known where a block has a key that nobody knows."""
     try:
         read_file(name, text.replace(f"# unknown: {block}\n", "zzz = 1\n"), folder)
-    except operator_config.BadOptions as fault:
+    except operator_config.OperatorConfigError as fault:
         return str(fault).rpartition("expected one of ")[2]
     return "no fault"
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -23,8 +23,8 @@
 from vanerelay.freshness.shard_updates import Shard
 from vanerelay.interface import SECOND, EngineState, Outcome, QueryArrival
 from vanerelay.lab import staleness_simulation
-from vanerelay.operator_config import BadOptions
-from vanerelay.operator_config import read as read_options
+from vanerelay.operator_config import OperatorConfigError
+from vanerelay.operator_config import read_file as read_options
 
 # Hints.
 
@@ -393,7 +393,7 @@
 @pytest.mark.parametrize("change", WRONG)
 def test_what_is_wrong_is_said_in_one_line(tmp_path, change):
     old, new = change.split("|")
-    with pytest.raises(BadOptions) as told:
+    with pytest.raises(OperatorConfigError) as told:
         filled(tmp_path, GOOD.replace(old, new))
     assert WRONG[change] in str(told.value)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -274,7 +274,7 @@
     text = (scenario.SCRIPTS / "faults.hcl").read_text()
     path = tmp_path / "bad.hcl"
     path.write_text(text.replace(change, why, 1))
-    with pytest.raises(scenario.BadOptions, match="line [0-9]+: "):
+    with pytest.raises(scenario.OperatorConfigError, match="line [0-9]+: "):
         scenario.load(str(path))
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -45,7 +45,7 @@
     VoterState,
 )
 from vanerelay.leases.voter_service import VoterService
-from vanerelay.operator_config import BadOptions, read
+from vanerelay.operator_config import OperatorConfigError, read_file
 
 SEEDS, EACH = 12, 8
 TERMS = LeaseTerms(term=SECOND, max_term=2 * SECOND, clock_drift=0.02, takeover_delay=SECOND // 10)
@@ -498,7 +498,7 @@
 def filled(tmp_path, text):
     path = tmp_path / "options.hcl"
     path.write_text(text)
-    return leases_config.read_config(read(str(path)).only("leases"))
+    return leases_config.read_config(read_file(str(path)).only("leases"))
 
 
 def test_the_block_is_read(tmp_path):
@@ -511,6 +511,6 @@
 def test_a_faulty_block_is_reported_in_one_line(tmp_path, change):
     old, new = change.split("|")
     assert old in GOOD
-    with pytest.raises(BadOptions) as told:
+    with pytest.raises(OperatorConfigError) as told:
         filled(tmp_path, GOOD.replace(old, new))
     assert BAD[change] in str(told.value) and "\n" not in str(told.value)
--- a/tests/test_members_parts.py
+++ b/tests/test_members_parts.py
@@ -140,7 +140,7 @@
 
 
 def test_options_are_read_into_each_config(tmp_path):
-    found = operator_config.subsystems(written(tmp_path, GOOD))["membership"]
+    found = operator_config.read_subsystems(written(tmp_path, GOOD))["membership"]
     main, other = found.files
     assert (found.feed.stale_after, found.feed.precedence) == (20 * SECOND, 20)
     assert main.source.complete and main.source.precedence == 10 and other.source.precedence == 15
@@ -148,7 +148,7 @@
     assert main.stability.quiet_period == 800
     assert (found.flap_damping.max_returns, found.store.folder) == (5, "/var/lib/vanerelay")
     assert found.store.max_lists == 50
-    assert found.control_socket == "/run/x" and not operator_config.subsystems(written(tmp_path, ""))
+    assert found.control_socket == "/run/x" and not operator_config.read_subsystems(written(tmp_path, ""))
 
 
 @pytest.mark.parametrize(
@@ -178,14 +178,14 @@
 def test_what_is_wrong_with_options_is_reported_by_file_and_line(tmp_path, old, new, line, says):
     assert old in GOOD
     path = written(tmp_path, GOOD.replace(old, new))
-    with pytest.raises(operator_config.BadOptions) as fault:
-        operator_config.subsystems(path)
+    with pytest.raises(operator_config.OperatorConfigError) as fault:
+        operator_config.read_subsystems(path)
     assert str(fault.value).startswith(f"{path}, line {line}") and says in str(fault.value)
     assert "\n" not in str(fault.value)
 
 
 def test_the_example_that_is_delivered_can_be_used():
-    assert operator_config.subsystems(
+    assert operator_config.read_subsystems(
         os.path.join(os.path.dirname(__file__), "..", "deploy", "operator.hcl")
     )["membership"].files
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -589,7 +589,7 @@
         assert set(loaded.guards) == {"look"} and loaded.digests[NEW] != loaded.digests[OLD]
         assert IS_NEW <= loaded.digests.keys()
         return
-    with pytest.raises(plan_reader.BadOptions, match="line [0-9]+.*" + says):
+    with pytest.raises(plan_reader.OperatorConfigError, match="line [0-9]+.*" + says):
         plan_reader.load(str(tmp_path / "p.hcl"))
 
 
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -15,8 +15,8 @@
 from vanerelay.interface import SECOND, Outcome, QueryArrival, RetryBudgetTerms
 from vanerelay.lab import warming_simulation
 from vanerelay.net import frames
-from vanerelay.operator_config import BadOptions
-from vanerelay.operator_config import read as read_options
+from vanerelay.operator_config import OperatorConfigError
+from vanerelay.operator_config import read_file as read_options
 from vanerelay.warming import config as warm_parts
 from vanerelay.warming import executor as warm_hands
 from vanerelay.warming import messages
@@ -353,6 +353,6 @@
 @pytest.mark.parametrize("change", BAD)
 def test_what_is_wrong_is_said_in_one_line(tmp_path, change):
     old, new = change.split("|")
-    with pytest.raises(BadOptions) as told:
+    with pytest.raises(OperatorConfigError) as told:
         filled(tmp_path, GOOD.replace(old, new))
     assert BAD[change] in str(told.value)
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -90,9 +90,9 @@
         return {}
     options = _subsystem("vanerelay.operator_config", "requirements-xds.txt")
     try:
-        found: dict[str, Any] = options.subsystems(path)
+        found: dict[str, Any] = options.read_subsystems(path)
         return found
-    except options.BadOptions as fault:
+    except options.OperatorConfigError as fault:
         click.echo(f"vanerelay: options {fault}", err=True)
     except ModuleNotFoundError as fault:
         wanted = "expected what requirements-xds.txt pins"
--- a/vanerelay/fleet/commands.py
+++ b/vanerelay/fleet/commands.py
@@ -36,15 +36,15 @@
 
 def gateway_address(options: str | None, address: str | None) -> str:
     """The address of the gateway to ask: as given, or out of its operators' file."""
-    from vanerelay.operator_config import BadOptions, subsystems
+    from vanerelay.operator_config import OperatorConfigError, read_subsystems
 
     if address:
         return address
     if not options:
         fail("no manager named, expected --address or --options")
     try:
-        found = subsystems(options)
-    except BadOptions as error:
+        found = read_subsystems(options)
+    except OperatorConfigError as error:
         fail(str(error))
     if "fleet" not in found:
         fail(f"{options}: no fleet block, expected one")
--- a/vanerelay/fleet/config.py
+++ b/vanerelay/fleet/config.py
@@ -42,7 +42,7 @@
 
 
 def read_config(block: Block) -> FleetConfig:
-    """Reads the block; raises BadOptions with the line of what is wrong."""
+    """Reads the block; raises OperatorConfigError with the line of what is wrong."""
     detector_block, seed_blocks = block.only("pace"), block.all("member")
     config = block.fill(
         FleetConfig,
--- a/vanerelay/freshness/config.py
+++ b/vanerelay/freshness/config.py
@@ -47,7 +47,7 @@
 
 
 def read_config(block: Block) -> FreshnessConfig:
-    """Raises BadOptions with the line of what is wrong."""
+    """Raises OperatorConfigError with the line of what is wrong."""
     watch, sessions = block.only("watch"), block.only("sessions")
     if watch is None:
         raise block.wrong("freshness: no watch, expected a watch block in it")
--- a/vanerelay/lab/commands.py
+++ b/vanerelay/lab/commands.py
@@ -12,7 +12,7 @@
 
 from vanerelay.interface import SECOND
 from vanerelay.lab import scenario, tables
-from vanerelay.operator_config import BadOptions
+from vanerelay.operator_config import OperatorConfigError
 
 BROKEN, UNUSABLE = 1, 2  # exit codes: a rule, a crash or what was expected; a script that can't be played
 
@@ -46,7 +46,7 @@
     where it could not be played."""
     try:
         found = scenario.load(name)
-    except BadOptions as fault:
+    except OperatorConfigError as fault:
         click.echo(f"vanerelay: {fault}", err=True)
         sys.exit(UNUSABLE)
     with tempfile.TemporaryDirectory() as spare:
--- a/vanerelay/lab/scenario.py
+++ b/vanerelay/lab/scenario.py
@@ -9,7 +9,7 @@
 
 from vanerelay.interface import MILLISECOND, SECOND, Duration, Idempotency
 from vanerelay.lab.model import Cold, Machine
-from vanerelay.operator_config import BadOptions, Block, read
+from vanerelay.operator_config import Block, OperatorConfigError, read_file
 
 T = TypeVar("T")
 SCRIPTS = Path(__file__).parent / "scenarios"
@@ -250,9 +250,9 @@
     """A script, and the one that it is written over: blocks of both, what is there once from the nearer."""
 
     def __init__(self, path: str) -> None:
-        self._own = read(find(path))
+        self._own = read_file(find(path))
         base = self._own.take("include", str, "")
-        self._base = read(str(Path(find(path)).parent / f"{base}.hcl")) if base else None
+        self._base = read_file(str(Path(find(path)).parent / f"{base}.hcl")) if base else None
 
     def all(self, name: str) -> list[Block]:
         return [*(self._base.all(name) if self._base is not None else ()), *self._own.all(name)]
@@ -270,12 +270,12 @@
         if self._base is not None:
             self._base.done()
 
-    def wrong(self, why: str) -> BadOptions:
+    def wrong(self, why: str) -> OperatorConfigError:
         return self._own.wrong(why)
 
 
 def load(path: str) -> Script:
-    """Raises BadOptions with the line of what is wrong."""
+    """Raises OperatorConfigError with the line of what is wrong."""
     document = _Document(path)
     groups = tuple(_group(one) for one in document.all("group"))
     engines = tuple(_filled(one, Engines, kind=one.label or "k") for one in document.all("engines"))
@@ -378,4 +378,4 @@
     return sorted(found, key=lambda fault: fault.at)
 
 
-__all__ = ["BadOptions", "Script", "find", "load", "repeated"]
+__all__ = ["OperatorConfigError", "Script", "find", "load", "repeated"]
--- a/vanerelay/leases/config.py
+++ b/vanerelay/leases/config.py
@@ -65,7 +65,7 @@
     """Reads the block.
 
     Raises:
-        BadOptions: with the line of what is wrong.
+        OperatorConfigError: with the line of what is wrong.
     """
     voters = _read_voters(block)
     terms_block = block.only("terms")
--- a/vanerelay/membership/config.py
+++ b/vanerelay/membership/config.py
@@ -50,7 +50,7 @@
 
 
 def read_config(block: Block) -> MembershipConfig:
-    """Reads the block; raises BadOptions with the line of what is wrong."""
+    """Reads the block; raises OperatorConfigError with the line of what is wrong."""
     feed = block.only("feed")
     feed_config = (
         feed.fill(SourceConfig, name=FEED_SOURCE, precedence=_precedence(feed, FEED_PRECEDENCE))
--- a/vanerelay/operator_config.py
+++ b/vanerelay/operator_config.py
@@ -33,7 +33,7 @@
 T = TypeVar("T")
 
 
-class BadOptions(Exception):
+class OperatorConfigError(Exception):
     """What is wrong with the file, in one line: file, line, what was expected."""
 
 
@@ -57,10 +57,10 @@
         self._attributes, self._attribute_lines, self._blocks = attributes, attribute_lines, blocks
         self._asked_for = set[str]()
 
-    def wrong(self, reason: str, attribute: str = "") -> BadOptions:
+    def wrong(self, reason: str, attribute: str = "") -> OperatorConfigError:
         """The error to raise, with the line of an attribute, or else of the block."""
         line = self._attribute_lines.get(attribute, self.line)
-        return BadOptions(f"{self.file}, line {line}: {reason}")
+        return OperatorConfigError(f"{self.file}, line {line}: {reason}")
 
     def all(self, name: str) -> list[Block]:
         """All blocks of a name, which must have different labels."""
@@ -111,7 +111,9 @@
         for line, name in sorted(written):
             if name not in self._asked_for:
                 known = ", ".join(sorted(self._asked_for)) or "nothing"
-                raise BadOptions(f"{self.file}, line {line}: {name} in {self.name}, expected one of {known}")
+                raise OperatorConfigError(
+                    f"{self.file}, line {line}: {name} in {self.name}, expected one of {known}"
+                )
 
     def _convert(self, name: str, kind: Any) -> Any:
         value = self._attributes[name]
@@ -161,12 +163,12 @@
 )
 
 
-def subsystems(path: str) -> dict[str, Any]:
+def read_subsystems(path: str) -> dict[str, Any]:
     """The configuration of each subsystem that the file switches on, by the name of its block.
 
-    Nothing of the others is imported. Raises BadOptions.
+    Nothing of the others is imported. Raises OperatorConfigError.
     """
-    document, configs = read(path), dict[str, Any]()
+    document, configs = read_file(path), dict[str, Any]()
     for name, module in SUBSYSTEM_CONFIGS.items():
         block = document.only(name)
         if block is not None:
@@ -180,23 +182,23 @@
     return configs
 
 
-def read(path: str) -> Block:
-    """The whole file as a block without a name. Raises BadOptions."""
+def read_file(path: str) -> Block:
+    """The whole file as a block without a name. Raises OperatorConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as error:
-        raise BadOptions(f"{path}: {error}") from error
+        raise OperatorConfigError(f"{path}: {error}") from error
     try:
         tree = hcl2.parses_to_tree(text if text.endswith("\n") else text + "\n")
         values = hcl2.serialize(hcl2.transform(tree), serialization_options=PLAIN_VALUES)
     except UnexpectedInput as error:
-        raise BadOptions(
+        raise OperatorConfigError(
             f"{path}, line {max(1, error.line)}, column {max(1, error.column)}: not HCL, expected "
             "attributes (name = value) and blocks (name { ... })"
         ) from error
     except (LarkError, ValueError, RecursionError) as error:
-        raise BadOptions(f"{path}: not HCL: {str(error).splitlines()[0]}") from error
+        raise OperatorConfigError(f"{path}: not HCL: {str(error).splitlines()[0]}") from error
     return _to_block(path, 1, ["the file"], values, _body(tree))
 
 
@@ -215,13 +217,15 @@
         name, node_line = node_names[0], node.meta.line
         if node.data == "attribute":
             if name in lines:
-                raise BadOptions(f"{path}, line {node_line}: a second {name}, expected one")
+                raise OperatorConfigError(f"{path}, line {node_line}: a second {name}, expected one")
             attributes[name], lines[name] = values[name], node_line
             continue
         index = blocks_by_name.get(name, 0)
         blocks_by_name[name] = index + 1
         if len(node_names) > 2:
-            raise BadOptions(f"{path}, line {node_line}: {' '.join(node_names)}, expected one label at most")
+            raise OperatorConfigError(
+                f"{path}, line {node_line}: {' '.join(node_names)}, expected one label at most"
+            )
         inner = values[name][index]
         for label in node_names[1:]:
             inner = inner[label]
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -30,7 +30,7 @@
 def _load(path: str) -> plans.Loaded:
     try:
         return plans.load(path)
-    except plans.BadOptions as fault:
+    except plans.OperatorConfigError as fault:
         _fail(str(fault))
 
 
@@ -274,6 +274,6 @@
     try:
         one = supervisor.Supervisor(reactor, *supervisor.load(path))
         reactor.callWhenRunning(one.run)
-    except (plans.BadOptions, OSError, CannotListenError) as fault:
+    except (plans.OperatorConfigError, OSError, CannotListenError) as fault:
         _fail(str(fault))
     reactor.run()
--- a/vanerelay/rollout/config.py
+++ b/vanerelay/rollout/config.py
@@ -15,7 +15,7 @@
 
 
 def read_config(block: Block) -> RolloutConfig:
-    """Raises BadOptions with the line of what is wrong."""
+    """Raises OperatorConfigError with the line of what is wrong."""
     found = block.fill(RolloutConfig)
     block.done()
     return found
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -12,7 +12,7 @@
 from vanerelay.interface import SECOND, Duration
 from vanerelay.leases.config import LeasesConfig as LeaseParts
 from vanerelay.leases.config import read_config as lease_parts
-from vanerelay.operator_config import BadOptions, Block, read
+from vanerelay.operator_config import Block, OperatorConfigError, read_file
 from vanerelay.rollout import settings_diff
 from vanerelay.rollout.canary_analysis import AnalysisTerms, Guard
 from vanerelay.rollout.stage_machine import NEW, NEW_STRICT, OLD, OLD_STRICT, Away, Plan, Stage, Worse
@@ -68,8 +68,8 @@
 
 
 def load(path: str) -> Loaded:
-    """Raises BadOptions with the line of what is wrong: everything is checked before anything moves."""
-    document = read(path)
+    """Raises OperatorConfigError with the line of what is wrong: everything is checked before anything moves."""
+    document = read_file(path)
     change_block, managers = document.only("change"), document.all("member")
     stages, guards = document.all("stage"), document.all("guard")
     if change_block is None or not managers or not stages:
@@ -208,4 +208,4 @@
     return found
 
 
-__all__ = ["BadOptions", "Loaded", "Reached", "load"]
+__all__ = ["OperatorConfigError", "Loaded", "Reached", "load"]
--- a/vanerelay/rollout/supervisor.py
+++ b/vanerelay/rollout/supervisor.py
@@ -23,7 +23,7 @@
 
 from vanerelay.clock import Clock
 from vanerelay.fleet.rpc import RequestRefusedError, RpcNode
-from vanerelay.operator_config import BadOptions, Block, read
+from vanerelay.operator_config import Block, OperatorConfigError, read_file
 from vanerelay.rollout import messages
 from vanerelay.rollout.agent import RELEASE
 from vanerelay.rollout.agent_store import AgentStore
@@ -63,8 +63,8 @@
 
 
 def load(path: str) -> tuple[Kept, Patience, dict[str, Release]]:
-    """Raises BadOptions with the line of what is wrong."""
-    document = read(path)
+    """Raises OperatorConfigError with the line of what is wrong."""
+    document = read_file(path)
     patience, releases = document.only("patience"), document.all("release")
     kept = document.fill(Kept)
     found = {one.label: one.fill(Release, name=one.label) for one in releases}
@@ -269,4 +269,4 @@
         return told if told in self._releases else ""
 
 
-__all__ = ["BadOptions", "Supervisor", "load"]
+__all__ = ["OperatorConfigError", "Supervisor", "load"]
--- a/vanerelay/warming/config.py
+++ b/vanerelay/warming/config.py
@@ -51,7 +51,7 @@
 
 
 def read_config(block: Block) -> WarmingConfig:
-    """Raises BadOptions with the line of what is wrong."""
+    """Raises OperatorConfigError with the line of what is wrong."""
     publishers = block.all("publisher")
     found = block.fill(
         WarmingConfig, publishers=tuple(one.fill(Publisher, name=one.label) for one in publishers)
--- a/vanerelay/xds/config.py
+++ b/vanerelay/xds/config.py
@@ -37,7 +37,7 @@
 
 
 def read_config(block: Block) -> XdsConfig:
-    """Raises BadOptions with the line of what is wrong."""
+    """Raises OperatorConfigError with the line of what is wrong."""
     handed, limits, tls = block.only("handed"), block.only("limits"), block.only("tls")
     found = XdsConfig(
         listen=_address(block, "listen", ""),
