--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -8,8 +8,8 @@
 import pytest
 
 from vanerelay.adapter.__main__ import Host, main
-from vanerelay.adapter.wire import billed
-from vanerelay.settings import down, up
+from vanerelay.adapter.wire import cost
+from vanerelay.settings import ticks_ceil, ticks_floor
 
 PROFILE = {
     "az": 0,
@@ -73,14 +73,21 @@
 
 
 @pytest.mark.parametrize(
-    ("turn", "micros", "units"), [(down, 199, 1), (down, 200, 2), (up, 199, 2), (up, 201, 3), (up, 0, 0)]
+    ("turn", "micros", "units"),
+    [
+        (ticks_floor, 199, 1),
+        (ticks_floor, 200, 2),
+        (ticks_ceil, 199, 2),
+        (ticks_ceil, 201, 3),
+        (ticks_ceil, 0, 0),
+    ],
 )
 def test_units_round_to_the_safe_side(turn, micros, units):
     assert turn(micros) == units
 
 
 def test_a_bill_holds_work_and_memory():
-    assert billed(4096 * 17 + 96) == (170, 384.0)
+    assert cost(4096 * 17 + 96) == (170, 384.0)
 
 
 def test_a_batch_goes_out_with_its_grant_and_ends_once():
@@ -160,7 +167,7 @@
     while not any(order["verb"] == "bounce" for order in orders):
         wait, key = next((o["waitUs"], o["keyBack"]) for o in orders if o["verb"] == "setTimer")
         orders = play(host, event("fired", keyBack=key), at=host._instances[0].now * 100 + wait)
-    assert not host._instances[0]._held and len(host._instances[0]._holding) == 0
+    assert not host._instances[0]._held and len(host._instances[0]._queries) == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -18,12 +18,12 @@
         "name": f"class-{number}-" * chance.choice([1, 30]),
         "aimUs": chance.choice(SPANS_US),
         "deadlineUs": chance.choice(SPANS_US),
-        "semantics": chance.choice(list(settings.EFFECTS)),
+        "semantics": chance.choice(list(settings.IDEMPOTENCY)),
         "importance": chance.choice([0, 1, 0.001, 1e6, None]),
         "lateWorth": chance.choice([0, 0.5, None]),
         "aimStretch": chance.choice([0, 2, None]),
         "windowUs": chance.choice([0, 100, 100_000, 1_000_000_000, None]),
-        "dedupScope": chance.choice([*settings.SCOPES, None]),
+        "dedupScope": chance.choice([*settings.DEDUPLICATION_SCOPES, None]),
         "inTurn": chance.choice([True, False, None]),
     }
     if locations and chance.random() < 0.3:
@@ -51,7 +51,7 @@
             "cpuOfKind": chance.choice([[16] * len(kinds), [], [1] * len(kinds)]),
             "parallelism": chance.choice([[], [1], [64] * classes]),
             "grantCap": chance.choice([0.4, 0, 1, 5, None]),
-            "memoryShort": chance.choice([*settings.SHORTAGES, None]),
+            "memoryShort": chance.choice([*settings.MEMORY_SHORTAGES, None]),
             "progressUs": chance.choice([0, 2_000_000, 1, None]),
             "takesGrants": chance.choice([True, False, None]),
             "writesTables": [chance.random() < 0.5 for _ in range(classes)],
@@ -156,7 +156,7 @@
 def test_the_rules_hold_under_any_legal_settings(seed):
     chance = random.Random(seed)
     profile = some_settings(chance)
-    assert settings_validation.wrong(profile) is None
+    assert settings_validation.find_error(profile) is None
     run = Run(chance, profile)
     run.change_list(whole=True)
     for number in range(150):
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -149,7 +149,7 @@
     ],
 )
 def test_loads_are_asked_for_where_only_probes_tell_them(probes, how, columns, asks):
-    allowed = settings.allowances(
+    allowed = settings.capabilities(
         {
             "limits": {"probes": probes},
             "report": {"how": how, "columns": columns},
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -541,7 +541,7 @@
     served.ask(1)
     request = served.client.open[1]
     outcomes = []
-    request.batch.attempt_ended = lambda number, result, over: outcomes.append((number, result.outcome))
+    request.handle.attempt_ended = lambda number, result, over: outcomes.append((number, result.outcome))
     request.attempts = [None] * 3
     served.service.send_attempt(request.index, 0, 100)
     served.reactor.advance(0)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -175,4 +175,4 @@
     ],
 )
 def test_wrong_settings_are_named(change, words):
-    assert words in str(settings_validation.wrong({**SERVICES, **change}))
+    assert words in str(settings_validation.find_error({**SERVICES, **change}))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -195,8 +195,10 @@
     ],
 )
 def test_checks_find_what_a_stage_must_not(change, says):
-    assert settings_validation.wrong(SERVICES) is None and settings_validation.doubtful(SERVICES) is None
-    assert says in (settings_validation.doubtful(told(**change)) or "")
+    assert (
+        settings_validation.find_error(SERVICES) is None and settings_validation.find_doubt(SERVICES) is None
+    )
+    assert says in (settings_validation.find_doubt(told(**change)) or "")
 
 
 def test_fences():
--- a/vanerelay/adapter/instance.py
+++ b/vanerelay/adapter/instance.py
@@ -1,195 +1,213 @@
-"""One gateway instance on the simulator's wire: ids, units and messages, nothing else."""
+"""One gateway on the simulator's wire: events become calls of the decisions, their calls become orders."""
 
 from __future__ import annotations
 
-import base64
 import traceback
 from collections.abc import Callable
 from typing import Any
 
 from vanerelay import settings
 from vanerelay.adapter import wire
-from vanerelay.interface import AttemptResult, ProgressKind, QueryArrival
+from vanerelay.adapter.orders import Order, OrderEncoder
+from vanerelay.adapter.wire import Event
+from vanerelay.interface import ProgressKind
 from vanerelay.policy.gateway import Gateway
 from vanerelay.query_table import EngineNames, HeldQuery, QueryTable
 
-Orders = list[dict[str, Any]]
+Pages = dict[int, list[dict[str, Any]]]
+"""Pages of the engine list, by the wire's numbers."""
 
 
 class Instance:
-    """Calls one Gateway for what the wire brings, and is the Transport that it calls out through."""
-
-    def __init__(self, number: int, now: int, seed: int, profile: dict[str, Any], orders: Orders) -> None:
-        self.number, self.now, self.orders = number, now, orders
+    """Calls one Gateway for what the wire brings, and is the Transport that it calls out through.
+
+    Attributes:
+        now: The present moment; set with each message.
+        orders: Where orders go; set with each message.
+    """
+
+    def __init__(
+        self, number: int, now: int, seed: int, raw_settings: dict[str, Any], orders: list[Order]
+    ) -> None:
+        self.now = now
+        self.orders = orders
+        self._encoder = OrderEncoder(number)
         self._held: dict[str, HeldQuery] = {}
-        self._holding: QueryTable[HeldQuery] = QueryTable()
+        self._queries: QueryTable[HeldQuery] = QueryTable()
         self._engines = EngineNames()
         self._timers: dict[int, Callable[[], None]] = {}
-        self._timer = 0
-        self._reported = settings.report_names(profile)
+        self._last_timer = 0
+        self._report_names = settings.report_names(raw_settings)
         self._gateway: Gateway | None = None
+        self._handlers: dict[str, Callable[[Event], None]] = {
+            wire.ATTEMPT_ENDED: self._attempt_ended,
+            wire.QUERY_ARRIVED: self._query_arrived,
+            wire.TIMER_FIRED: self._timer_fired,
+            wire.ATTEMPT_PROGRESSED: self._attempt_progressed,
+            wire.CLIENT_LEFT: self._client_left,
+            wire.RESULT_BEGAN: self._result_began,
+            wire.PROBE_COMPLETED: self._probe_completed,
+            wire.PEER_MESSAGE: self._peer_message,
+        }
 
         def start() -> None:
-            self._gateway = settings.open_gateway(self, seed, profile, asks=True)
+            self._gateway = settings.open_gateway(self, seed, raw_settings, polls_load=True)
 
         self._call(start)
 
     # What the wire brings.
 
-    def event(self, verb: str, e: dict[str, Any], pages: dict[int, list[dict[str, Any]]]) -> None:
-        if verb == "verdict":
-            self._verdict(e)
-        elif verb == "ingress":
-            self._ingress(e)
-        elif verb == "fired":
-            callback = self._timers.pop(e["keyBack"], None)
-            if callback is not None:
-                self._call(callback)
-        elif verb == "notice":
-            held, kind = self._held.get(e["requestId"]), wire.NOTES.get(e["sort"])
-            if held is not None and held.batch is not None and kind is not None:
-                self._call(
-                    held.batch.attempt_progressed, int(e.get("seqNo", 0)), kind, float(e.get("x", 0.0))
-                )
-        elif verb == "left":
-            held = self._held.get(e["requestId"])
-            if held is not None and held.batch is not None:
-                held.ended = True
-                self._call(held.batch.client_left)
-                self._forget(e["requestId"], held)
-        elif verb == "first":
-            held = self._held.get(e["requestId"])
-            if held is not None and held.batch is not None:
-                self._call(held.batch.attempt_progressed, int(e.get("seqNo", 0)), ProgressKind.PROGRESS, 0.0)
-        elif verb == "rosterChange":
-            self._roster(e, pages)
-        elif verb == "checkResult":
-            if self._gateway is not None:
-                engine, outcome = self._engines.index(e["engine"]), wire.OUTCOMES[e["status"]]
-                report = settings.load_report(self._reported, e.get("telemetry"))
-                self._call(self._gateway.probe_completed, engine, outcome, report)
-        elif verb == "fromPeer":
-            if self._gateway is not None:
-                data = base64.b64decode(e.get("data") or "")
-                self._call(self._gateway.receive_from_peer, int(e["neighbour"]), data)
+    def handle(self, verb: str, event: Event, pages: Pages) -> None:
+        """Handles one event."""
+        if verb == wire.ENGINE_LIST_CHANGED:
+            self._engine_list_changed(event, pages)
+        elif verb in self._handlers:
+            self._handlers[verb](event)
         else:
             raise ValueError(f"unknown event {verb!r}")
 
-    def _ingress(self, e: dict[str, Any]) -> None:
-        request = e["requestId"]
-        held = self._held[request] = self._holding.open(HeldQuery(request))
-        bits = int(e.get("bits") or 0)
-        arrival = QueryArrival(
-            index=held.index,
-            service_class=int(e.get("lane", 0)),
-            tenant=int(e.get("clientGroup", 0)),
-            order_key=e.get("relation"),
-            deadline=settings.down(e["clientDeadlineUs"]),
-            estimated_cost=settings.up(e.get("guessUs") or 0) if bits & 1 else 0,
-            estimated_memory=float(e.get("memMb") or 0.0),
-            table_group=int(e.get("tableGroup") or 0),
-            is_retry=bool(bits & 2),
-        )
-
-        def take() -> None:
+    def _query_arrived(self, event: Event) -> None:
+        name = wire.query_name(event)
+        held = self._held[name] = self._queries.add(HeldQuery(name))
+        arrival = wire.arrival(event, held.index)
+
+        def submit() -> None:
             if self._gateway is not None:
-                held.batch = self._gateway.submit(arrival)
+                held.handle = self._gateway.submit(arrival)
 
-        self._call(take)
-        self._forget(request, held)
+        self._call(submit)
+        self._forget_if_done(held)
 
-    def _verdict(self, e: dict[str, Any]) -> None:
-        request = e["requestId"]
-        held = self._held.get(request)
-        if held is None or held.batch is None:
+    def _attempt_ended(self, event: Event) -> None:
+        held = self._held.get(wire.query_name(event))
+        if held is None or held.handle is None:
             return
-        outcome, over = wire.OUTCOMES[e["status"]], bool(e.get("over"))
-        work, memory = wire.billed(int(e.get("note") or 0))
-        report = settings.load_report(self._reported, e.get("telemetry"))
-        lasted = settings.down(e.get("durationUs", 0))
-        held.out -= 1
-        held.ended = held.ended or over
-        result = AttemptResult(outcome, lasted, work, memory, report)
-        self._call(held.batch.attempt_ended, int(e.get("seqNo", 0)), result, over)
-        self._forget(request, held)
-
-    def _roster(self, e: dict[str, Any], pages: dict[int, list[dict[str, Any]]]) -> None:
-        form = e["form"]
+        is_final = wire.is_final(event)
+        result = wire.attempt_result(event, self._report_names)
+        held.in_flight -= 1
+        held.ended = held.ended or is_final
+        self._call(held.handle.attempt_ended, wire.attempt_number(event), result, is_final)
+        self._forget_if_done(held)
+
+    def _attempt_progressed(self, event: Event) -> None:
+        held = self._held.get(wire.query_name(event))
+        kind = wire.progress_kind(event)
+        if held is not None and held.handle is not None and kind is not None:
+            number, value = wire.attempt_number(event), wire.progress_value(event)
+            self._call(held.handle.attempt_progressed, number, kind, value)
+
+    def _result_began(self, event: Event) -> None:
+        held = self._held.get(wire.query_name(event))
+        if held is not None and held.handle is not None:
+            number = wire.attempt_number(event)
+            self._call(held.handle.attempt_progressed, number, ProgressKind.PROGRESS, 0.0)
+
+    def _client_left(self, event: Event) -> None:
+        held = self._held.get(wire.query_name(event))
+        if held is not None and held.handle is not None:
+            held.ended = True
+            self._call(held.handle.client_left)
+            self._forget_if_done(held)
+
+    def _timer_fired(self, event: Event) -> None:
+        callback = self._timers.pop(wire.timer_key(event), None)
+        if callback is not None:
+            self._call(callback)
+
+    def _engine_list_changed(self, event: Event, pages: Pages) -> None:
+        form = wire.list_form(event)
         if self._gateway is None:
             return
-        if form == "failed":
+        if form == wire.LIST_FAILED:
             self._call(self._gateway.engine_list_failed)
             return
-        if form not in ("delta", "full", "cached"):
+        if form not in wire.LIST_FORMS:
             raise ValueError(f"unknown list form {form!r}")
-        entries = [wire.engine_entry(self._engines.index(row["engine"]), row) for row in pages[e["page"]]]
-        self._call(self._gateway.update_engines, entries, form != "delta")
+        entries = [
+            wire.engine_entry(self._engines.index(wire.engine_name(row)), row)
+            for row in pages[wire.page_number(event)]
+        ]
+        self._call(self._gateway.update_engines, entries, form != wire.LIST_DELTA)
 
-    def _forget(self, request: str, held: HeldQuery) -> None:
-        if self._holding.settle(held):
-            del self._held[request]
+    def _probe_completed(self, event: Event) -> None:
+        if self._gateway is None:
+            return
+        engine = self._engines.index(wire.engine_name(event))
+        outcome = wire.outcome(event)
+        report = settings.load_report(self._report_names, wire.telemetry(event))
+        self._call(self._gateway.probe_completed, engine, outcome, report)
+
+    def _peer_message(self, event: Event) -> None:
+        if self._gateway is None:
+            return
+        data = wire.peer_data(event)
+        self._call(self._gateway.receive_from_peer, wire.peer(event), data)
+
+    def _forget_if_done(self, held: HeldQuery) -> None:
+        if self._queries.remove_if_done(held):
+            del self._held[held.name]
 
     def _call(self, method: Callable[..., None], *values: Any) -> None:
-        """Calls the module; a fault inside it ends the day with its cause."""
+        """Calls the decisions; a fault inside them ends the run with its cause."""
         try:
             method(*values)
         except Exception as fault:
             frame = traceback.extract_tb(fault.__traceback__)[-1]
             cause = f"{type(fault).__name__}: {fault} ({frame.name}, line {frame.lineno})"
-            self._order("fatal", message=cause)
-
-    # What the module calls out: the Transport.
-
-    def _order(self, verb: str, **fields: Any) -> None:
-        self.orders.append({"verb": verb, "manager": self.number, **fields})
-
-    def send_attempt(self, batch: int, engine: int, time_out: int) -> None:
-        held = self._holding.at(batch)
-        held.out += 1
-        self._order(
-            "deliver",
-            requestId=held.name,
-            capUs=time_out * settings.MICROS,
-            engine=self._engines.name(engine),
-        )
-
-    def grant_memory(self, batch: int, memory: float, priority: int) -> None:
-        self._order("equip", requestId=self._holding.at(batch).name, workspaceMb=memory, lane=priority)
-
-    def reject(self, batch: int, retry_after: int) -> None:
-        held = self._holding.at(batch)
-        if retry_after > 0:
-            self._order("bounce", requestId=held.name, waitUs=retry_after * settings.MICROS)
-        else:
-            self._order("bounce", requestId=held.name)
+            self.orders.append(self._encoder.fatal(cause))
+
+    # What the decisions call out: the Transport.
+
+    def send_attempt(self, query: int, engine: int, timeout: int) -> None:
+        """See `Transport`."""
+        held = self._queries.get(query)
+        held.in_flight += 1
+        self.orders.append(self._encoder.send_attempt(held.name, self._engines.name(engine), timeout))
+
+    def grant_memory(self, query: int, memory: float, priority: int) -> None:
+        """See `Transport`."""
+        name = self._queries.get(query).name
+        self.orders.append(self._encoder.grant_memory(name, memory, priority))
+
+    def reject(self, query: int, retry_after: int) -> None:
+        """See `Transport`."""
+        held = self._queries.get(query)
+        self.orders.append(self._encoder.reject(held.name, retry_after))
         self._given_up(held)
 
-    def fail(self, batch: int) -> None:
-        held = self._holding.at(batch)
-        self._order("finishError", requestId=held.name)
+    def fail(self, query: int) -> None:
+        """See `Transport`."""
+        held = self._queries.get(query)
+        self.orders.append(self._encoder.fail(held.name))
         self._given_up(held)
 
     def _given_up(self, held: HeldQuery) -> None:
         held.ended = True
-        self._forget(held.name, held)  # in the line nothing else comes for it, and it would stay for good
+        self._forget_if_done(held)  # nothing else comes for one that was in the admission queue
 
-    def cancel_attempt(self, batch: int, dispatch: int) -> None:
-        self._order("revoke", requestId=self._holding.at(batch).name, seqNo=dispatch)
+    def cancel_attempt(self, query: int, attempt: int) -> None:
+        """See `Transport`."""
+        name = self._queries.get(query).name
+        self.orders.append(self._encoder.cancel_attempt(name, attempt))
 
     def send_to_peers(self, peer: int | None, data: bytes) -> None:
-        recipient: int | str = "*" if peer is None else peer
-        self._order("broadcastTo", recipient=recipient, data=base64.b64encode(data).decode())
+        """See `Transport`."""
+        self.orders.append(self._encoder.send_to_peers(peer, data))
 
     def probe_engine(self, engine: int) -> None:
-        self._order("inspect", engine=self._engines.name(engine))
+        """See `Transport`."""
+        self.orders.append(self._encoder.probe_engine(self._engines.name(engine)))
 
     def subscribe_to_engine_list(self) -> None:
-        self._order("subscribe", enable=True)
+        """See `Transport`."""
+        self.orders.append(self._encoder.subscribe_to_engine_list())
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        self._timer += 1
-        self._timers[self._timer] = callback
-        self._order("setTimer", waitUs=max(0, delay) * settings.MICROS, keyBack=self._timer)
+        """See `Transport`."""
+        self._last_timer += 1
+        self._timers[self._last_timer] = callback
+        self.orders.append(self._encoder.set_timer(delay, self._last_timer))
 
     def log(self, text: str) -> None:
-        self._order("log", message=text)
+        """See `Transport`."""
+        self.orders.append(self._encoder.log(text))
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -178,10 +178,10 @@
 
     try:
         told = read(config)
-        why = settings_validation.doubtful(told["settings"])
+        why = settings_validation.find_doubt(told["settings"])
         if why is not None:
             raise StartupError(f"configuration {config}: {why}")
-        groups = settings.service_groups(told["settings"])
+        groups = settings.service_classes(told["settings"])
         changes = discovery_codec.parse(told["known"], {}, {})
     except (StartupError, KeyError, TypeError, ValueError, AttributeError) as fault:
         click.echo(f"vanerelay: {fault}", err=True)
--- a/vanerelay/interface.py
+++ b/vanerelay/interface.py
@@ -1,7 +1,8 @@
 """The types that go into and come out of the decisions, and the protocol that the decisions call out through.
 
-All times are whole ticks of a tenth of a millisecond; memory is in MB. Queries and engines go by small indices
-that the caller hands out; an engine's name is kept beside its index because it is the same at every gateway.
+All times are whole ticks of a tenth of a millisecond; memory is in MB. Queries and engines go by small
+indices that the caller hands out; an engine's name is kept beside its index because it is the same at every
+gateway.
 Nothing in this module chooses anything.
 """
 
@@ -224,8 +225,8 @@
     """One engine of the engine list.
 
     Attributes:
-        weight: The operators' word on how much of the engine is ours to fill, 1 for the whole of it; nothing
-            new is sent to an engine of weight 0. It is not the list's `size`, which counts units of a machine.
+        weight: What operators state of how much of the engine is ours to fill, 1 for the whole of it; nothing
+            new is sent to an engine of weight 0. It is not the list's `size`, the size of the machine.
         started_at: When the engine started; 0 when that was long ago.
     """
 
--- a/vanerelay/net/attempt_results.py
+++ b/vanerelay/net/attempt_results.py
@@ -50,7 +50,7 @@
 
     def ended(self, end: AttemptEnd, query: ClientQuery, number: int, sent_at: int, engine: int) -> None:
         """An attempt has ended: its answer goes to the client, its result to the decisions."""
-        query.out -= 1
+        query.in_flight -= 1
         query.attempts[number] = None
         query.last_end = f"{end.cause.value}, {end.stage.value}"
         outcome, fields = self._judge(end, query, engine)
@@ -61,7 +61,7 @@
             if self._extensions.watches_runs:
                 self._report_run(query, engine, work)
             self._answers.answer(query, AnswerStatus.COMPLETED, fields, end.rows)
-        if query.batch is not None:
+        if query.handle is not None:
             result = AttemptResult(
                 outcome=outcome,
                 duration=self._clock.now() - sent_at,
@@ -71,14 +71,14 @@
                     self._settings.current.report_names, load_reports.load_values(end.fields)
                 ),
             )
-            self._decisions.call(query, query.batch.attempt_ended, number, result, query.ended)
+            self._decisions.call(query, query.handle.attempt_ended, number, result, query.ended)
         self._queries.settle(query)
         self._deadlines.check(self._queries.open_count)
 
     def progressed(self, query: ClientQuery, number: int, note: Note) -> None:
         """An engine notes how far it has come with an attempt."""
-        if query.batch is not None:
-            self._decisions.call(query, query.batch.attempt_progressed, number, note.kind, note.value)
+        if query.handle is not None:
+            self._decisions.call(query, query.handle.attempt_progressed, number, note.kind, note.value)
 
     def _judge(self, end: AttemptEnd, query: ClientQuery, engine: int) -> tuple[Outcome, Mapping[str, str]]:
         """The outcome of an attempt, as its query's constraint sees it, and what goes with an answer."""
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -89,7 +89,7 @@
         )
         attempt = Attempt(query.name.encode(), command, query.used_connections)
         query.attempts.append(attempt)
-        query.out += 1
+        query.in_flight += 1
         attempt.noted = lambda note: self._results.progressed(query, number, note)
         attempt.done.addCallback(self._results.ended, query, number, self._decisions.now, engine)
         attempt.done.addErrback(_log_failure)
--- a/vanerelay/net/decisions.py
+++ b/vanerelay/net/decisions.py
@@ -55,7 +55,7 @@
 
         def submit() -> None:
             if self._current is not None and query.arrival is not None:
-                query.batch = self._current.submit(query.arrival)
+                query.handle = self._current.submit(query.arrival)
 
         self.call(query, submit)
 
@@ -72,7 +72,7 @@
         if query.ended:
             return False
         # The first attempt is planned while its query is submitted, when there is no handle yet.
-        return query.batch is None or query.batch.may_begin(number)
+        return query.handle is None or query.handle.may_begin(number)
 
     def call(
         self,
--- a/vanerelay/net/held_queries.py
+++ b/vanerelay/net/held_queries.py
@@ -142,7 +142,7 @@
 
     def hold(self, query: ClientQuery) -> None:
         """Takes a query in, which gives it its index."""
-        self._table.open(query)
+        self._table.add(query)
         self.open_count += 1
         self._references.add(query.name)
         self._free_bytes -= len(query.body)
@@ -159,11 +159,11 @@
 
     def at(self, index: int) -> ClientQuery:
         """The query of an index."""
-        return self._table.at(index)
+        return self._table.get(index)
 
     def settle(self, query: ClientQuery) -> None:
         """Forgets a query for which nothing can come any more."""
-        self._table.settle(query)
+        self._table.remove_if_done(query)
 
 
 class RecentReferences:
--- a/vanerelay/net/query_ends.py
+++ b/vanerelay/net/query_ends.py
@@ -37,8 +37,8 @@
 
     def _stop_attempts(self, query: ClientQuery) -> None:
         """Tells the decisions. What has not begun does not begin, also where nothing can be cancelled."""
-        if query.batch is not None:
-            self._decisions.call(query, query.batch.client_left)
+        if query.handle is not None:
+            self._decisions.call(query, query.handle.client_left)
         for attempt in query.attempts:
             if attempt is not None:
                 attempt.withdraw()
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -200,7 +200,7 @@
         if query.ended or query.arrival is None:
             return
         query.arrival.eligible_engines = engines
-        if query.batch is not None:
+        if query.handle is not None:
             return
         # Other settings may have come into force while it waited.
         service_class = self._settings.current.rows.get(query.service_class.decode())
@@ -215,7 +215,7 @@
 
     def reject_constrained(self, query: ClientQuery, retry_after: int) -> None:
         """See `QueryOwner.reject_constrained`."""
-        if not query.ended and query.batch is None:
+        if not query.ended and query.handle is None:
             self._answers.note_rejection(query, "by who leads it")
             retry_after = min(retry_after, self._settings.current.max_retry_after)
             shown = retry_after if retry_after >= request_codec.TICKS_PER_MS else 0
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -72,7 +72,7 @@
     if missing:
         raise StartupError(f"configuration {path}: nothing told under {', '.join(missing)}")
     assert isinstance(told, dict)
-    why = settings_validation.wrong(told["settings"])
+    why = settings_validation.find_error(told["settings"])
     if why is not None:
         raise StartupError(f"configuration {path}: {why}")
     return told
@@ -107,9 +107,9 @@
         host, _, port = listen.rpartition(":")
         profile = told["settings"]
         limits = profile.get("limits") or {}
-        allowed = settings.allowances(profile)
-        connect_s = settings.down(limits.get("dialTimeoutUs") or 250_000) / SECOND
-        idle_s = settings.down(limits.get("connIdleUs") or 30_000_000) / SECOND
+        allowed = settings.capabilities(profile)
+        connect_s = settings.ticks_floor(limits.get("dialTimeoutUs") or 250_000) / SECOND
+        idle_s = settings.ticks_floor(limits.get("connIdleUs") or 30_000_000) / SECOND
         pool = Pool()
         descriptors = int(told["limits"].get("sockets") or 1024)
         clients = max(1, descriptors // CLIENT_SHARE)
@@ -327,7 +327,7 @@
 
     def apply_settings(self, settings: dict[str, Any]) -> str | None:
         try:
-            return settings_validation.wrong(settings) or self._switch(settings)
+            return settings_validation.find_error(settings) or self._switch(settings)
         except (TypeError, ValueError, KeyError, AttributeError) as fault:
             return f"{type(fault).__name__}: {fault}"
 
@@ -339,7 +339,7 @@
         """Goes on under other settings; why it can't."""
         if profile == self.settings:
             return None
-        why = settings_validation.fixed(self.settings, profile)
+        why = settings_validation.find_restart_setting(self.settings, profile)
         for part in self._parts:
             why = why or part.settings_conflict(profile)
         if why is not None:
--- a/vanerelay/net/service_settings.py
+++ b/vanerelay/net/service_settings.py
@@ -36,8 +36,8 @@
     @classmethod
     def read(cls, raw_settings: RawSettings) -> ServiceSettings:
         """Reads an edition of the settings that has been validated."""
-        classes = settings.service_groups(raw_settings)
-        allowed = settings.allowances(raw_settings)
+        classes = settings.service_classes(raw_settings)
+        allowed = settings.capabilities(raw_settings)
         tenants = raw_settings.get("orgs") or []
         return cls(
             service_classes=classes,
--- a/vanerelay/query_table.py
+++ b/vanerelay/query_table.py
@@ -1,4 +1,4 @@
-"""What a gateway process remembers of the queries it holds and of the names it meets, on either wire."""
+"""What a gateway process remembers of the queries it holds and of the engines' names, on either wire."""
 
 from __future__ import annotations
 
@@ -6,15 +6,26 @@
 
 from vanerelay.policy.query import Query
 
+NO_INDEX = -1
+"""The index of a query that is in no table."""
+
 
 class HeldQuery:
-    """A query as its wire names it, its handle, and what is still to come for it."""
+    """A query as its wire names it.
+
+    Attributes:
+        handle: What the decisions gave back for it; None until it was submitted.
+        in_flight: The number of its attempts in flight.
+        ended: Whether the final answer was given or the client has left.
+    """
 
-    __slots__ = ("batch", "ended", "index", "name", "out")
+    __slots__ = ("ended", "handle", "in_flight", "index", "name")
 
     def __init__(self, name: str) -> None:
-        self.name, self.index, self.out = name, -1, 0
-        self.batch: Query | None = None
+        self.name = name
+        self.index = NO_INDEX
+        self.handle: Query | None = None
+        self.in_flight = 0
         self.ended = False
 
 
@@ -22,7 +33,7 @@
 
 
 class QueryTable(Generic[H]):
-    """All queries held, by a small index that is used again once nothing more can come for its query."""
+    """All queries held, by a small index that is reused once nothing more can come for its query."""
 
     def __init__(self) -> None:
         self._held: list[H | None] = []
@@ -31,7 +42,8 @@
     def __len__(self) -> int:
         return len(self._held) - len(self._free)
 
-    def open(self, held: H) -> H:
+    def add(self, held: H) -> H:
+        """Takes in a query and gives it an index."""
         if self._free:
             held.index = self._free.pop()
             self._held[held.index] = held
@@ -40,26 +52,28 @@
             self._held.append(held)
         return held
 
-    def at(self, index: int) -> H:
+    def get(self, index: int) -> H:
+        """The query of an index."""
         held = self._held[index]
-        assert held is not None, "the module named a batch that nothing can come for any more"
+        assert held is not None, "the decisions named a query that nothing can come for any more"
         return held
 
     def all(self) -> list[H]:
+        """All queries held, by index."""
         return [held for held in self._held if held is not None]
 
-    def settle(self, held: H) -> bool:
-        """Lets go of a query that was answered and has no attempt out; whether it did."""
-        if not held.ended or held.out > 0 or held.index < 0:
+    def remove_if_done(self, held: H) -> bool:
+        """Removes a query that has ended and has no attempt in flight; whether it did."""
+        if not held.ended or held.in_flight > 0 or held.index == NO_INDEX:
             return False
         self._held[held.index] = None
         self._free.append(held.index)
-        held.index = -1
+        held.index = NO_INDEX
         return True
 
 
 class EngineNames:
-    """Small indices for the names of engines, in the order met; none is ever used again for another."""
+    """Small indices for the names of engines, in the order met; none is ever reused for another engine."""
 
     def __init__(self) -> None:
         self._indices: dict[str, int] = {}
@@ -70,9 +84,11 @@
         return name in self._indices
 
     def all(self) -> set[int]:
+        """The indices of all engines known."""
         return set(self._names)
 
     def index(self, name: str) -> int:
+        """The index of a name, a new one where it was not met before."""
         index = self._indices.setdefault(name, self._next)
         if index == self._next:
             self._names[index] = name
@@ -80,8 +96,9 @@
         return index
 
     def name(self, index: int) -> str:
+        """The name of an index."""
         return self._names[index]
 
     def forget(self, index: int) -> None:
-        """Of an engine that is gone: should it come back, it gets another."""
+        """Forgets an engine that is gone: should it come back, it gets another index."""
         del self._indices[self._names.pop(index)]
--- a/vanerelay/rollout/extension.py
+++ b/vanerelay/rollout/extension.py
@@ -26,7 +26,8 @@
         """Those ordered last, while the configuration is the one that they took the place of."""
         ordered = self.reloaded_settings(profile)
         good = (
-            settings_validation.wrong(ordered) is None and settings_validation.fixed(profile, ordered) is None
+            settings_validation.find_error(ordered) is None
+            and settings_validation.find_restart_setting(profile, ordered) is None
         )
         return ordered if good else profile
 
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -126,7 +126,7 @@
     if not change.before:
         raise block.wrong("change: no before, expected the file with the settings of now")
     old, new = (_settings(block, folder, name, getattr(change, name)) for name in ("before", "settings"))
-    why = settings_validation.fixed(old, new)
+    why = settings_validation.find_restart_setting(old, new)
     if why is not None:
         raise block.wrong(f"settings: {why}", "settings")
     if release.settings(old) == release.settings(new):
@@ -141,7 +141,7 @@
     except (OSError, ValueError) as fault:
         raise block.wrong(f"{path}: {fault}", name) from None
     found = told.get("settings", told) if isinstance(told, dict) else told
-    why = settings_validation.wrong(found) or settings_validation.doubtful(found)
+    why = settings_validation.find_error(found) or settings_validation.find_doubt(found)
     if why is not None:
         raise block.wrong(f"{path}: {why}", name)
     return dict(found)
--- a/vanerelay/settings_validation.py
+++ b/vanerelay/settings_validation.py
@@ -1,20 +1,21 @@
 """The settings looked through before they are used: the first that is wrong, in one line. Nothing chooses.
 
-What is not told keeps its default; names nobody knows are let be, as new ones may come. By hand, as the
-platform's start carries no library for it (requirements.txt)."""
+What is left out keeps its default; names nobody knows are let be, as new ones may come. Written by hand, as
+the platform's start carries no library for it (requirements.txt).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from vanerelay import settings
 
-Leaf = tuple[str, Callable[[Any], bool]]  # what is expected, and whether a value is that
+REQUIRED = ("classes", "aimUs", "deadlineUs", "semantics")
+"""Keys that have no default."""
 
-NEEDED = ("classes", "aimUs", "deadlineUs", "semantics")
-# What a running instance cannot take over: its connections, its place and its messages were made for these.
-AT_START = (
+RESTART_SETTINGS = (
     "kinds",
     "failureDomains",
     "position",
@@ -29,141 +30,191 @@
     "limits.secondCopies",
     "limits.peers",
 )
+"""What a running gateway cannot take over: its connections, place and messages were made for these."""
+
+SAFETY_NUMBERS = (
+    "coldFrom",
+    "coldUs",
+    "overloadForUs",
+    "drainGraceUs",
+    "orderPauseUs",
+    "ratioSpanUs",
+    "minExtra",
+    "extraRatio",
+)
+"""Keys of the safety rules that are plain numbers of 0 or more."""
+
+PER_KIND = ("cpuOfKind", "memoryByKindMb")
+"""Lists that need a number for each machine kind."""
+
+
+@dataclass(frozen=True, slots=True)
+class Expectation:
+    """What a single value has to be: in words, and as a test."""
+
+    text: str
+    is_met: Callable[[Any], bool]
+
 
+Schema = dict[str, Any]
+"""By key: an Expectation, a Schema of an object, or a list of one of them for all its values."""
 
-def wrong(profile: Any) -> str | None:
+
+def find_error(raw_settings: Any) -> str | None:
     """Why these settings cannot be used, naming the key; None if they can."""
-    return next(_faults("", profile, _wanted(profile)), None)
-
-
-def doubtful(profile: Mapping[str, Any]) -> str | None:
-    """What can be started with, as it always could, and is surely not meant: the first of it, in one line.
-    `check` and a rolling change refuse it. For settings in which nothing is wrong."""
-    info, kinds = profile.get("familyInfo") or {}, profile.get("kinds") or []
-    number, size = profile.get("position") or 0, profile.get("groupSize") or 1
-    if number >= size:
-        return f"position: {number}, expected less than the {size} of groupSize"
-    for name in ("cpuOfKind", "memoryByKindMb"):
-        told = info.get(name)
-        if told is not None and len(told) < len(kinds):
-            return f"familyInfo.{name}: {told!r}, expected a figure for each of {len(kinds)} kinds"
-        for row, value in enumerate(told or ()):
+    return next(_errors("", raw_settings, _schema(raw_settings)), None)
+
+
+def find_doubt(raw_settings: Mapping[str, Any]) -> str | None:
+    """What can be started with, as it always could, and is surely not meant; the first of it, in one line.
+
+    `check` and a rolling change refuse it. For settings in which nothing is wrong.
+    """
+    engines, kinds = raw_settings.get("familyInfo") or {}, raw_settings.get("kinds") or []
+    position, size = raw_settings.get("position") or 0, raw_settings.get("groupSize") or 1
+    if position >= size:
+        return f"position: {position}, expected less than the {size} of groupSize"
+    for name in PER_KIND:
+        numbers = engines.get(name)
+        if numbers is not None and len(numbers) < len(kinds):
+            return f"familyInfo.{name}: {numbers!r}, expected a figure for each of {len(kinds)} kinds"
+        for row, value in enumerate(numbers or ()):
             if not value:
                 return f"familyInfo.{name}[{row}]: {value!r}, expected more than 0"
     return None
 
 
-def fixed(old: Mapping[str, Any], new: Mapping[str, Any]) -> str | None:
+def find_restart_setting(old: Mapping[str, Any], new: Mapping[str, Any]) -> str | None:
     """The first setting that differs and takes a restart; None if the new ones can be switched to."""
-    for at in AT_START:
-        part, _, name = at.rpartition(".")
-        was, now = ((told.get(part) or {} if part else told).get(name) for told in (old, new))
-        if was != now:
-            return f"{at}: {now!r}, expected {was!r} until a restart"
+    for path in RESTART_SETTINGS:
+        before, after = _value_at(old, path), _value_at(new, path)
+        if before != after:
+            return f"{path}: {after!r}, expected {before!r} until a restart"
     return None
 
 
-def _figure(least: float = 0) -> Leaf:
-    return f"a figure of {least} or more", lambda v: type(v) in (int, float) and least <= v < float("inf")
+def _value_at(raw_settings: Mapping[str, Any], path: str) -> Any:
+    section, _, name = path.rpartition(".")
+    if not section:
+        return raw_settings.get(name)
+    return (raw_settings.get(section) or {}).get(name)
+
+
+TEXT = Expectation("text", lambda value: isinstance(value, str))
+FLAG = Expectation("true or false", lambda value: isinstance(value, bool))
+
+
+def _number(least: float = 0) -> Expectation:
+    return Expectation(
+        f"a figure of {least} or more",
+        lambda value: type(value) in (int, float) and least <= value < float("inf"),
+    )
+
 
+def _one_of(words: Iterable[str]) -> Expectation:
+    return Expectation(f"one of {', '.join(words)}", lambda value: isinstance(value, str) and value in words)
 
-def _word(words: Iterable[str]) -> Leaf:
-    return f"one of {', '.join(words)}", lambda v: isinstance(v, str) and v in words
 
+def _index_into(raw_settings: Any, name: str) -> Expectation:
+    listed = raw_settings.get(name) if isinstance(raw_settings, dict) else None
+    size = len(listed) if isinstance(listed, list) else 0
+    return Expectation(
+        f"a place among the {size} in {name}", lambda value: type(value) is int and 0 <= value < size
+    )
 
-def _place(profile: Any, name: str) -> Leaf:
-    listed = profile.get(name) if isinstance(profile, dict) else None
-    number = len(listed) if isinstance(listed, list) else 0
-    return f"a place among the {number} in {name}", lambda v: type(v) is int and 0 <= v < number
+
+def _schema(raw_settings: Any) -> Schema:
+    return {
+        "classes": [_class_schema(raw_settings)],
+        "kinds": [TEXT],
+        "failureDomains": [TEXT],
+        "orgs": [{"name": TEXT}],
+        "familyInfo": _engine_schema(),
+        "limits": _limits_schema(),
+        "safety": {"fallMultiple": _number(1), **dict.fromkeys(SAFETY_NUMBERS, _number())},
+        "report": {"how": _one_of(("piggyback", "pull", "silent"))},
+        "position": _number(),
+        "groupSize": _number(1),
+        "az": _number(),
+        "tickUs": _number(),
+    }
+
+
+def _class_schema(raw_settings: Any) -> Schema:
+    duration = _number(settings.MICROSECONDS_PER_TICK)  # shorter ones could not be told from 0
+    return {
+        "name": TEXT,
+        "aimUs": duration,
+        "deadlineUs": duration,
+        "windowUs": _number(),
+        "aimStretch": _number(),
+        "importance": _number(),
+        "lateWorth": _number(),
+        "semantics": _one_of(settings.IDEMPOTENCY),
+        "dedupScope": _one_of(settings.DEDUPLICATION_SCOPES),
+        "inTurn": FLAG,
+        "kindsOnly": [_index_into(raw_settings, "kinds")],
+        "staysIn": [_index_into(raw_settings, "failureDomains")],
+    }
+
+
+def _engine_schema() -> Schema:
+    return {
+        "progressUs": _number(),
+        "grantCap": _number(),
+        "memoryShort": _one_of(settings.MEMORY_SHORTAGES),
+        "takesGrants": FLAG,
+        "lanesCount": FLAG,
+        "bills": FLAG,
+        "parallelism": [_number(1)],
+        "cpuOfKind": [_number()],
+        "memoryByKindMb": [_number()],
+        "writesTables": [FLAG],
+        "waitsForLoads": [FLAG],
+    }
 
 
-def _wanted(profile: Any) -> dict[str, Any]:
-    text, mark = ("text", lambda v: isinstance(v, str)), ("true or false", lambda v: isinstance(v, bool))
-    figure, times = _figure(), _figure(settings.MICROS)  # shorter ones the module's time cannot tell from 0
+def _limits_schema() -> Schema:
     return {
-        "classes": [
-            {
-                "name": text,
-                "aimUs": times,
-                "deadlineUs": times,
-                "windowUs": figure,
-                "aimStretch": figure,
-                "importance": figure,
-                "lateWorth": figure,
-                "semantics": _word(settings.EFFECTS),
-                "dedupScope": _word(settings.SCOPES),
-                "inTurn": mark,
-                "kindsOnly": [_place(profile, "kinds")],
-                "staysIn": [_place(profile, "failureDomains")],
-            }
-        ],
-        "kinds": [text],
-        "failureDomains": [text],
-        "orgs": [{"name": text}],
-        "familyInfo": {
-            "progressUs": figure,
-            "grantCap": figure,
-            "memoryShort": _word(settings.SHORTAGES),
-            "takesGrants": mark,
-            "lanesCount": mark,
-            "bills": mark,
-            "parallelism": [_figure(1)],
-            "cpuOfKind": [figure],
-            "memoryByKindMb": [figure],
-            "writesTables": [mark],
-            "waitsForLoads": [mark],
-        },
-        "limits": {
-            "maxAttempts": _figure(1),
-            "maxOpen": figure,
-            "multiplex": _figure(1),
-            "dialTimeoutUs": figure,
-            "connIdleUs": figure,
-            "maxRetryAfterUs": figure,
-            "cancel": mark,
-            "secondCopies": mark,
-            "probes": mark,
-            "peers": mark,
-            "retryAfter": mark,
-        },
-        "safety": {
-            "fallMultiple": _figure(1),
-            **dict.fromkeys(
-                (
-                    "coldFrom",
-                    "coldUs",
-                    "overloadForUs",
-                    "drainGraceUs",
-                    "orderPauseUs",
-                    "ratioSpanUs",
-                    "minExtra",
-                    "extraRatio",
-                ),
-                figure,
-            ),
-        },
-        "report": {"how": _word(("piggyback", "pull", "silent"))},
-        "position": figure,
-        "groupSize": _figure(1),
-        "az": figure,
-        "tickUs": figure,
+        "maxAttempts": _number(1),
+        "maxOpen": _number(),
+        "multiplex": _number(1),
+        "dialTimeoutUs": _number(),
+        "connIdleUs": _number(),
+        "maxRetryAfterUs": _number(),
+        "cancel": FLAG,
+        "secondCopies": FLAG,
+        "probes": FLAG,
+        "peers": FLAG,
+        "retryAfter": FLAG,
     }
 
 
-def _faults(at: str, value: Any, wanted: Any) -> Iterator[str]:
-    if isinstance(wanted, dict) and not isinstance(value, dict):
-        yield f"{at or 'settings'}: {value!r}, expected an object"
-    elif isinstance(wanted, dict):
-        for name, inner in wanted.items():
-            where = f"{at}.{name}" if at else name
-            if value.get(name) not in (None, []):
-                yield from _faults(where, value[name], inner)
-            elif name in NEEDED:
-                yield f"{where}: not told, expected it"
-    elif isinstance(wanted, list) and not isinstance(value, list):
-        yield f"{at}: {value!r}, expected a list"
-    elif isinstance(wanted, list):
-        for row, one in enumerate(value):
-            yield from _faults(f"{at}[{row}]", one, wanted[0])
-    elif not wanted[1](value):
-        yield f"{at}: {value!r}, expected {wanted[0]}"
+def _errors(path: str, value: Any, expected: Any) -> Iterator[str]:
+    """All that is wrong with a value, in the order of the schema."""
+    if isinstance(expected, dict):
+        yield from _object_errors(path, value, expected)
+    elif isinstance(expected, list):
+        yield from _list_errors(path, value, expected[0])
+    elif not expected.is_met(value):
+        yield f"{path}: {value!r}, expected {expected.text}"
+
+
+def _object_errors(path: str, value: Any, schema: Schema) -> Iterator[str]:
+    if not isinstance(value, dict):
+        yield f"{path or 'settings'}: {value!r}, expected an object"
+        return
+    for name, expected in schema.items():
+        inner_path = f"{path}.{name}" if path else name
+        if value.get(name) not in (None, []):
+            yield from _errors(inner_path, value[name], expected)
+        elif name in REQUIRED:
+            yield f"{inner_path}: not told, expected it"
+
+
+def _list_errors(path: str, value: Any, expected: Any) -> Iterator[str]:
+    if not isinstance(value, list):
+        yield f"{path}: {value!r}, expected a list"
+        return
+    for row, inner in enumerate(value):
+        yield from _errors(f"{path}[{row}]", inner, expected)
--- a/vanerelay/xds/extension.py
+++ b/vanerelay/xds/extension.py
@@ -25,10 +25,10 @@
     def open(self) -> None:
         host, profile = self._host, self._host.settings
         told = Terms(
-            tuple(settings.service_groups(profile)),
-            settings.allowances(profile),
-            settings.ration_terms(profile),
-            settings.cold_start(profile).overload_multiple,
+            tuple(settings.service_classes(profile)),
+            settings.capabilities(profile),
+            settings.retry_budget_terms(profile),
+            settings.slow_start_terms(profile).overload_multiple,
         )
         self._service = ControlService(host.reactor, host.clock, self._parts, host, told, list(host.zones))
         if self._members is not None:
