--- a/vanerelay/fleet/__init__.py
+++ b/vanerelay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Managers that know each other: who there is, on which release, and who is alive."""
+"""The fleet: gateways that know each other, their releases, failure detection and RPC between them."""
--- a/vanerelay/membership/__init__.py
+++ b/vanerelay/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which engines exist: the control feed, watched files, what was last good; one merged view, its history."""
+"""Which engines exist: discovery, watched list files and the store, merged into one view."""
--- a/vanerelay/membership/store.py
+++ b/vanerelay/membership/store.py
@@ -76,7 +76,11 @@
 
 
 class Store:
-    """An open database. Every method raises StoreError where it cannot do its job."""
+    """An open database. Every method raises StoreError where it cannot do its job.
+
+    Attributes:
+        connection: The SQLite connection; fault injection sets its limits.
+    """
 
     def __init__(self, connection: sqlite3.Connection, path: str, max_lists: int) -> None:
         self.connection, self.path, self._max_lists = connection, path, max_lists
