--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.helpers import ROOT, SERVICES, Engine, Feed, Node, free_address, member, until
-from vanerelay.fleet import messages, release
+from vanerelay.fleet import lease_summary, messages, release
 from vanerelay.fleet.failure_detector import (
     FailureDetector,
     FailureDetectorConfig,
@@ -23,6 +23,7 @@
     view_differences,
 )
 from vanerelay.interface import SECOND
+from vanerelay.leases.messages import LeasesStatus, TaskStatus
 
 CONFIG = FailureDetectorConfig()
 
@@ -201,6 +202,31 @@
     assert messages.to_member(messages.Row("m1", 1, status=9)) is None
 
 
+def test_the_overview_of_leases_prints_as_in_earlier_releases():
+    """The lines were printed by the release before the code was renamed."""
+    voters, token = ["m1", "m2", "m3"], (7 << 32) + 3
+    held = TaskStatus("tidy", holds=True, token=token, remaining_ms=2500)
+    older = TaskStatus("tidy", holds=True, token=token - 1, remaining_ms=100)
+    first = LeasesStatus("m1", voters, memory="knows", era=7, tasks=[held, TaskStatus("warm")])
+    second = LeasesStatus("m2", voters, memory="blank", era=6, tasks=[older], reason="no quorum")
+    summary = lease_summary.summarize({"m1": first, "m2": second})
+    assert not summary.healthy  # a task without a holder, and one voter of three
+    assert list(summary.json_lines()) == [
+        '{"task": "tidy", "holder": "m1", "number": 30064771075, "left_ms": 2500}',
+        '{"task": "warm", "holder": "", "number": 0, "left_ms": 0}',
+        '{"voter": "m1", "memory": "knows", "era": 7, "why": ""}',
+        '{"voter": "m2", "memory": "blank", "era": 6, "why": "no quorum"}',
+        '{"voter": "m3", "memory": "no answer", "era": 0, "why": ""}',
+    ]
+    assert list(summary.text_lines()) == [
+        "tidy                 m1           7.3        2.5 s left",
+        "warm                 held by nobody",
+        "voter m1             knows      era 7",
+        "voter m2             blank      era 6  no quorum",
+        "voter m3             no answer  era 0",
+    ]
+
+
 @pytest.mark.processes
 def test_ordered_settings_and_the_fencing_token_survive_a_restart_but_not_another_configuration(tmp_path):
     """A gateway with operators' options, started on settings ordered before; shown by the command line."""
