--- a/tests/test_members_parts.py
+++ b/tests/test_members_parts.py
@@ -133,9 +133,9 @@
 """
 
 
-def written(tmp_path, words):
+def written(tmp_path, options):
     file = tmp_path / "operator.hcl"
-    file.write_text(words)
+    file.write_text(options)
     return str(file)
 
 
--- a/tests/test_members_sockets.py
+++ b/tests/test_members_sockets.py
@@ -92,8 +92,8 @@
 def site(tmp_path):
     made = []
 
-    def make(**told):
-        made.append(Site(tmp_path, **told))
+    def make(**options):
+        made.append(Site(tmp_path, **options))
         return made[-1]
 
     yield make
@@ -127,24 +127,24 @@
 
 def in_place(site, rows):
     """Truncates and writes in two pieces, with a pause in between."""
-    told = site.text(*rows)
+    text = site.text(*rows)
     with site.path.open("w") as file:
-        file.write(told[: len(told) // 2])
+        file.write(text[: len(text) // 2])
         file.flush()
         time.sleep(0.3)
-        file.write(told[len(told) // 2 :])
+        file.write(text[len(text) // 2 :])
 
 
 def overwritten(site, rows):
     """Writes over the old bytes, both of one length, so that every state of the file parses."""
     old = site.path.read_text()
-    told = site.text(*rows)
-    size = max(len(old), len(told))
+    text = site.text(*rows)
+    size = max(len(old), len(text))
     site.path.write_text(old.ljust(size))
     time.sleep(0.4)
     with site.path.open("r+") as file:
         for at in range(0, size, 40):
-            file.write(told.ljust(size)[at : at + 40])
+            file.write(text.ljust(size)[at : at + 40])
             file.flush()
             time.sleep(0.02)
 
@@ -235,27 +235,27 @@
 
 def test_an_engine_removed_with_queries_in_flight_answers_them_and_gets_nothing_new(site):
     s = site()
-    held = []
-    slow, two = Engine(lambda e, connection, ident: held.append((connection, ident))), s.engine()
+    in_flight = []
+    slow, two = Engine(lambda e, connection, ident: in_flight.append((connection, ident))), s.engine()
     s.made.append(slow)
     s.put(member(slow, "e-1"))
     client = s.start().client()
     until(lambda: s.engines(), "the engine")
     for number in range(1, 6):
         client.ask(number, f"s{number}")
-    until(lambda: len(held) == 5, "five queries in flight")
+    until(lambda: len(in_flight) == 5, "five queries in flight")
     s.put(member(two, "e-2"))
     until(lambda: set(s.engines()) == {"e-2"}, "the other list")
-    assert run_queries(s.node.client(), range(1, 31)) == [0] * 30 and len(held) == 5
+    assert run_queries(s.node.client(), range(1, 31)) == [0] * 30 and len(in_flight) == 5
     # The same id at the same address comes back within a second, and what it runs is still answered.
     s.put(member(slow, "e-1"))
-    for connection, ident in list(held):
+    for connection, ident in list(in_flight):
         slow.returns(connection, ident)
     assert sorted(client.answer()[:2] for _ in range(5)) == [(n, 0) for n in range(1, 6)]
     until(lambda: set(s.engines()) == {"e-1"}, "the engine again")
     client.ask(9, "again")
-    until(lambda: len(held) == 6, "new work once more")
-    slow.returns(*held[5])
+    until(lambda: len(in_flight) == 6, "new work once more")
+    slow.returns(*in_flight[5])
     assert client.answer()[:2] == (9, 0)
 
 
@@ -282,11 +282,11 @@
 
 def test_the_last_good_list_and_the_pinned_one_survive_a_crash(site):
     s = site(store=f'folder = "{site.__name__}"')
-    s.options = s.options.replace(site.__name__, str(s.folder / "kept"))
+    s.options = s.options.replace(site.__name__, str(s.folder / "store"))
     one, two = s.engine(), s.engine()
     s.put(member(one, "e-1"), member(two, "e-2"))
     s.start()
-    until(lambda: len(s.engines()) == 2 and "1" in s.members_command("history"), "a list that is kept")
+    until(lambda: len(s.engines()) == 2 and "1" in s.members_command("history"), "a list that is saved")
     s.path.write_text("{")
     until(s.problems, "the broken file")
 
@@ -300,7 +300,7 @@
     assert len(s.engines()) == 2 and run_queries(s.node.client(), range(1, 9)) == [0] * 8
     s.put(member(one, "e-1"))
     until(lambda: len(s.engines()) == 1, "the next list")
-    until(lambda: "\nmain" in s.members_command("history").split("2", 1)[1], "two lists kept")
+    until(lambda: "\nmain" in s.members_command("history").split("2", 1)[1], "two lists saved")
     assert "pinned at revision 1" in s.members_command("pin", "1") and len(s.engines()) == 2
     crash_and_restart()
     assert len(s.engines()) == 2 and "pinned: main at revision 1" in s.members_command("show")
@@ -340,9 +340,9 @@
     monkeypatch.setenv("PYTHONPATH", str(hook))
     client = s.start().client()
     until(lambda: len(s.engines()) == 2, "both engines")
-    told = s.put(member(two, "e-2"))
+    replaced_at = s.put(member(two, "e-2"))
     until(lambda: set(s.engines()) == {"e-2"}, "the list without events")
-    assert time.monotonic() - told < BOUND + 1 and run_queries(client, range(1, 31)) == [0] * 30
+    assert time.monotonic() - replaced_at < BOUND + 1 and run_queries(client, range(1, 31)) == [0] * 30
     assert s.node.log.read_text().count("files are polled") == 1
 
 
@@ -368,15 +368,15 @@
     two.write_text(json.dumps({"revision": 2, "members": [member(1, "a", "DRAINING"), member(3, "c")]}))
     bad.write_text(one.read_text()[:-4])
 
-    def members(*words):
-        told = subprocess.run(
-            [sys.executable, "-m", "vanerelay", "members", *map(str, words)],
+    def members(*arguments):
+        completed = subprocess.run(
+            [sys.executable, "-m", "vanerelay", "members", *map(str, arguments)],
             cwd=ROOT,
             capture_output=True,
             text=True,
             check=False,
         )
-        return told.returncode, told.stdout, told.stderr
+        return completed.returncode, completed.stdout, completed.stderr
 
     assert members("check", one, two) == (
         0,
--- a/vanerelay/fleet/failure_detector.py
+++ b/vanerelay/fleet/failure_detector.py
@@ -333,9 +333,9 @@
             liveness = Liveness.ALIVE if alive else Liveness.GONE
             opinions.setdefault(member.name, {}).setdefault(liveness, []).append(viewer)
     return [
-        ViewDifference(name, tuple((liveness, tuple(who)) for liveness, who in sorted(held.items())))
-        for name, held in sorted(opinions.items())
-        if len(held) > 1
+        ViewDifference(name, tuple((liveness, tuple(who)) for liveness, who in sorted(by_liveness.items())))
+        for name, by_liveness in sorted(opinions.items())
+        if len(by_liveness) > 1
     ]
 
 
