--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -45,84 +45,113 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-GROUP = ServiceClass(
-    "g",
-    SECOND,
-    2.0,
-    10 * SECOND,
-    1.0,
-    0.0,
-    Idempotency.IDEMPOTENT,
-    DeduplicationScope.ALL,
-    5 * SECOND,
-    False,
-    None,
-    None,
-    1,
-    False,
-    False,
+SERVICE_CLASS = ServiceClass(
+    name="g",
+    latency_objective=SECOND,
+    objective_stretch=2.0,
+    deadline=10 * SECOND,
+    value=1.0,
+    late_value=0.0,
+    idempotency=Idempotency.IDEMPOTENT,
+    deduplication_scope=DeduplicationScope.ALL,
+    deduplication_window=5 * SECOND,
+    ordered=False,
+    zones=None,
+    machine_kinds=None,
+    threads=1,
+    is_data_load=False,
+    waits_for_data_loads=False,
+)
+CAPABILITIES = Capabilities(
+    max_attempts=3,
+    may_cancel=False,
+    may_hedge=False,
+    may_probe=False,
+    may_gossip=False,
+    sends_retry_after=True,
+    max_retry_after=SECOND,
+    sends_memory_grants=True,
+    max_grant_share=0.4,
+    sends_priorities=False,
+    reports_cost=True,
+    progress_interval=0,
+    memory_shortage=MemoryShortage.WAIT,
+    subscribes_to_list=False,
+    polls_load=False,
 )
-ALLOWED = Capabilities(
-    3, False, False, False, False, True, SECOND, True, 0.4, False, True, 0, MemoryShortage.WAIT, False, False
+SLOW_START = SlowStartTerms(
+    initial_share=0.3, ramp_duration=10 * SECOND, overload_multiple=3.0, overload_window=2 * SECOND
 )
-COLD = SlowStartTerms(0.3, 10 * SECOND, 3.0, 2 * SECOND)
 
 
 class World:
-    """The Transport of the tests; `calls` lists what the module did."""
+    """The Transport of the tests around one gateway, with a clock that tests advance.
+
+    Attributes:
+        calls: All that the gateway called out, as names with values.
+    """
 
     def __init__(
         self,
         engines: int = 3,
         gateways: int = 1,
-        ration: RetryBudgetTerms | None = None,
-        pause: int = 0,
-        allowed: dict[str, Any] | None = None,
-        number: int = 0,
+        retry_budget: RetryBudgetTerms | None = None,
+        order_key_pause: int = 0,
+        capabilities: dict[str, Any] | None = None,
+        index: int = 0,
         now: int = 1000 * SECOND,
-        **group: Any,
+        **service_class: Any,
     ) -> None:
-        self.now, self.calls, self.timers, self.made = now, [], [], 0
-        self.group = dataclasses.replace(GROUP, **group)
-        self.service_classes = [self.group, dataclasses.replace(GROUP, threads=4)]
-        allowances = dataclasses.replace(ALLOWED, **(allowed or {}))
-        self.gateway = Gateway(
-            self,
-            7,
-            GatewaySettings(
-                self.service_classes,
-                [MachineKind(16, 32000.0)] * 2,
-                FleetPosition(number, gateways, 0),
-                allowances,
-                COLD,
-                ration or RetryBudgetTerms(0, 0, 0.0),
-                pause,
-                50,
-            ),
+        """`capabilities` and `service_class` override fields of the defaults above."""
+        self.now = now
+        self.calls: list[Any] = []
+        self.timers: list[Any] = []
+        self._submitted = 0
+        self.service_class = dataclasses.replace(SERVICE_CLASS, **service_class)
+        self.service_classes = [self.service_class, dataclasses.replace(SERVICE_CLASS, threads=4)]
+        settings = GatewaySettings(
+            service_classes=self.service_classes,
+            machine_kinds=[MachineKind(16, 32000.0)] * 2,
+            position=FleetPosition(index, gateways, 0),
+            capabilities=dataclasses.replace(CAPABILITIES, **(capabilities or {})),
+            slow_start=SLOW_START,
+            retry_budget=retry_budget or RetryBudgetTerms(0, 0, 0.0),
+            order_key_pause=order_key_pause,
+            tick=50,
         )
+        self.gateway = Gateway(self, 7, settings)
         self.entries = [entry(i) for i in range(engines)]
         self.gateway.update_engines(self.entries, True)
 
-    def take(
+    def submit(
         self,
         cost: int = 1000,
         memory: float = 500.0,
-        limit: int = 10 * SECOND,
-        group: int = 0,
-        key: int | None = None,
-        tables: int = 0,
+        time_limit: int = 10 * SECOND,
+        service_class: int = 0,
+        order_key: int | None = None,
+        table_group: int = 0,
     ) -> Query:
-        self.made += 1
+        """Submits a query; its handle."""
+        self._submitted += 1
+        deadline = self.now + time_limit
         return self.gateway.submit(
-            QueryArrival(self.made, group, 0, key, self.now + limit, cost, memory, tables, False)
+            QueryArrival(
+                self._submitted, service_class, 0, order_key, deadline, cost, memory, table_group, False
+            )
         )
 
-    def end(self, batch: Query, outcome: Outcome, memory: float = 400.0, lasted: int = 1500) -> None:
-        number = max(i for i, attempt in enumerate(batch.attempts) if attempt.in_flight)
-        returned = outcome is Outcome.COMPLETED
-        batch.attempt_ended(number, AttemptResult(outcome, lasted, 1000 if returned else 0, memory), returned)
-
-    def run(self, span: int) -> None:
+    def end_attempt(
+        self, query: Query, outcome: Outcome, memory: float = 400.0, duration: int = 1500
+    ) -> None:
+        """Ends the last attempt of a query that is in flight."""
+        number = max(i for i, attempt in enumerate(query.attempts) if attempt.in_flight)
+        completed = outcome is Outcome.COMPLETED
+        result = AttemptResult(outcome, duration, 1000 if completed else 0, memory)
+        query.attempt_ended(number, result, completed)
+
+    def advance(self, span: int) -> None:
+        """Lets time pass, and timers fire."""
         until = self.now + span
         while self.timers and self.timers[0][0] <= until:
             when, _, callback = heapq.heappop(self.timers)
@@ -138,7 +167,8 @@
         """All engines that the gateway knows, listed or not."""
         return list(self.gateway._engines._engines.values())
 
-    def did(self, name: str) -> list[Any]:
+    def calls_of(self, name: str) -> list[Any]:
+        """The values of all calls of one name."""
         return [call[1:] for call in self.calls if call[0] == name]
 
     def call_later(self, delay: int, callback: Any) -> None:
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,6 +1,7 @@
-"""Judges from outside what a decision module does: rules 1, 2, 3, 5, 6 and 7 of WIRE, section 10.
+"""Checks from outside what the decisions do: rules 1, 2, 3, 5, 6 and 7 of the users' protocol.
 
-It is the module's Transport and knows of it only what goes in and out. It shares no code with it.
+They stand in section 10 of its page WIRE. The checker is the decisions' Transport, knows of them only what goes
+in and out, and shares no code with them.
 """
 
 from __future__ import annotations
@@ -13,17 +14,18 @@
 from vanerelay.interface import EngineEntry, EngineState, Outcome, QueryArrival
 
 SECOND = 10_000
+MICROSECONDS_PER_TICK = 100
 NEVER_RAN = {Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT}
-MAY_RUN_ON = {Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED, Outcome.MALFORMED}
+MAY_STILL_RUN = {Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED, Outcome.MALFORMED}
 
 
 @dataclass
-class Sent:
-    """One attempt, as the judge saw it."""
+class ObservedAttempt:
+    """One attempt, as the checker saw it."""
 
     engine: EngineEntry
-    at: int
-    time_out: int
+    sent_at: int
+    timeout: int
     cancelled: bool = False
     ended: Outcome | None = None
 
@@ -33,48 +35,51 @@
 
 
 @dataclass
-class Query:
-    """One query, as the judge saw it."""
+class ObservedQuery:
+    """One query, as the checker saw it. `service_class`: its class in the raw settings."""
 
     arrival: QueryArrival
-    group: dict[str, Any]
-    taken: int
+    service_class: dict[str, Any]
+    submitted_at: int
     handle: Any = None
-    sent: list[Sent] = field(default_factory=list)
-    over: str | None = None
+    attempts: list[ObservedAttempt] = field(default_factory=list)
+    final_answer: str | None = None
 
     @property
-    def out(self) -> list[Sent]:
-        return [one for one in self.sent if one.ended is None]
+    def in_flight(self) -> list[ObservedAttempt]:
+        return [attempt for attempt in self.attempts if attempt.ended is None]
 
 
-class Judge:
+class RuleChecker:
     """Holds the rules against each call as it is made."""
 
-    def __init__(self, settings: dict[str, Any]) -> None:
-        self.now, self.settings = 1000 * SECOND, settings
-        self.queries: dict[int, Query] = {}
+    def __init__(self, raw_settings: dict[str, Any]) -> None:
+        self.now = 1000 * SECOND
+        self.settings = raw_settings
+        self.limits = raw_settings.get("limits") or {}
+        self.safety = raw_settings.get("safety") or {}
+        self.queries: dict[int, ObservedQuery] = {}
         self.engines: dict[int, EngineEntry] = {}
+        self.timed_out: Callable[[ObservedQuery, int], None] = lambda query, number: None
         self._timers: list[tuple[int, int, Callable[[], None]]] = []
-        self._made, self._rests = 0, dict[int, int]()
-        self.timed_out: Callable[[Query, int], None] = lambda query, number: None
-        self.limits = settings.get("limits") or {}
-        self.safety = settings.get("safety") or {}
+        self._timers_made = 0
+        self._resting_until = dict[int, int]()
 
-    # What a test tells of the world.
+    # What a test reports of the world.
 
-    def took(self, arrival: QueryArrival) -> Query:
-        group = self.settings["classes"][arrival.service_class]
-        query = self.queries[arrival.index] = Query(arrival, group, self.now)
+    def query_submitted(self, arrival: QueryArrival) -> ObservedQuery:
+        service_class = self.settings["classes"][arrival.service_class]
+        query = self.queries[arrival.index] = ObservedQuery(arrival, service_class, self.now)
         return query
 
-    def ends(self, query: Query, number: int, outcome: Outcome) -> None:
-        query.sent[number].ended = outcome
+    def attempt_ended(self, query: ObservedQuery, number: int, outcome: Outcome) -> None:
+        query.attempts[number].ended = outcome
         key = query.arrival.order_key
-        if outcome in MAY_RUN_ON and query.group.get("inTurn") and key is not None:
-            self._rests[key] = self.now + (self.safety.get("orderPauseUs") or 0) // 100
+        if outcome in MAY_STILL_RUN and query.service_class.get("inTurn") and key is not None:
+            pause = (self.safety.get("orderPauseUs") or 0) // MICROSECONDS_PER_TICK
+            self._resting_until[key] = self.now + pause
         if outcome is Outcome.COMPLETED:
-            self._final(query, "returned")
+            self._answered(query, "completed")
 
     def advance(self, span: int) -> None:
         until = self.now + span
@@ -86,44 +91,44 @@
 
     # The Transport.
 
-    def send_attempt(self, batch: int, engine: int, time_out: int) -> None:
-        query, entry = self.queries[batch], self.engines[engine]
-        assert query.over is None, "rule 1: an attempt of a query that is over"
-        assert time_out > 0 and self.now + time_out <= query.arrival.deadline + 60 * 10
-        self._effects(query, entry)
+    def send_attempt(self, index: int, engine: int, timeout: int) -> None:
+        query, entry = self.queries[index], self.engines[engine]
+        assert query.final_answer is None, "rule 1: an attempt of a query that was answered"
+        assert timeout > 0 and self.now + timeout <= query.arrival.deadline + 60 * 10
+        self._check_effects(query, entry)
         assert entry.state is EngineState.UP, "rule 3: an engine that drains or is gone"
-        self._order(query)
-        locations, kinds = query.group.get("staysIn"), query.group.get("kindsOnly")
-        assert locations is None or entry.zone in locations, "rule 6: location"
+        self._check_order(query)
+        zones, kinds = query.service_class.get("staysIn"), query.service_class.get("kindsOnly")
+        assert zones is None or entry.zone in zones, "rule 6: zone"
         assert kinds is None or entry.machine_kind in kinds, "rule 6: kind"
-        assert len(query.sent) < int(self.limits.get("maxAttempts") or 1), "more attempts than allowed"
-        number = len(query.sent)
-        query.sent.append(Sent(entry, self.now, time_out))
-        self.call_later(time_out, lambda: self.timed_out(query, number))
-        if len(query.sent) > 1:
-            self._ration()
-
-    def reject(self, batch: int, retry_after: int) -> None:
-        query = self.queries[batch]
-        semantics = query.group["semantics"]
-        harmless = semantics == "pure" or not any(one.may_have_run for one in query.sent)
-        harmless |= semantics == "token" and (query.group.get("dedupScope") or "all") == "all"
+        assert len(query.attempts) < int(self.limits.get("maxAttempts") or 1), "more attempts than allowed"
+        number = len(query.attempts)
+        query.attempts.append(ObservedAttempt(entry, self.now, timeout))
+        self.call_later(timeout, lambda: self.timed_out(query, number))
+        if len(query.attempts) > 1:
+            self._check_retry_budget()
+
+    def reject(self, index: int, retry_after: int) -> None:
+        query = self.queries[index]
+        semantics = query.service_class["semantics"]
+        harmless = semantics == "pure" or not any(attempt.may_have_run for attempt in query.attempts)
+        harmless |= semantics == "token" and (query.service_class.get("dedupScope") or "all") == "all"
         assert harmless, "rule 2: a rejection says that a retry does no harm"
-        assert retry_after <= (self.limits.get("maxRetryAfterUs") or 0) // 100
-        self._final(query, "rejected")
+        assert retry_after <= (self.limits.get("maxRetryAfterUs") or 0) // MICROSECONDS_PER_TICK
+        self._answered(query, "rejected")
 
-    def fail(self, batch: int) -> None:
-        self._final(self.queries[batch], "failed")
+    def fail(self, index: int) -> None:
+        self._answered(self.queries[index], "failed")
 
-    def cancel_attempt(self, batch: int, dispatch: int) -> None:
+    def cancel_attempt(self, index: int, number: int) -> None:
         assert self.limits.get("cancel"), "a cancel that is not allowed"
-        self.queries[batch].sent[dispatch].cancelled = True
+        self.queries[index].attempts[number].cancelled = True
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        self._made += 1
-        heapq.heappush(self._timers, (self.now + max(1, delay), self._made, callback))
+        self._timers_made += 1
+        heapq.heappush(self._timers, (self.now + max(1, delay), self._timers_made, callback))
 
-    def grant_memory(self, batch: int, memory: float, priority: int) -> None:
+    def grant_memory(self, index: int, memory: float, priority: int) -> None:
         assert memory >= 0 and priority in (1, 2)
 
     def send_to_peers(self, peer: int | None, data: bytes) -> None:
@@ -140,43 +145,46 @@
 
     # The rules.
 
-    def _final(self, query: Query, word: str) -> None:
-        assert query.over is None, "rule 1: a second final answer"
-        assert self.now <= query.arrival.deadline, "rule 1: a final answer after the time limit"
-        query.over = word
+    def _answered(self, query: ObservedQuery, answer: str) -> None:
+        assert query.final_answer is None, "rule 1: a second final answer"
+        assert self.now <= query.arrival.deadline, "rule 1: a final answer after the deadline"
+        query.final_answer = answer
 
-    def _effects(self, query: Query, entry: EngineEntry) -> None:
-        assert self.limits.get("secondCopies") or not query.out, "two attempts out at once"
-        ran = [one for one in query.sent if one.may_have_run]
-        if not ran or query.group["semantics"] == "pure":
+    def _check_effects(self, query: ObservedQuery, entry: EngineEntry) -> None:
+        assert self.limits.get("secondCopies") or not query.in_flight, "two attempts in flight at once"
+        ran = [attempt for attempt in query.attempts if attempt.may_have_run]
+        if not ran or query.service_class["semantics"] == "pure":
             return
-        assert query.group["semantics"] == "token", "rule 2: an effect twice"
-        window = (query.group.get("windowUs") or 0) // 100
-        assert self.now - ran[0].at < window, "rule 2: a repeat after its window"
-        scope, first = query.group.get("dedupScope") or "all", ran[0].engine
-        assert scope != "zone" or entry.zone == first.zone, "rule 2: another location"
+        assert query.service_class["semantics"] == "token", "rule 2: an effect twice"
+        window = (query.service_class.get("windowUs") or 0) // MICROSECONDS_PER_TICK
+        assert self.now - ran[0].sent_at < window, "rule 2: a retry after its window"
+        scope, first = query.service_class.get("dedupScope") or "all", ran[0].engine
+        assert scope != "zone" or entry.zone == first.zone, "rule 2: another zone"
         assert scope != "cell" or entry.cell == first.cell, "rule 2: another cell"
 
-    def _order(self, query: Query) -> None:
+    def _check_order(self, query: ObservedQuery) -> None:
         key = query.arrival.order_key
-        if not query.group.get("inTurn") or key is None:
+        if not query.service_class.get("inTurn") or key is None:
             return
         earlier = [
             other
             for other in self.queries.values()
             if other.arrival.order_key == key
-            and other.group.get("inTurn")
+            and other.service_class.get("inTurn")
             and other.arrival.index < query.arrival.index
         ]
-        assert all(other.over and not other.out for other in earlier), "rule 5: out of turn"
-        assert query.sent or self.now >= self._rests.get(key, 0), "rule 5: within a key's rest"
+        assert all(other.final_answer and not other.in_flight for other in earlier), "rule 5: out of order"
+        rests = self.now < self._resting_until.get(key, 0)
+        assert query.attempts or not rests, "rule 5: within a key's rest"
 
-    def _ration(self) -> None:
-        span = (self.safety.get("ratioSpanUs") or 0) // 100
-        if not span:
+    def _check_retry_budget(self) -> None:
+        window = (self.safety.get("ratioSpanUs") or 0) // MICROSECONDS_PER_TICK
+        if not window:
             return
-        since = self.now - span
-        taken = sum(query.taken > since for query in self.queries.values())
-        further = sum(one.at > since for query in self.queries.values() for one in query.sent[1:])
-        most = (self.safety.get("minExtra") or 0) + (self.safety.get("extraRatio") or 0) * taken
-        assert further <= most, "rule 7: more further attempts than the ration"
+        since = self.now - window
+        submitted = sum(query.submitted_at > since for query in self.queries.values())
+        retries = sum(
+            attempt.sent_at > since for query in self.queries.values() for attempt in query.attempts[1:]
+        )
+        allowed = (self.safety.get("minExtra") or 0) + (self.safety.get("extraRatio") or 0) * submitted
+        assert retries <= allowed, "rule 7: more retries than the budget"
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -86,11 +86,11 @@
     assert turn(micros) == units
 
 
-def test_a_bill_holds_work_and_memory():
+def test_a_reported_cost_holds_work_and_memory():
     assert cost(4096 * 17 + 96) == (170, 384.0)
 
 
-def test_a_batch_goes_out_with_its_grant_and_ends_once():
+def test_a_query_is_sent_with_its_grant_and_ends_once():
     host = Host()
     orders = play(host, census(0, "engine_a"), *started(), ingress("r-1"))
     assert [o["verb"] for o in orders if o["verb"] in ("equip", "deliver")] == ["equip", "deliver"]
@@ -112,7 +112,7 @@
     assert not host._instances[0]._held
 
 
-def test_a_page_is_read_at_its_place_and_used_again_in_one_message():
+def test_a_page_is_read_in_order_and_reused_in_one_message():
     host = Host()
     orders = play(
         host,
@@ -146,7 +146,7 @@
     assert list(host._instances[0]._held) == ["r-2"]
 
 
-def test_what_nobody_asked_for_is_read_and_dropped():
+def test_events_for_unknown_queries_are_ignored():
     host = Host()
     play(host, census(0, "engine_a"), *started())
     assert (
@@ -160,8 +160,8 @@
     )
 
 
-def test_a_batch_given_up_in_the_line_is_let_go_of():
-    """Nothing comes for it any more: held on, it and its index were lost to the process for good."""
+def test_a_query_given_up_in_the_admission_queue_is_released():
+    """Nothing comes for it any more: still held, it and its index were lost to the process for good."""
     host = Host()
     orders = play(host, census(0), *started(), ingress("r-1", limit=T0 + 100_000))
     while not any(order["verb"] == "bounce" for order in orders):
@@ -189,7 +189,7 @@
     assert told.count("\n") == 1 and "malformed" in told and "Traceback" not in told
 
 
-def test_a_fault_in_the_module_is_reported_with_its_cause():
+def test_a_fault_in_the_decisions_is_reported_with_its_cause():
     host = Host()
     play(host, census(0, "engine_a"), *started())
     host._instances[0]._gateway._queries = None
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -5,19 +5,19 @@
 import random
 
 import pytest
-from rules import SECOND, Judge
+from rules import SECOND, RuleChecker
 
 from vanerelay import settings, settings_validation
 from vanerelay.interface import AttemptResult, EngineEntry, EngineState, LoadReport, Outcome, QueryArrival
 
-SPANS_US = [100, 1_000, 50_000, 250_000, 1_000_000, 3_000_000, 20_000_000, 10_000_000_000]
+DURATIONS_US = [100, 1_000, 50_000, 250_000, 1_000_000, 3_000_000, 20_000_000, 10_000_000_000]
 
 
-def some_class(chance: random.Random, number: int, locations: list[str], kinds: list[str]) -> dict:
-    told = {
+def some_class(chance: random.Random, number: int, zones: list[str], kinds: list[str]) -> dict:
+    raw = {
         "name": f"class-{number}-" * chance.choice([1, 30]),
-        "aimUs": chance.choice(SPANS_US),
-        "deadlineUs": chance.choice(SPANS_US),
+        "aimUs": chance.choice(DURATIONS_US),
+        "deadlineUs": chance.choice(DURATIONS_US),
         "semantics": chance.choice(list(settings.IDEMPOTENCY)),
         "importance": chance.choice([0, 1, 0.001, 1e6, None]),
         "lateWorth": chance.choice([0, 0.5, None]),
@@ -26,22 +26,22 @@
         "dedupScope": chance.choice([*settings.DEDUPLICATION_SCOPES, None]),
         "inTurn": chance.choice([True, False, None]),
     }
-    if locations and chance.random() < 0.3:
-        told["staysIn"] = [chance.randrange(len(locations))]
+    if zones and chance.random() < 0.3:
+        raw["staysIn"] = [chance.randrange(len(zones))]
     if kinds and chance.random() < 0.3:
-        told["kindsOnly"] = [chance.randrange(len(kinds))]
-    return told
+        raw["kindsOnly"] = [chance.randrange(len(kinds))]
+    return raw
 
 
 def some_settings(chance: random.Random) -> dict:
     classes = chance.choice([1, 2, 5, 40])
-    locations = [f"location-{number}" for number in range(chance.choice([0, 1, 3]))]
+    zones = [f"zone-{number}" for number in range(chance.choice([0, 1, 3]))]
     kinds = [f"kind-{number}" for number in range(chance.choice([0, 1, 3]))]
-    told = {
-        "classes": [some_class(chance, number, locations, kinds) for number in range(classes)],
+    raw = {
+        "classes": [some_class(chance, number, zones, kinds) for number in range(classes)],
         "orgs": chance.choice([[], [{"name": "a"}], None]),
         "kinds": kinds,
-        "failureDomains": locations,
+        "failureDomains": zones,
         "az": chance.choice([0, None]),
         "groupSize": chance.choice([1, 3, 200, None]),
         "position": chance.choice([0, None]),
@@ -79,75 +79,75 @@
     }
     for part in ("familyInfo", "limits", "safety", "report"):
         if chance.random() < 0.1:
-            told[part] = None
-    return told
+            raw[part] = None
+    return raw
 
 
 class Run:
-    """A gateway under such settings, with events drawn by chance and each call judged."""
+    """A gateway under such settings, with random events and each call checked."""
 
-    def __init__(self, chance: random.Random, profile: dict) -> None:
-        self.chance, self.settings, self.judge = chance, profile, Judge(profile)
-        self.gateway = settings.open_gateway(self.judge, 7, profile)
+    def __init__(self, chance: random.Random, raw_settings: dict) -> None:
+        self.chance, self.settings, self.checker = chance, raw_settings, RuleChecker(raw_settings)
+        self.gateway = settings.open_gateway(self.checker, 7, raw_settings)
         self.gateways = [self.gateway]
-        self._taken = 0
-        self.judge.timed_out = self.time_out
+        self._submitted = 0
+        self.checker.timed_out = self.time_out_attempt
 
-    def change_list(self, whole: bool = False) -> None:
+    def change_list(self, complete: bool = False) -> None:
         entries = []
-        for number in range(4) if whole else [self.chance.randrange(4)]:
-            started = self.chance.choice([0, self.judge.now - SECOND])
-            state = EngineState.UP if whole else self.chance.choice(list(EngineState))
+        for number in range(4) if complete else [self.chance.randrange(4)]:
+            started = self.chance.choice([0, self.checker.now - SECOND])
+            state = EngineState.UP if complete else self.chance.choice(list(EngineState))
             places = len(self.settings["failureDomains"] or []), len(self.settings["kinds"] or [])
-            location, kind = (number % max(1, count) for count in places)
-            entry = EngineEntry(number, f"e{number}", location, kind, number % 2, state, 1.0, started)
-            self.judge.engines[number] = entry
+            zone, kind = (number % max(1, count) for count in places)
+            entry = EngineEntry(number, f"e{number}", zone, kind, number % 2, state, 1.0, started)
+            self.checker.engines[number] = entry
             entries.append(entry)
         for gateway in self.gateways:
-            gateway.update_engines(entries, whole)
+            gateway.update_engines(entries, complete)
 
-    def take(self) -> None:
-        self._taken += 1
+    def submit(self) -> None:
+        self._submitted += 1
         row = self.chance.randrange(len(self.settings["classes"]))
-        limit = min(self.settings["classes"][row]["deadlineUs"] // 100, 60 * SECOND)
+        time_limit = min(self.settings["classes"][row]["deadlineUs"] // 100, 60 * SECOND)
         arrival = QueryArrival(
-            index=self._taken,
+            index=self._submitted,
             service_class=row,
             tenant=0,
             order_key=self.chance.choice([None, 1, 2]),
-            deadline=self.judge.now + limit,
+            deadline=self.checker.now + time_limit,
             estimated_cost=self.chance.choice([0, 10, 10_000]),
             estimated_memory=self.chance.choice([0.0, 10.0, 5e4]),
             table_group=self.chance.choice([0, 5]),
             is_retry=False,
         )
-        query = self.judge.took(arrival)
+        query = self.checker.query_submitted(arrival)
         query.handle = self.gateway.submit(arrival)
 
-    def end(self, query, number: int, outcome: Outcome) -> None:
-        self.judge.ends(query, number, outcome)
+    def end_attempt(self, query, number: int, outcome: Outcome) -> None:
+        self.checker.attempt_ended(query, number, outcome)
         report = self.chance.choice([None, LoadReport(cores_busy=0.5)])
         work = self.chance.choice([0, 1, 10_000])
-        result = AttemptResult(outcome, self.judge.now - query.sent[number].at, work, 50.0, report)
-        query.handle.attempt_ended(number, result, query.over is not None)
+        result = AttemptResult(outcome, self.checker.now - query.attempts[number].sent_at, work, 50.0, report)
+        query.handle.attempt_ended(number, result, query.final_answer is not None)
 
-    def time_out(self, query, number: int) -> None:
-        if query.sent[number].ended is None:
-            self.end(query, number, Outcome.TIMED_OUT)
+    def time_out_attempt(self, query, number: int) -> None:
+        if query.attempts[number].ended is None:
+            self.end_attempt(query, number, Outcome.TIMED_OUT)
 
     def step(self) -> None:
-        """What was called off ends, and some of the rest."""
-        for query in list(self.judge.queries.values()):
-            for number, sent in enumerate(query.sent):
-                if sent.ended is not None:
+        """Ends what was cancelled, and some of the rest."""
+        for query in list(self.checker.queries.values()):
+            for number, attempt in enumerate(query.attempts):
+                if attempt.ended is not None:
                     continue
-                if sent.cancelled:
-                    self.end(query, number, Outcome.CANCELLED)
-                elif self.chance.random() < 0.2 and query.over is None:
-                    self.end(query, number, self.chance.choice(list(Outcome)))
+                if attempt.cancelled:
+                    self.end_attempt(query, number, Outcome.CANCELLED)
+                elif self.chance.random() < 0.2 and query.final_answer is None:
+                    self.end_attempt(query, number, self.chance.choice(list(Outcome)))
 
-    def switch(self) -> None:
-        old, self.gateway = self.gateway, settings.open_gateway(self.judge, 7, self.settings)
+    def change_settings(self) -> None:
+        old, self.gateway = self.gateway, settings.open_gateway(self.checker, 7, self.settings)
         self.gateway.take_over(old)
         self.gateways.append(self.gateway)
 
@@ -155,22 +155,24 @@
 @pytest.mark.parametrize("seed", range(150))
 def test_the_rules_hold_under_any_legal_settings(seed):
     chance = random.Random(seed)
-    profile = some_settings(chance)
-    assert settings_validation.find_error(profile) is None
-    run = Run(chance, profile)
-    run.change_list(whole=True)
+    raw_settings = some_settings(chance)
+    assert settings_validation.find_error(raw_settings) is None
+    run = Run(chance, raw_settings)
+    run.change_list(complete=True)
     for number in range(150):
         if chance.random() < 0.7:
-            run.take()
+            run.submit()
         if chance.random() < 0.1:
             run.change_list()
         run.step()
-        run.judge.advance(chance.choice([1, 10, 100, 500, 5000]))
+        run.checker.advance(chance.choice([1, 10, 100, 500, 5000]))
         if number == 75:
-            run.switch()
+            run.change_settings()
     for _ in range(1400):
-        if all(query.over for query in run.judge.queries.values()):
+        if all(query.final_answer for query in run.checker.queries.values()):
             break
-        run.judge.advance(500)
+        run.checker.advance(500)
         run.step()
-    assert all(query.over for query in run.judge.queries.values()), "rule 1: a query without an answer"
+    assert all(query.final_answer for query in run.checker.queries.values()), (
+        "rule 1: a query without an answer"
+    )
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -1,4 +1,4 @@
-"""Tables of cases against the decision module."""
+"""The decisions: tables of cases against each concern, and gateways in virtual time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from helpers import COLD, World, entry
+from helpers import SLOW_START, World, entry
 
 from vanerelay.estimation import SlidingSums
 from vanerelay.interface import (
@@ -31,14 +31,14 @@
 from vanerelay.policy.slow_start import SlowStart
 
 O = Outcome  # noqa: E741
-BUSY = 13_000.0  # over a slice of a third, so that one fills an engine
+BUSY = 13_000.0  # MB: over a share of a third, so that one query fills an engine
 
 
 @pytest.mark.parametrize(
     ("span", "at", "now", "whole", "short"),
     [(100, 0, 0, 1, 1), (100, 0, 79, 1, 1), (100, 0, 100, 1, 0), (100, 0, 95, 1, 0), (100, 0, 110, 0, 0)],
 )
-def test_ring_never_forgets_early_nor_counts_late(span, at, now, whole, short):
+def test_sliding_sums_never_forget_early_nor_count_late(span, at, now, whole, short):
     ring = SlidingSums(span, 1)
     ring.add(at, 1)
     assert (ring.total(now, 0), ring.total(now, 0, short=True)) == (whole, short)
@@ -47,11 +47,11 @@
 @pytest.mark.parametrize(
     ("runs", "told", "cap", "low", "high"),
     [
-        ([], 1000.0, 9e9, 1250, 1401),  # no peak: the told estimate with the margin, up a bucket
+        ([], 1000.0, 9e9, 1250, 1401),  # no peak: the client's estimate with the margin, up a bucket
         ([(1000.0, 400.0)] * 9, 1000.0, 9e9, 500, 640),  # peak x margin
-        ([(1000.0, 500.0), (4000.0, 2000.0)] * 9, 2000.0, 9e9, 1250, 1420),  # peaks follow what is told
-        ([(1000.0, 400.0), (1000.0, 1600.0)] * 9, 1000.0, 9e9, 1400, 2000),  # a wide spread lifts the margin
-        ([(0.0, 400.0)] * 9, 0.0, 9e9, 500, 640),  # nothing told: the learned mean
+        ([(1000.0, 500.0), (4000.0, 2000.0)] * 9, 2000.0, 9e9, 1250, 1420),  # peaks follow the estimates
+        ([(1000.0, 400.0), (1000.0, 1600.0)] * 9, 1000.0, 9e9, 1400, 2000),  # a wide spread raises the margin
+        ([(0.0, 400.0)] * 9, 0.0, 9e9, 500, 640),  # no estimate: the learned mean
         ([], 5000.0, 3000.0, 3000, 3000),  # cap
         ([], 0.0, 9e9, 0, 0),  # nothing known: the engine's own choice
     ],
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("forget", [lambda memory: memory.forget_table_group(5), lambda memory: None])
-def test_shapes_expire_and_fall_to_a_load(forget):
+def test_query_shapes_expire_and_are_forgotten_after_a_data_load(forget):
     memory = MemoryEstimator(1)
     for _ in range(40):
         memory.learn(0, 0, 5, 1000.0, 1000.0)
@@ -83,10 +83,10 @@
         (200.0, 1, 0.4, True),
         (201.0, 1, 0.4, False),
         (100.0, 73, 0.5, True),
-        (100.0, 74, 0.5, False),  # threads may be overdrawn by part of a batch
+        (100.0, 74, 0.5, False),  # threads may be overdrawn by part of a query
     ],
 )
-def test_ledger_holds_grants_and_threads_against_the_slice(grant, threads, part, fits):
+def test_reservations_hold_grants_and_threads_against_the_share(grant, threads, part, fits):
     reservations = Reservations(3000.0, 16)
     reservations.reserve(1000.0, 4)
     assert reservations.fits(grant, threads, part) is fits
@@ -98,7 +98,7 @@
     ("taken", "spent", "allowed"),
     [(0, 0, True), (0, 2, False), (10, 3, True), (10, 4, False), (100, 21, True), (100, 22, False)],
 )
-def test_ration_at_its_boundary(taken, spent, allowed):
+def test_retry_budget_at_its_boundary(taken, spent, allowed):
     budget = RetryBudget(RetryBudgetTerms(10 * SECOND, 2, 0.2))
     for _ in range(taken):
         budget.query_arrived(SECOND, earns_retries=True)
@@ -107,7 +107,7 @@
     assert budget.allows(SECOND) is allowed
     assert budget.allows(SECOND, is_low_value=True) is (
         spent < 1 + taken // 10
-    )  # half of it to the least worth
+    )  # half of it for the least value
     assert budget.allows(30 * SECOND)
 
 
@@ -115,7 +115,7 @@
     ("age", "gateways", "share"),
     [(0, 1, 0.3), (5, 1, 0.65), (10, 1, 1.0), (0, 3, 0.3), (0, 50, 0.3), (5, 200, 0.65), (0, 200, 0.3)],
 )
-def test_cold_budget_holds_for_all_gateways_and_lets_batches_through(age, gateways, share):
+def test_slow_start_budget_holds_for_all_gateways_and_admits_queries(age, gateways, share):
     cold, work, sent, used = SlowStartTerms(0.3, 10 * SECOND, 3.0, 2 * SECOND), 5000, 0, 0
     for number in range(gateways):
         slow_start = SlowStart(cold, "e7", 16, FleetPosition(number, gateways, 0), 2 * SECOND, 0)
@@ -133,13 +133,13 @@
 
 @pytest.mark.parametrize("restarted", [0, 20, 30])
 @pytest.mark.parametrize("at", [0.3, 1.0, 1.9])
-def test_thirty_gateways_that_forget_what_they_sent_keep_within_a_cold_engine_s_budget(restarted, at):
+def test_thirty_gateways_that_forget_what_they_sent_keep_within_the_slow_start_budget(restarted, at):
     """What one sent before it was killed still counts, and the next under its name knows nothing of it."""
     step, cost, sent = SECOND // 10, 100, []
     began = 1000 * SECOND
 
     def world(number, now):
-        one = World(engines=0, gateways=30, number=number, now=now)
+        one = World(engines=0, gateways=30, index=number, now=now)
         one.gateway.update_engines([entry(0, started_at=began)], True)
         return one
 
@@ -148,18 +148,18 @@
         if now == began + round(at * SECOND):
             worlds[:restarted] = [world(number, now) for number in range(restarted)]
         for one in worlds:
-            one.run(now - one.now)
-            for batch in [one.take(cost=cost, memory=1.0) for _ in range(12)]:
-                if batch.attempts:
+            one.advance(now - one.now)
+            for query in [one.submit(cost=cost, memory=1.0) for _ in range(12)]:
+                if query.attempts:
                     sent.append(now)
-                    batch.attempt_ended(0, AttemptResult(Outcome.COMPLETED, cost, cost, 1.0), True)
+                    query.attempt_ended(0, AttemptResult(Outcome.COMPLETED, cost, cost, 1.0), True)
                 else:
-                    batch.client_left()
+                    query.client_left()
     for end in range(began, began + 4 * SECOND, step):
-        age = max(0, end - COLD.overload_window - began) / COLD.ramp_duration
-        capacity = 16 * (COLD.initial_share + (1 - COLD.initial_share) * age)
-        allowed = COLD.overload_multiple * capacity * COLD.overload_window / cost
-        window = sum(end - COLD.overload_window < when <= end for when in sent)
+        age = max(0, end - SLOW_START.overload_window - began) / SLOW_START.ramp_duration
+        capacity = 16 * (SLOW_START.initial_share + (1 - SLOW_START.initial_share) * age)
+        allowed = SLOW_START.overload_multiple * capacity * SLOW_START.overload_window / cost
+        window = sum(end - SLOW_START.overload_window < when <= end for when in sent)
         assert window <= allowed + 2 * allowed**0.5 + 2
     assert len(sent) > 100
 
@@ -176,7 +176,7 @@
         (200, 0.1, 60, 0.85 * 0.995 - 0.5),
     ],
 )
-def test_what_nobody_holds_is_lent_past_the_slice(gateways, others, age, part):
+def test_idle_capacity_is_lent_past_the_own_share(gateways, others, age, part):
     engine = World(engines=1, gateways=gateways).engine(0)
     engine.load_reported(1000 * SECOND, LoadReport(memory_granted=others), 1.0)
     assert engine.own_share((1000 + age) * SECOND, 0.5, 1 / gateways) == pytest.approx(part)
@@ -194,29 +194,29 @@
         (1, True, (), 1500, 1),
     ],
 )
-def test_the_slice_of_a_gateway_that_is_away_is_shared_by_the_rest(gateways, peers, heard, span, parts):
-    """Seen on sockets: a tenth pushed back while one restarted, with a third of each engine left to nobody.
-    One never heard counts as there: messages may be lost, and it starts when it starts."""
-    world = World(gateways=gateways, allowed={"may_gossip": peers})
+def test_the_share_of_an_absent_gateway_is_divided_among_the_others(gateways, peers, heard, span, parts):
+    """Seen on sockets: a tenth was rejected while one restarted, with a third of each engine left to nobody.
+    A peer never heard from counts as present: messages may be lost, and it starts when it starts."""
+    world = World(gateways=gateways, capabilities={"may_gossip": peers})
     for number in heard:
         world.gateway.receive_from_peer(number, b"\0\0\0\1")
     for _ in range(span // 50):
-        world.run(500)
+        world.advance(500)
     assert world.gateway._capacity.share == pytest.approx(1 / parts)
-    assert (len(world.did("send_to_peers")) >= span // 250) == (peers and 1 < gateways < 9)
+    assert (len(world.calls_of("send_to_peers")) >= span // 250) == (peers and 1 < gateways < 9)
     for number in heard:
         world.gateway.receive_from_peer(number, b"\0\0\0\1")
-    world.run(3000)
+    world.advance(3000)
     assert world.gateway._capacity.share == pytest.approx(1 / gateways)
 
 
 @pytest.mark.parametrize(("theirs", "part"), [(0, 0.67), (100, 0.4), (200, 0.29), (10**9, 0.0)])
-def test_slices_go_by_what_comes_to_each_gateway(theirs, part):
-    """Seen on sockets: a fifth pushed back at the gateway with half of the traffic, beside two with room."""
-    world = World(gateways=3, allowed={"may_gossip": True})
+def test_shares_follow_the_traffic_of_each_gateway(theirs, part):
+    """Seen on sockets: a fifth was rejected at the gateway with half of the traffic, beside two with room."""
+    world = World(gateways=3, capabilities={"may_gossip": True})
     for _ in range(100):
-        world.run(SECOND // 10)
-        world.take().client_left()
+        world.advance(SECOND // 10)
+        world.submit().client_left()
         for number, need in ((1, theirs), (2, 50)):
             world.gateway.receive_from_peer(number, need.to_bytes(4, "big"))
     assert world.gateway._capacity.share == pytest.approx(part, abs=0.03)
@@ -226,10 +226,10 @@
     ("gateways", "engines", "kept", "sent"),
     [(1, 40, 40, 40), (3, 7, 7, 7), (50, 12, 8, 2), (200, 40, 8, 2), (200, 1, 1, 1), (5, 0, 0, 0)],
 )
-def test_idle_engines_take_no_more_than_our_part_of_the_fleet(gateways, engines, kept, sent):
+def test_idle_engines_take_no_more_than_our_share_of_the_pool(gateways, engines, kept, sent):
     world = World(engines=engines, gateways=gateways)
     for _ in range(60):
-        world.take(memory=9000.0)
+        world.submit(memory=9000.0)
     for world.gateway._engines.pool.running in (
         0,
         20,
@@ -237,14 +237,16 @@
         most = min(engines, max(kept, world.gateway._engines.pool.running))
         assert len(list(world.gateway._engines.candidates(world.now, ANYWHERE))) == most
     most = max(1.0, 1.25 * engines * 32000 / gateways / 9000) if engines else 0
-    assert len(world.did("send_attempt")) <= most + 2 and len(world.did("send_attempt")) >= min(sent, 1)
+    assert len(world.calls_of("send_attempt")) <= most + 2 and len(world.calls_of("send_attempt")) >= min(
+        sent, 1
+    )
 
 
 @pytest.mark.parametrize(("gateways", "engines"), [(50, 12), (200, 40), (200, 33), (160, 25)])
-def test_engines_are_kept_evenly_and_few_change_when_one_leaves(gateways, engines):
+def test_candidates_are_spread_evenly_and_few_change_when_an_engine_leaves(gateways, engines):
     keepers, moved = [0] * engines, 0
     for number in range(gateways):
-        world = World(engines=engines, gateways=gateways, number=number)
+        world = World(engines=engines, gateways=gateways, index=number)
         before = {e.entry.index for e in world.gateway._engines.candidates(world.now, ANYWHERE)}
         world.gateway.update_engines([dataclasses.replace(world.entries[0], state=EngineState.GONE)], False)
         after = {e.entry.index for e in world.gateway._engines.candidates(world.now, ANYWHERE)}
@@ -256,21 +258,21 @@
 
 
 @pytest.mark.parametrize(("gateways", "most"), [(1, 12), (3, 12), (50, 12), (200, 12)])
-def test_trials_of_a_sick_engine_do_not_grow_with_the_gateways(gateways, most):
+def test_trials_of_an_ejected_engine_do_not_grow_with_the_gateways(gateways, most):
     trials = 0.0
     for number in range(min(gateways, 8)):
-        world = World(engines=2, gateways=gateways, number=number)
+        world = World(engines=2, gateways=gateways, index=number)
         sick = world.engine(0)
         sick.health.is_lost = True
         sick.health.level = 0.0
         sick.health.tried_at = world.now
         world.gateway._monitor.watch(sick)
         for _ in range(200):
-            world.run(500)
-            batch = world.take()
-            if batch.attempts and batch.attempts[0].in_flight and batch.attempts[0].engine.entry.index == 1:
-                world.end(batch, O.COMPLETED)
-        tried = sum(d[1] == 0 for d in world.did("send_attempt"))
+            world.advance(500)
+            query = world.submit()
+            if query.attempts and query.attempts[0].in_flight and query.attempts[0].engine.entry.index == 1:
+                world.end_attempt(query, O.COMPLETED)
+        tried = sum(d[1] == 0 for d in world.calls_of("send_attempt"))
         trials += tried / 10 * gateways / min(gateways, 8)
     assert trials <= most
 
@@ -278,7 +280,7 @@
 @pytest.mark.parametrize(
     ("waited", "cheap", "dear"), [(0.0, True, True), (0.2, True, False), (0.5, True, False)]
 )
-def test_the_door_turns_away_what_earns_least_for_its_work(waited, cheap, dear):
+def test_load_shedding_rejects_the_least_value_for_its_work(waited, cheap, dear):
     shedder = LoadShedder(10_000)
     for count in range(50):
         shedder.admits(1.0, 100.0 + count)
@@ -288,49 +290,49 @@
     assert (shedder.admits(1.0, 90.0), shedder.admits(1.0, 1060.0)) == (cheap, dear)
 
 
-def test_a_gateway_that_stood_still_does_not_blame_the_engines():
+def test_a_gateway_that_stalled_does_not_blame_the_engines():
     world = World(engines=1)
     for _ in range(3):
-        world.take()
-    world.run(500)
+        world.submit()
+    world.advance(500)
     world.now += 3 * SECOND
-    world.run(0)
+    world.advance(0)
     assert world.engine(0).health.level > 0.5
 
 
-def test_loads_and_what_waits_for_them_lean_apart():
+def test_data_loads_and_queries_behind_them_prefer_different_engines():
     world = World(engines=4, waits_for_data_loads=True)
     world.service_classes[1] = dataclasses.replace(world.service_classes[1], is_data_load=True)
     sides = [{0: set(), 1: set()} for _ in range(2)]
     for count in range(60):
         group = count % 2
-        batch = world.take(memory=50.0, group=group, tables=count % 4 // 2)
-        sides[group][count % 4 // 2].add(batch.attempts[0].engine.entry.index)
-        world.end(batch, O.COMPLETED)
+        query = world.submit(memory=50.0, service_class=group, table_group=count % 4 // 2)
+        sides[group][count % 4 // 2].add(query.attempts[0].engine.entry.index)
+        world.end_attempt(query, O.COMPLETED)
     assert all(len(sides[0][t] & sides[1][t]) <= 1 for t in (0, 1))
     assert not any(engine.health.has_pace for engine in world.engines())  # they may stand still
 
 
-def test_line_is_first_come_and_holds_nothing():
+def test_the_admission_queue_is_first_come_first_served_and_holds_nothing():
     world = World(engines=1, gateways=3)
-    first = world.take(memory=9000.0)
-    held = [world.take(memory=m) for m in (9000.0, 3000.0, 9000.0)]
-    assert len(world.did("send_attempt")) == 1 and all(not b.attempts for b in held)
-    world.end(first, O.COMPLETED, memory=0.0)
-    assert [d[0] for d in world.did("send_attempt")] == [1, 2]
-    world.end(held[0], O.COMPLETED, memory=0.0)
-    assert [d[0] for d in world.did("send_attempt")][:3] == [1, 2, 3]
+    first = world.submit(memory=9000.0)
+    held = [world.submit(memory=m) for m in (9000.0, 3000.0, 9000.0)]
+    assert len(world.calls_of("send_attempt")) == 1 and all(not b.attempts for b in held)
+    world.end_attempt(first, O.COMPLETED, memory=0.0)
+    assert [d[0] for d in world.calls_of("send_attempt")] == [1, 2]
+    world.end_attempt(held[0], O.COMPLETED, memory=0.0)
+    assert [d[0] for d in world.calls_of("send_attempt")][:3] == [1, 2, 3]
 
 
-def test_past_its_bound_the_head_goes_with_a_cut_grant():
+def test_the_head_of_the_queue_is_sent_with_a_reduced_grant_past_its_wait():
     world = World(engines=1, gateways=3, latency_objective=9 * SECOND, deadline=40 * SECOND)
-    world.take(cost=20_000, memory=5000.0, limit=40 * SECOND)
-    world.take(cost=20_000, memory=5000.0, limit=40 * SECOND)
-    world.run(SECOND)
-    assert len(world.did("send_attempt")) == 1
-    world.run(2 * SECOND)
-    assert len(world.did("send_attempt")) == 2
-    assert world.did("grant_memory")[1][1] < world.did("grant_memory")[0][1]
+    world.submit(cost=20_000, memory=5000.0, time_limit=40 * SECOND)
+    world.submit(cost=20_000, memory=5000.0, time_limit=40 * SECOND)
+    world.advance(SECOND)
+    assert len(world.calls_of("send_attempt")) == 1
+    world.advance(2 * SECOND)
+    assert len(world.calls_of("send_attempt")) == 2
+    assert world.calls_of("grant_memory")[1][1] < world.calls_of("grant_memory")[0][1]
 
 
 @pytest.mark.parametrize(
@@ -351,22 +353,22 @@
 )
 def test_no_effect_twice(effect, scope, outcome, again, answer):
     world = World(idempotency=effect, deduplication_scope=scope)
-    batch = world.take()
-    world.end(batch, outcome)
-    assert (len(batch.attempts) == 2) is again
+    query = world.submit()
+    world.end_attempt(query, outcome)
+    assert (len(query.attempts) == 2) is again
     for _ in range(3):
-        if any(attempt.in_flight for attempt in batch.attempts):
-            world.end(batch, outcome)
-        world.run(SECOND)
-    world.run(12 * SECOND)
-    assert len(world.did("reject") + world.did("fail")) == 1
-    assert len(world.did(answer)) == 1
+        if any(attempt.in_flight for attempt in query.attempts):
+            world.end_attempt(query, outcome)
+        world.advance(SECOND)
+    world.advance(12 * SECOND)
+    assert len(world.calls_of("reject") + world.calls_of("fail")) == 1
+    assert len(world.calls_of(answer)) == 1
 
 
 @pytest.mark.parametrize(
     ("scope", "field"), [(DeduplicationScope.ZONE, "zone"), (DeduplicationScope.CELL, "cell")]
 )
-def test_a_referenced_batch_stays_in_its_scope_and_window(scope, field):
+def test_a_deduplicated_query_stays_in_its_scope_and_window(scope, field):
     world = World(
         engines=0,
         idempotency=Idempotency.DEDUPLICATED,
@@ -377,14 +379,14 @@
     world.gateway.update_engines(
         [entry(0, **{field: 1}), entry(1, **{field: 2}), entry(2, **{field: 1})], True
     )
-    batch = world.take()
-    home = getattr(batch.attempts[0].engine.entry, field)
-    world.end(batch, O.FAILED)
-    assert all(getattr(attempt.engine.entry, field) == home for attempt in batch.attempts)
-    late = world.take()
-    world.run(2 * SECOND)
-    world.end(late, O.FAILED, lasted=2 * SECOND)
-    assert len(late.attempts) == 1 and (late.arrival.index,) in world.did("fail")
+    query = world.submit()
+    home = getattr(query.attempts[0].engine.entry, field)
+    world.end_attempt(query, O.FAILED)
+    assert all(getattr(attempt.engine.entry, field) == home for attempt in query.attempts)
+    late = world.submit()
+    world.advance(2 * SECOND)
+    world.end_attempt(late, O.FAILED, duration=2 * SECOND)
+    assert len(late.attempts) == 1 and (late.arrival.index,) in world.calls_of("fail")
 
 
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE, None])
@@ -395,139 +397,139 @@
     else:
         world.gateway.update_engines([dataclasses.replace(world.entries[0], state=state)], False)
     for _ in range(20):
-        world.take()
-    assert {d[1] for d in world.did("send_attempt")} == {1}
+        world.submit()
+    assert {d[1] for d in world.calls_of("send_attempt")} == {1}
 
 
 @pytest.mark.parametrize("bound", [{"zones": (1,)}, {"machine_kinds": (1,)}])
-def test_placement_is_kept_when_the_allowed_engines_are_gone(bound):
+def test_placement_constraints_hold_when_the_allowed_engines_are_gone(bound):
     world = World(engines=2, **bound)
     world.gateway.update_engines([entry(2, zone=1, machine_kind=1)], False)
-    batch = world.take()
-    assert world.did("send_attempt")[-1][1] == 2
-    world.end(batch, O.FAILED)
+    query = world.submit()
+    assert world.calls_of("send_attempt")[-1][1] == 2
+    world.end_attempt(query, O.FAILED)
     world.gateway.update_engines([entry(2, zone=1, machine_kind=1, state=EngineState.GONE)], False)
-    world.take()
-    world.run(12 * SECOND)
-    assert {d[1] for d in world.did("send_attempt")} == {2}
-    assert len(world.did("reject")) >= 1
-
-
-def test_order_of_a_key_and_its_rest():
-    world = World(ordered=True, pause=SECOND, late_value=0.9)
-    batches = [world.take(key=5) for _ in range(3)]
-    other = world.take(key=6)
-    assert [len(b.attempts) for b in (*batches, other)] == [1, 0, 0, 1]
-    world.end(batches[0], O.COMPLETED)
-    assert [len(b.attempts) for b in batches] == [1, 1, 0]
-    batches[1].client_left()
-    assert not batches[2].attempts  # a dispatch without an outcome is still out
-    world.end(batches[1], O.RESET)
-    world.run(SECOND - 100)
-    assert not batches[2].attempts
-    world.run(400)
-    assert len(batches[2].attempts) == 1
+    world.submit()
+    world.advance(12 * SECOND)
+    assert {d[1] for d in world.calls_of("send_attempt")} == {2}
+    assert len(world.calls_of("reject")) >= 1
+
+
+def test_queries_of_an_order_key_run_in_order_and_the_key_rests():
+    world = World(ordered=True, order_key_pause=SECOND, late_value=0.9)
+    queries = [world.submit(order_key=5) for _ in range(3)]
+    other = world.submit(order_key=6)
+    assert [len(b.attempts) for b in (*queries, other)] == [1, 0, 0, 1]
+    world.end_attempt(queries[0], O.COMPLETED)
+    assert [len(b.attempts) for b in queries] == [1, 1, 0]
+    queries[1].client_left()
+    assert not queries[2].attempts  # an attempt without an outcome is still in flight
+    world.end_attempt(queries[1], O.RESET)
+    world.advance(SECOND - 100)
+    assert not queries[2].attempts
+    world.advance(400)
+    assert len(queries[2].attempts) == 1
 
 
 @pytest.mark.parametrize("engines", [0, 1, 3])
 @pytest.mark.parametrize("effect", list(Idempotency))
-def test_one_final_answer_before_the_limit(engines, effect):
+def test_one_final_answer_before_the_deadline(engines, effect):
     world = World(engines=engines, idempotency=effect)
-    batches = [world.take(memory=BUSY, limit=limit) for limit in (1, 100, 5000, 20_000, 100_000) * 5]
-    ends = {batch.arrival.index: batch.arrival.deadline for batch in batches}
+    queries = [world.submit(memory=BUSY, time_limit=limit) for limit in (1, 100, 5000, 20_000, 100_000) * 5]
+    ends = {query.arrival.index: query.arrival.deadline for query in queries}
     answered: dict[int, int] = {}
     start = world.now
     while world.now < start + 120_000:
-        world.run(50)
-        for batch in batches:
-            for number, attempt in enumerate(batch.attempts):
-                assert world.now <= ends[batch.arrival.index] or not attempt.in_flight
+        world.advance(50)
+        for query in queries:
+            for number, attempt in enumerate(query.attempts):
+                assert world.now <= ends[query.arrival.index] or not attempt.in_flight
                 if attempt.in_flight and any(
-                    d[0] == batch.arrival.index and attempt.sent_at + d[2] <= world.now
-                    for d in world.did("send_attempt")
+                    d[0] == query.arrival.index and attempt.sent_at + d[2] <= world.now
+                    for d in world.calls_of("send_attempt")
                 ):
-                    batch.attempt_ended(number, AttemptResult(O.TIMED_OUT, 1), False)
+                    query.attempt_ended(number, AttemptResult(O.TIMED_OUT, 1), False)
         for name in ("reject", "fail"):
-            for call in world.did(name):
+            for call in world.calls_of(name):
                 answered.setdefault(call[0], world.now)
     assert all(answered[i] <= ends[i] or ends[i] - start < 200 for i in ends)
-    assert len(world.did("reject") + world.did("fail")) == len(batches)
+    assert len(world.calls_of("reject") + world.calls_of("fail")) == len(queries)
 
 
-def test_a_silent_engine_is_left_alone_then_tried():
+def test_a_silent_engine_is_ejected_then_tried():
     world = World(engines=2)
-    stuck = [b for b in (world.take() for _ in range(40)) if b.attempts[0].engine.entry.index == 0]
-    for batch in list(stuck):
-        assert batch.attempts[0].in_flight
+    stuck = [b for b in (world.submit() for _ in range(40)) if b.attempts[0].engine.entry.index == 0]
+    for query in list(stuck):
+        assert query.attempts[0].in_flight
     for _ in range(100):
-        world.run(200)
-        for batch in [world.take(), world.take()]:
-            if batch.attempts and batch.attempts[0].engine.entry.index == 1:
-                world.end(batch, O.COMPLETED)
-    late = [d for d in world.did("send_attempt")[-60:] if d[1] == 0]
+        world.advance(200)
+        for query in [world.submit(), world.submit()]:
+            if query.attempts and query.attempts[0].engine.entry.index == 1:
+                world.end_attempt(query, O.COMPLETED)
+    late = [d for d in world.calls_of("send_attempt")[-60:] if d[1] == 0]
     assert len(late) <= 3
 
 
 @pytest.mark.parametrize(("sick", "outcome"), [(0, O.FAILED), (1, O.FAILED), (0, O.RESET)])
-def test_what_fails_at_all_engines_alike_is_not_laid_to_them(sick, outcome):
-    """Seen on sockets: batches of bad clients fail wherever they go, and the part of every engine that was
+def test_errors_common_to_all_engines_are_not_held_against_them(sick, outcome):
+    """Seen on sockets: queries of bad clients fail wherever they go, and the share of every engine that was
     used shrank with its health. One that fails more than the others is found all the same."""
     world = World(engines=5)
     for count in range(400):
-        world.run(200)
-        batch = world.take()
-        engine = batch.attempts[0].engine.entry.index
+        world.advance(200)
+        query = world.submit()
+        engine = query.attempts[0].engine.entry.index
         bad = count % 3 == 0 or engine < sick
-        batch.attempt_ended(0, AttemptResult(outcome if bad else O.COMPLETED, 100), True)
+        query.attempt_ended(0, AttemptResult(outcome if bad else O.COMPLETED, 100), True)
     levels = [engine.health.level for _, engine in sorted(world.gateway._engines._engines.items())]
     assert min(levels[sick:]) > 0.5 and max(levels[:sick], default=0.0) < 0.3
 
 
-def test_engines_that_are_gone_are_forgotten_once_they_hold_none_of_ours():
+def test_engines_that_are_gone_are_forgotten_once_they_run_none_of_ours():
     """Engines come and go without end: all that ever were stayed, and memory grew through a long day."""
     world = World(engines=2)
-    batch = world.take()
+    query = world.submit()
     for number in range(2, 40):
         there = [entry(number), entry(number - 1, state=EngineState.GONE)]
         world.gateway.update_engines(there, number % 2 == 0)
-        world.run(100)
-    kept = {39, batch.attempts[0].engine.entry.index}
+        world.advance(100)
+    kept = {39, query.attempts[0].engine.entry.index}
     assert set(world.gateway._engines._engines) - {0, 1} == {39} and kept <= set(
         world.gateway._engines._engines
     )
-    world.end(batch, O.COMPLETED)
+    world.end_attempt(query, O.COMPLETED)
     world.gateway.update_engines([entry(40)], True)
     assert set(world.gateway._engines._engines) == {40} and set(world.gateway._monitor._watched) <= {40}
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_what_a_client_has_withdrawn_is_called_off(may_cancel):
-    """Withdrawn by the hundred, they ran on at their engines and took the room of others."""
-    world = World(allowed={"may_cancel": may_cancel})
-    batch = world.take()
-    batch.client_left()
-    assert world.did("cancel_attempt") == ([(1, 0)] if may_cancel else [])
-    world.end(batch, O.CANCELLED)
-    assert world.gateway._engines.pool.running == 0 and len(world.did("send_attempt")) == 1
+def test_attempts_of_a_client_that_left_are_cancelled(may_cancel):
+    """Withdrawn by the hundred, they ran on at their engines and took the capacity of others."""
+    world = World(capabilities={"may_cancel": may_cancel})
+    query = world.submit()
+    query.client_left()
+    assert world.calls_of("cancel_attempt") == ([(1, 0)] if may_cancel else [])
+    world.end_attempt(query, O.CANCELLED)
+    assert world.gateway._engines.pool.running == 0 and len(world.calls_of("send_attempt")) == 1
 
 
-def test_a_dead_engine_is_tried_and_comes_back_as_a_cold_one():
+def test_a_lost_engine_is_tried_and_recovers_in_slow_start():
     world = World(engines=1, latency_objective=5 * SECOND)
-    batch, other = world.take(), world.take()
-    world.end(other, O.RESET)
-    world.run(200)
-    assert world.engine(0).health.level > 0.1  # one broken connection is no dead process
-    world.end(batch, O.NO_CONNECTION)
-    world.end(other, O.NO_CONNECTION)
+    query, other = world.submit(), world.submit()
+    world.end_attempt(other, O.RESET)
+    world.advance(200)
+    assert world.engine(0).health.level > 0.1  # one reset connection is no dead process
+    world.end_attempt(query, O.NO_CONNECTION)
+    world.end_attempt(other, O.NO_CONNECTION)
     other.client_left()
     assert world.engine(0).health.level == 0.0
-    world.run(600)
-    assert len(batch.attempts) == 1  # not before a while has passed
-    world.run(SECOND)
-    assert len(batch.attempts) == 2
+    world.advance(600)
+    assert len(query.attempts) == 1  # not before the trial interval has passed
+    world.advance(SECOND)
+    assert len(query.attempts) == 2
     world.gateway.update_engines([entry(0, started_at=world.now - 50)], False)
-    world.run(SECOND)
-    assert world.engine(0).health.level > 0.4  # a new process owes nothing for the old one
+    world.advance(SECOND)
+    assert world.engine(0).health.level > 0.4  # a new process does not inherit the old one's faults
     assert world.engine(0).slow_start.ramp_share(world.now) < 0.5
 
 
@@ -535,69 +537,77 @@
 def test_an_engine_that_fails_fast_and_reports_no_load_is_avoided(share, most):
     world, sent = World(engines=8, gateways=150), 0
     for count in range(600):
-        world.run(2000)
-        batch = world.take(limit=10 * SECOND)
-        bad = batch.attempts[0].engine.entry.index == 0
+        world.advance(2000)
+        query = world.submit(time_limit=10 * SECOND)
+        bad = query.attempts[0].engine.entry.index == 0
         sent += 1 if bad else 0
         report = LoadReport(running=0.0 if bad else 20.0)
         outcome = O.FAILED if bad and count % 10 < share * 10 else O.COMPLETED
-        batch.attempt_ended(0, AttemptResult(outcome, 50 if bad else 1500, load_report=report), True)
+        query.attempt_ended(0, AttemptResult(outcome, 50 if bad else 1500, load_report=report), True)
     assert sent <= most * 600
 
 
-def test_a_spill_note_lifts_the_next_grant():
+def test_a_spill_report_raises_the_next_grant():
     world = World(engines=1)
-    batch = world.take(memory=1000.0)
-    batch.attempt_progressed(0, ProgressKind.SPILL, 3000.0)
-    world.end(batch, O.COMPLETED, memory=0.0)
-    world.take(memory=1000.0)
-    first, second = (call[1] for call in world.did("grant_memory"))
+    query = world.submit(memory=1000.0)
+    query.attempt_progressed(0, ProgressKind.SPILL, 3000.0)
+    world.end_attempt(query, O.COMPLETED, memory=0.0)
+    world.submit(memory=1000.0)
+    first, second = (call[1] for call in world.calls_of("grant_memory"))
     assert second > first
 
 
 @pytest.mark.parametrize(("heeded", "cost", "priority"), [(True, 1000, 2), (True, 9000, 1), (False, 1000, 1)])
-def test_light_batches_go_first_where_priorities_are_heeded(heeded, cost, priority):
-    world = World(allowed={"sends_priorities": heeded})
-    world.take(cost=cost)
-    assert world.did("grant_memory")[0][2] == priority
+def test_light_queries_get_a_higher_priority_where_engines_take_priorities(heeded, cost, priority):
+    world = World(capabilities={"sends_priorities": heeded})
+    world.submit(cost=cost)
+    assert world.calls_of("grant_memory")[0][2] == priority
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.5, 1.0, 4.0])
-def test_weights_in_the_draw_and_in_what_is_filled(weight):
+def test_engine_weights_count_in_the_draw_and_in_the_share(weight):
     world = World(2)
     world.gateway.update_engines([entry(0, weight=weight), entry(1)], True)
     for _ in range(400):
-        world.end(world.take(), Outcome.COMPLETED)
+        world.end_attempt(world.submit(), Outcome.COMPLETED)
         world.now += 100
-    to = [engine for _, engine, _ in world.did("send_attempt")]
+    to = [engine for _, engine, _ in world.calls_of("send_attempt")]
     low, high = {0.0: (0, 0), 0.5: (90, 180), 1.0: (150, 250), 4.0: (280, 360)}[weight]
     assert low <= to.count(0) <= high and len(to) == 400
-    # Full of batches that stay, no more of it is taken than the part that is ours.
+    # Filled with queries that stay, no more of it is taken than our share.
     full = World(2)
     full.gateway.update_engines([entry(0, weight=weight), entry(1, weight=0.0)], True)
     for _ in range(60):
-        full.take(memory=2000.0)
+        full.submit(memory=2000.0)
     held = full.engine(0).reservations.granted
     assert held <= max(32000.0 * min(1.0, weight), 3000.0) and (weight == 0.0) == (held == 0.0)
     assert full.engine(1).reservations.granted == 0.0
 
 
-def test_a_weight_of_0_is_no_drain_and_its_end_sends_no_burst_to_a_cold_engine():
+def test_a_weight_of_0_is_no_drain_and_its_end_sends_no_burst_to_an_engine_that_warms_up():
     world = World(1)
-    batch = world.take()
+    query = world.submit()
     world.gateway.update_engines([entry(0, weight=0.0)], False)
-    waiting = [world.take() for _ in range(5)]
-    assert [b.is_held for b in waiting] == [True] * 5 and not world.did("reject") and not world.did("fail")
-    world.end(batch, Outcome.COMPLETED)  # what it runs goes on to its end
+    waiting = [world.submit() for _ in range(5)]
+    assert (
+        [b.is_held for b in waiting] == [True] * 5
+        and not world.calls_of("reject")
+        and not world.calls_of("fail")
+    )
+    world.end_attempt(query, Outcome.COMPLETED)  # what it runs goes on to its end
     assert not any(b.attempts for b in waiting)
     world.gateway.update_engines([entry(0, weight=10.0, started_at=world.now)], False)
     for _ in range(400):
-        world.take(cost=20_000)
+        world.submit(cost=20_000)
     spent = world.engine(0).slow_start.sent_work(world.now)
-    assert 0.0 < spent <= COLD.overload_multiple * 16 * COLD.overload_window * COLD.initial_share
+    assert (
+        0.0
+        < spent
+        <= SLOW_START.overload_multiple * 16 * SLOW_START.overload_window * SLOW_START.initial_share
+    )
 
 
-def test_the_index_by_bounds_follows_the_list():
+def test_the_order_by_constraints_follows_the_engine_list():
     world = World(0, zones=(1,))
     other = random.Random(3)
     there = {}
@@ -624,7 +634,7 @@
         assert abs(world.gateway._engines.pool.memory - 1.0 - memory) < 1e-3
 
 
-def test_what_is_handed_to_proxies_is_not_filled_twice():
+def test_capacity_left_to_proxies_is_not_filled_twice():
     world = World(2)
     whole = [c.capacity_share for c in world.gateway.engine_statuses()]
     assert whole == [1.0, 1.0] and all(c.warmed_up and c.usable for c in world.gateway.engine_statuses())
@@ -632,60 +642,60 @@
         world = World(2)
         world.gateway.set_proxy_share(part)
         for _ in range(40):
-            world.take(memory=BUSY / 2)
+            world.submit(memory=BUSY / 2)
         held = sum(e.reservations.granted for e in world.engines())
         assert held <= 64000.0 * (1.0 - part) + 2 * BUSY and (part or held > 40000.0)
-        assert len(world.did("send_attempt")) <= most
+        assert len(world.calls_of("send_attempt")) <= most
         assert [c.capacity_share for c in world.gateway.engine_statuses()] == whole  # for both together
 
 
-def test_a_cold_engine_s_budget_is_shared_with_proxies():
+def test_the_slow_start_budget_is_shared_with_proxies():
     sent = []
     for part in (0.0, 0.5):
         world = World(0)
         world.gateway.set_proxy_share(part)
         world.gateway.update_engines([entry(0, started_at=world.now)], True)
         for _ in range(400):
-            world.take(cost=20_000)
+            world.submit(cost=20_000)
         sent.append(world.engine(0).slow_start.sent_work(world.now))
         (cold,) = world.gateway.engine_statuses()
         assert not cold.warmed_up and cold.ramp_share == pytest.approx(0.3)
     assert 0.0 < sent[1] <= sent[0] / 2 + 20_000
 
 
-def test_what_proxies_report_weighs_on_an_engine():
+def test_proxy_load_counts_as_held_by_others():
     world = World(2)
 
     def go(count):
         for _ in range(count):
-            batch = world.take()
+            query = world.submit()
             result = AttemptResult(Outcome.COMPLETED, 1500, 1000, 400.0, LoadReport(cores_busy=0.05))
-            batch.attempt_ended(0, result, True)
+            query.attempt_ended(0, result, True)
             world.now += 10
-        return [engine for _, engine, _ in world.did("send_attempt")[-count:]]
+        return [engine for _, engine, _ in world.calls_of("send_attempt")[-count:]]
 
     go(200)
     world.gateway.update_proxy_load(0, 40.0, 0.0, 0.0)
     to = go(200)
-    assert to.count(0) < 20 and to.count(1) > 180  # taken by proxies, as they told
-    world.now += 20 * SECOND  # a word that old says nothing
+    assert to.count(0) < 20 and to.count(1) > 180  # taken by proxies, as they reported
+    world.now += 20 * SECOND  # a report that old says nothing
     assert go(200).count(0) > 60
     sick = World(4)
     for _ in range(5):
         sick.gateway.update_proxy_load(2, 0.0, 40.0, 40.0)  # all that they send there fails
-        sick.run(SECOND)
+        sick.advance(SECOND)
     assert [c.entry.index for c in sick.gateway.engine_statuses() if not c.usable] == [2]
     sick.gateway.update_proxy_load(99, 1.0, 1.0, 1.0)  # not listed: nothing
     assert sick.gateway.shed_share(0) == 0.0 and sick.gateway.typical_grant(0) >= 0.0
 
 
 @pytest.mark.parametrize(("outcome", "again"), [(O.REJECTED, 1), (O.NOT_SENT, 2)])
-def test_an_engine_that_refuses_gets_no_rounded_slice_for_a_while(outcome, again):
-    """Seen with 32 gateways under settings of our own: full engines were asked again at once by every one."""
+def test_an_engine_that_rejects_takes_none_past_our_share_for_a_while(outcome, again):
+    """Seen with 32 gateways under settings of our own: full engines were tried again at once by every one."""
     world = World(engines=1, gateways=200, latency_objective=8 * SECOND)
-    batch = world.take(memory=10.0)
-    world.end(batch, outcome)
-    world.run(SECOND)
-    assert len(batch.attempts) == again
-    world.run(2 * SECOND)
-    assert len(batch.attempts) == 2
+    query = world.submit(memory=10.0)
+    world.end_attempt(query, outcome)
+    world.advance(SECOND)
+    assert len(query.attempts) == again
+    world.advance(2 * SECOND)
+    assert len(query.attempts) == 2
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -344,15 +344,15 @@
     bound = QueryArrival(90, 0, 0, None, world.now + 10 * SECOND, 1000, 500.0, 0, False, frozenset({2}))
     for _ in range(5):
         batch = world.gateway.submit(bound)
-        assert world.did("send_attempt")[-1][1] == 2
-        world.end(batch, Outcome.COMPLETED)
+        assert world.calls_of("send_attempt")[-1][1] == 2
+        world.end_attempt(batch, Outcome.COMPLETED)
     nobody = QueryArrival(91, 0, 0, None, world.now + 10 * SECOND, 1000, 500.0, 0, False, frozenset({9}))
     waiting = world.gateway.submit(nobody)
     assert waiting.is_held and not waiting.attempts
-    assert world.take().attempts, "others go by"
+    assert world.submit().attempts, "others go by"
     nobody.eligible_engines = frozenset({1})  # news have come
-    world.run(SECOND // 2)
-    assert waiting.attempts and world.did("send_attempt")[-1][:2] == (91, 1)
+    world.advance(SECOND // 2)
+    assert waiting.attempts and world.calls_of("send_attempt")[-1][:2] == (91, 1)
 
 
 def test_placement_comes_before_a_hint():
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""The guard: each invariant is broken on purpose, by calls or by a decision module that errs."""
+"""The guard: each invariant is violated on purpose, by calls or by decisions that err."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.helpers import COLD, GROUP, ROOT, SERVICES, entry, member, until
+from tests.helpers import ROOT, SERVICE_CLASS, SERVICES, SLOW_START, entry, member, until
 from tests.test_crossings import joined, returns
 from vanerelay.interface import (
     SECOND,
@@ -27,10 +27,10 @@
 
 def guard_of(budget=RetryBudgetTerms(0, 0, 0.0), may_hedge=False, max_attempts=3, **group):  # noqa: B008
     terms = GuardTerms(
-        [dataclasses.replace(GROUP, **group)],
+        [dataclasses.replace(SERVICE_CLASS, **group)],
         [MachineKind(16, 32000.0)] * 2,
         budget,
-        COLD,
+        SLOW_START,
         max_attempts,
         may_hedge,
     )
@@ -69,7 +69,7 @@
     assert guard.violations() == {"drain": 3}
 
 
-def test_further_attempts_stay_within_the_budget_of_real_time():
+def test_retries_stay_within_the_budget():
     guard = guard_of(RetryBudgetTerms(10 * SECOND, 1, 0.1), max_attempts=99)
     records = [guard.query_submitted(NOW, 0, LIMIT, True) for _ in range(20)]
     spare = guard.query_submitted(NOW, 0, LIMIT, False)
@@ -102,7 +102,7 @@
         (Idempotency.DEDUPLICATED, DeduplicationScope.CELL, Outcome.RESET, 1, 0, None),
     ],
 )
-def test_what_may_have_run_is_repeated_only_where_that_does_no_harm(
+def test_a_query_that_may_have_run_is_retried_only_without_a_second_effect(
     effect, scope, outcome, at, engine, broken
 ):
     guard = guard_of(idempotency=effect, deduplication_scope=scope, deduplication_window=5 * SECOND)
@@ -111,7 +111,7 @@
     assert guard.begin_attempt(NOW + at, record, 1, engine) is broken
 
 
-def test_ends_deadlines_copies_and_counts_are_kept():
+def test_ends_deadlines_hedging_and_attempt_limits_hold():
     guard = guard_of()
     record = guard.query_submitted(NOW, 0, LIMIT, True)
     assert guard.begin_attempt(LIMIT, record, 0, 0) is Invariant.DEADLINE
@@ -137,22 +137,24 @@
     }
 
 
-def test_a_cold_engine_gets_no_more_than_all_together_may_send():
+def test_an_engine_that_warms_up_gets_no_more_than_all_together_may_send():
     guard = guard_of(max_attempts=99)
     guard.engine_listed(entry(1, started_at=NOW - 1))
     warm = guard.query_submitted(NOW, 0, LIMIT, True)
     for _ in range(MIN_ANSWERS):
         guard.attempt_ended(warm, 0, Outcome.COMPLETED, SECOND)
-    allowed = COLD.overload_multiple * COLD.initial_share * 16 * COLD.overload_window / SECOND
+    allowed = (
+        SLOW_START.overload_multiple * SLOW_START.initial_share * 16 * SLOW_START.overload_window / SECOND
+    )
     found = [guard.begin_attempt(NOW, guard.query_submitted(NOW, 0, LIMIT, True), 0, 1) for _ in range(60)]
     assert allowed < found.count(None) <= allowed + 3 * allowed**0.5 + 3 and found[-1] is Invariant.COLD
     assert guard.begin_attempt(NOW, warm, 0, 0) is None  # one that is warm takes what comes
-    after = NOW + COLD.ramp_duration + COLD.overload_window
+    after = NOW + SLOW_START.ramp_duration + SLOW_START.overload_window
     assert guard.begin_attempt(after, guard.query_submitted(after, 0, 2 * after, True), 0, 1) is None
 
 
 @pytest.mark.parametrize("span", [0, 10 * SECOND])
-def test_what_the_guard_remembers_is_bounded(span):
+def test_the_guard_s_memory_is_bounded(span):
     """Also where nothing is ever repeated, and where no budget is stated."""
     guard = guard_of(RetryBudgetTerms(span, 1, 0.1))
     for number in range(5_000):
@@ -180,8 +182,8 @@
 
 
 @pytest.mark.parametrize("fault", ERRING)
-def test_a_decision_module_that_errs_does_no_harm_and_is_counted(started, tmp_path, fault):
-    """Real processes, whose module is broken on purpose when they start."""
+def test_decisions_that_err_do_no_harm_and_are_counted(started, tmp_path, fault):
+    """Real processes, whose decisions are broken on purpose when they start."""
     shim = tmp_path / "erring"
     shim.mkdir()
     (shim / "sitecustomize.py").write_text(
@@ -213,7 +215,7 @@
     engine.say(connection, ident, "ERR")
 
 
-def test_a_sound_module_breaks_nothing(started):
+def test_sound_decisions_violate_nothing(started):
     engine = started.engine(returns)
     node = started(member(engine))
     client = joined(node)
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -304,18 +304,19 @@
 
 
 def test_a_batch_of_ours_goes_to_its_engine_alone_and_earns_nobody_further_dispatches():
-    world = Module(engines=3, ration=RetryBudgetTerms(10 * SECOND, 0, 0.5))
+    world = Module(engines=3, retry_budget=RetryBudgetTerms(10 * SECOND, 0, 0.5))
     for number in range(20):
         told = (70 + number, 0, 0, None, world.now + SECOND, 1000, 500.0, 7, False, frozenset({1}), True)
         own = QueryArrival(*told)
         batch = world.gateway.submit(own)
         assert (
-            world.did("send_attempt")[-1][:2] == (70 + number, 1) and world.gateway._engines.pool.running == 1
+            world.calls_of("send_attempt")[-1][:2] == (70 + number, 1)
+            and world.gateway._engines.pool.running == 1
         )
-        world.end(batch, Outcome.COMPLETED)
+        world.end_attempt(batch, Outcome.COMPLETED)
     assert world.gateway._engines.pool.running == 0
-    batch = world.take()
-    world.end(batch, Outcome.FAILED)
+    batch = world.submit()
+    world.end_attempt(batch, Outcome.FAILED)
     assert len(batch.attempts) == 1, "one batch of clients earns half a dispatch, ours none"
 
 
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.helpers import ALLOWED, GROUP, entry
+from tests.helpers import CAPABILITIES, SERVICE_CLASS, entry
 from vanerelay.interface import SECOND, DeduplicationScope, EngineStatus, Idempotency, RetryBudgetTerms
 from vanerelay.xds import resources
 from vanerelay.xds.assignment import Handed, Health, Retry, Steady, Terms, plan
@@ -40,8 +40,8 @@
     **group,
 ):
     terms = Terms(
-        (dataclasses.replace(GROUP, **group),),
-        dataclasses.replace(ALLOWED, **(allowed or {})),
+        (dataclasses.replace(SERVICE_CLASS, **group),),
+        dataclasses.replace(CAPABILITIES, **(allowed or {})),
         ration or RetryBudgetTerms(0, 0, 0.0),
         3.0,
     )
