--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -507,7 +507,7 @@
     def __init__(self, names):
         self.orders, self.runs, self.heeded, self.fence = [], dict.fromkeys(names, OLD), {}, 0
 
-    def ask(self, address, kind, body, patience_s):
+    def call(self, address, kind, body, patience_s):
         name = address.split(":")[0]
         if kind == "state":
             return succeed(
@@ -591,7 +591,7 @@
         assert set(loaded.guards) == {"look"} and loaded.digests[NEW] != loaded.digests[OLD]
         assert IS_NEW <= loaded.digests.keys()
         return
-    with pytest.raises(plan_reader.BadOptions, match="line [0-9]+.*" + says):
+    with pytest.raises(plan_reader.OperatorConfigError, match="line [0-9]+.*" + says):
         plan_reader.load(str(tmp_path / "p.hcl"))
 
 
