--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -2,12 +2,17 @@
 
 from __future__ import annotations
 
+import dataclasses
+import enum
+import hashlib
+import json
 import random
+from pathlib import Path
 
 import pytest
 
 from vanerelay.interface import SECOND, Idempotency
-from vanerelay.lab import fault_network, rule_checker, scenario, schedule
+from vanerelay.lab import fault_network, rule_checker, scenario, scenario_texts, schedule
 from vanerelay.lab.link_faults import Parties, Passage, Way, datagram
 from vanerelay.lab.model import Cold, Engine, Job, Machine, Put, Word
 from vanerelay.lab.record import Row, What
@@ -106,7 +111,7 @@
     for now in range(0, SECOND, 10):
         data, _ = passage.take(now)
         found += [now] * (len(data) // 100)
-    assert (found + [None, None])[:2] == [first, second]
+    assert [*found, None, None][:2] == [first, second]
 
 
 def test_what_was_held_comes_later_in_order_with_the_end_behind_it():
@@ -278,6 +283,55 @@
         scenario.load(str(path))
 
 
+def plain_values(value):
+    """A loaded scenario as lists, numbers and strings, in the order of its fields."""
+    if dataclasses.is_dataclass(value):
+        return [plain_values(getattr(value, field.name)) for field in dataclasses.fields(value)]
+    if isinstance(value, enum.Enum):
+        return repr(value.value)
+    return [plain_values(one) for one in value] if isinstance(value, tuple | list) else value
+
+
+def test_scenarios_load_as_recorded():
+    """By what they load, not by how it is written: shared texts and includes change no value.
+
+    Who means to change a scenario records its digest anew.
+    """
+    recorded = json.loads((Path(__file__).parent / "data" / "scenario_digests.json").read_text())
+    loaded = {path.stem: plain_values(scenario.load(path.stem)) for path in scenario.SCRIPTS.glob("*.hcl")}
+    assert {
+        name: hashlib.sha256(repr(values).encode()).hexdigest() for name, values in loaded.items()
+    } == recorded
+
+
+def shared_texts(folder, **texts):
+    (folder / "shared").mkdir()
+    for name, text in texts.items():
+        (folder / "shared" / f"{name}.hcl").write_text(text)
+
+
+def test_texts_include_shared_texts_beside_the_scenario_first(tmp_path):
+    shared_texts(tmp_path, outer="a\n@INCLUDE inner@\nc\n", inner="b\n")
+    assert scenario_texts.expand("1\n@INCLUDE outer@\n2", tmp_path) == "1\na\nb\nc\n2"
+    assert scenario_texts.expand("@INCLUDE outer@", tmp_path) == "a\nb\nc"
+    assert "fleet {" in scenario_texts.expand("@INCLUDE fleet-options@", tmp_path)  # the laboratory's own
+    assert (
+        scenario_texts.expand("@MEMBERS@\nsay @INCLUDE outer@", tmp_path) == "@MEMBERS@\nsay @INCLUDE outer@"
+    )
+
+
+@pytest.mark.parametrize(
+    "name, why", [("missing", "no shared/missing.hcl"), ("outer", "outer includes itself")]
+)
+def test_texts_that_can_not_be_included_are_refused_with_their_line(tmp_path, name, why):
+    shared_texts(tmp_path, outer="@INCLUDE inner@\n", inner="@INCLUDE outer@\n")
+    text = (scenario.SCRIPTS / "fleet.hcl").read_text()
+    path = tmp_path / "bad.hcl"
+    path.write_text(text.replace("@INCLUDE rollout-options@", f"@INCLUDE {name}@"))
+    with pytest.raises(scenario.OperatorConfigError, match=f"line [0-9]+: .*{why}"):
+        scenario.load(str(path))
+
+
 def test_no_address_is_given_to_two_parties(monkeypatch):
     """A manager's port for clients and the one for its fleet were the same: nobody listens there yet."""
     ports = iter([4001, 4001, 4001, 4002])
--- a/vanerelay/lab/scenario.py
+++ b/vanerelay/lab/scenario.py
@@ -8,11 +8,12 @@
 from typing import Any, TypeVar
 
 from vanerelay.interface import MILLISECOND, SECOND, Duration, Idempotency
+from vanerelay.lab import scenario_texts
 from vanerelay.lab.model import Cold, Machine
 from vanerelay.operator_config import Block, OperatorConfigError, read_file
 
 T = TypeVar("T")
-SCRIPTS = Path(__file__).parent / "scenarios"
+SCRIPTS = scenario_texts.SCENARIOS
 
 
 @dataclass(frozen=True, slots=True)
@@ -280,9 +281,7 @@
     groups = tuple(_group(one) for one in document.all("group"))
     engines = tuple(_filled(one, Engines, kind=one.label or "k") for one in document.all("engines"))
     managers = document.only("managers")
-    releases = tuple(
-        _filled(one, Release, name=one.label, settings=_settings(one)) for one in document.all("release")
-    )
+    releases = tuple(_release(one) for one in document.all("release"))
     faults = tuple(_fault(one, {release.name for release in releases}) for one in document.all("fault"))
     if not groups or not engines or managers is None:
         raise document.wrong("no group, engines or managers, expected at least one of each")
@@ -291,7 +290,7 @@
         length=document.take("length", Duration, 20 * SECOND),
         groups=groups,
         engines=engines,
-        managers=_filled(managers, Managers, files=_files(managers)),
+        managers=_managers(managers),
         releases=releases,
         programs=tuple(_program(one) for one in document.all("program")),
         clients=_one(document, "clients", Clients),
@@ -326,16 +325,32 @@
     return found
 
 
+def _managers(block: Block) -> Managers:
+    found = _filled(block, Managers, files=_files(block))
+    return dataclasses.replace(found, options=_expanded(block, found.options))
+
+
+def _release(block: Block) -> Release:
+    found = _filled(block, Release, name=block.label, settings=_settings(block))
+    return dataclasses.replace(found, options=_expanded(block, found.options))
+
+
 def _files(block: Block) -> tuple[Written, ...]:
-    return tuple(
-        _filled(
-            one,
-            Written,
-            name=one.label,
-            settings=_settings(one) if one.take("settings", dict[str, Any]) is not None else None,
-        )
-        for one in block.all("file")
-    )
+    return tuple(_file(one) for one in block.all("file"))
+
+
+def _file(block: Block) -> Written:
+    settings = _settings(block) if block.take("settings", dict[str, Any]) is not None else None
+    found = _filled(block, Written, name=block.label, settings=settings)
+    return dataclasses.replace(found, text=_expanded(block, found.text))
+
+
+def _expanded(block: Block, text: str) -> str:
+    """A text of a block, with the shared texts that it includes."""
+    try:
+        return scenario_texts.expand(text, Path(block.file).parent)
+    except scenario_texts.IncludeError as error:
+        raise block.wrong(str(error)) from error
 
 
 def _program(block: Block) -> Program:
--- a/vanerelay/lab/scenarios/roll-cut.hcl
+++ b/vanerelay/lab/scenarios/roll-cut.hcl
@@ -18,33 +18,7 @@
     text = <<EOT
 name     = "change"
 baseline = "4s"
-change {
-  before   = "old.json"
-  settings = "new.json"
-}
-@MEMBERS@
-away {
-  most   = 2
-  domain = 1
-}
-stage "two" {
-  managers = 2
-}
-stage "all" {
-  part = 1.0
-}
-judge {
-  block   = 20
-  least   = 6
-  settle  = "1s"
-  longest = "40s"
-}
-guard "look" {
-  loss = 0.3
-}
-guard "order" {
-  loss = 0.3
-}
+@INCLUDE settings-change-40s@
 
 EOT
   }
--- a/vanerelay/lab/scenarios/roll-lease.hcl
+++ b/vanerelay/lab/scenarios/roll-lease.hcl
@@ -7,15 +7,7 @@
   count     = 6
   locations = ["east", "west"]
   options   = <<EOT
-fleet {
-  listen = "@LISTEN@"
-  domain = "@PLACE@"
-  folder = "@FOLDER@"
-@MEMBERS@
-}
-rollout {
-  folder = "@FOLDER@"
-}
+@INCLUDE rollout-options@
 leases {
   voters = ["m1", "m2", "m3"]
   folder = "@FOLDER@/leases"
@@ -45,40 +37,8 @@
     text = <<EOT
 name     = "first"
 baseline = "4s"
-leases {
-  voters  = ["m1", "m2", "m3"]
-  terms {
-    term    = "3s"
-    longest = "3s"
-  }
-}
-change {
-  before   = "old.json"
-  settings = "new.json"
-}
-@MEMBERS@
-away {
-  most   = 2
-  domain = 1
-}
-stage "two" {
-  managers = 2
-}
-stage "all" {
-  part = 1.0
-}
-judge {
-  block   = 20
-  least   = 6
-  settle  = "1s"
-  longest = "60s"
-}
-guard "look" {
-  loss = 0.3
-}
-guard "order" {
-  loss = 0.3
-}
+@INCLUDE plan-leases@
+@INCLUDE settings-change-60s@
 EOT
   }
 }
@@ -98,40 +58,8 @@
     text = <<EOT
 name     = "second"
 baseline = "4s"
-leases {
-  voters  = ["m1", "m2", "m3"]
-  terms {
-    term    = "3s"
-    longest = "3s"
-  }
-}
-change {
-  before   = "old.json"
-  settings = "new.json"
-}
-@MEMBERS@
-away {
-  most   = 2
-  domain = 1
-}
-stage "two" {
-  managers = 2
-}
-stage "all" {
-  part = 1.0
-}
-judge {
-  block   = 20
-  least   = 6
-  settle  = "1s"
-  longest = "60s"
-}
-guard "look" {
-  loss = 0.3
-}
-guard "order" {
-  loss = 0.3
-}
+@INCLUDE plan-leases@
+@INCLUDE settings-change-60s@
 EOT
   }
 }
--- a/vanerelay/lab/scenarios/roll-program.hcl
+++ b/vanerelay/lab/scenarios/roll-program.hcl
@@ -7,15 +7,7 @@
   count     = 6
   locations = ["east", "west"]
   options   = <<EOT
-fleet {
-  listen = "@LISTEN@"
-  domain = "@PLACE@"
-  folder = "@FOLDER@"
-@MEMBERS@
-}
-rollout {
-  folder = "@FOLDER@"
-}
+@INCLUDE rollout-options@
 EOT
   keeper    = true
 }
@@ -41,33 +33,7 @@
 name     = "change"
 baseline = "4s"
 control = 1
-change {
-  program = "new"
-  back    = "old"
-}
-@MEMBERS@
-away {
-  most   = 2
-  domain = 1
-}
-stage "two" {
-  managers = 2
-}
-stage "all" {
-  part = 1.0
-}
-judge {
-  block   = 20
-  least   = 6
-  settle  = "1s"
-  longest = "40s"
-}
-guard "look" {
-  loss = 0.3
-}
-guard "order" {
-  loss = 0.3
-}
+@INCLUDE program-change-40s@
 
 EOT
   }
--- a/vanerelay/lab/scenarios/roll-site.hcl
+++ b/vanerelay/lab/scenarios/roll-site.hcl
@@ -6,15 +6,7 @@
   count     = 6
   locations = ["east", "west"]
   options   = <<EOT
-fleet {
-  listen = "@LISTEN@"
-  domain = "@PLACE@"
-  folder = "@FOLDER@"
-@MEMBERS@
-}
-rollout {
-  folder = "@FOLDER@"
-}
+@INCLUDE rollout-options@
 EOT
 }
 
--- a/vanerelay/lab/scenarios/roll-unwilling.hcl
+++ b/vanerelay/lab/scenarios/roll-unwilling.hcl
@@ -6,15 +6,7 @@
 release "with proxies" {
   managers = "m2"
   options  = <<EOT
-fleet {
-  listen = "@LISTEN@"
-  domain = "@PLACE@"
-  folder = "@FOLDER@"
-@MEMBERS@
-}
-rollout {
-  folder = "@FOLDER@"
-}
+@INCLUDE rollout-options@
 xds {
   listen = "127.0.0.1:0"
 }
@@ -36,33 +28,7 @@
     text = <<EOT
 name     = "change"
 baseline = "4s"
-change {
-  before   = "old.json"
-  settings = "new.json"
-}
-@MEMBERS@
-away {
-  most   = 2
-  domain = 1
-}
-stage "two" {
-  managers = 2
-}
-stage "all" {
-  part = 1.0
-}
-judge {
-  block   = 20
-  least   = 6
-  settle  = "1s"
-  longest = "40s"
-}
-guard "look" {
-  loss = 0.3
-}
-guard "order" {
-  loss = 0.3
-}
+@INCLUDE settings-change-40s@
 
 EOT
   }
--- /dev/null
+++ b/vanerelay/lab/scenarios/shared/fleet-options.hcl
@@ -0,0 +1,6 @@
+fleet {
+  listen = "@LISTEN@"
+  domain = "@PLACE@"
+  folder = "@FOLDER@"
+@MEMBERS@
+}
--- /dev/null
+++ b/vanerelay/lab/scenarios/shared/rollout-options.hcl
@@ -0,0 +1,4 @@
+@INCLUDE fleet-options@
+rollout {
+  folder = "@FOLDER@"
+}
--- a/vanerelay/lab/scenarios/warm-site.hcl
+++ b/vanerelay/lab/scenarios/warm-site.hcl
@@ -6,21 +6,9 @@
   count     = 6
   locations = ["east", "west"]
   options   = <<EOT
-fleet {
-  listen = "@LISTEN@"
-  domain = "@PLACE@"
-  folder = "@FOLDER@"
-@MEMBERS@
-}
+@INCLUDE fleet-options@
 leases {
-  voters  = ["m1", "m2", "m3"]
-  folder  = "@FOLDER@/leases"
-  history = "@HISTORY@"
-  terms {
-    term    = "2s"
-    longest = "3s"
-    linger  = "300ms"
-  }
+@INCLUDE lease-voters@
 }
 warming {
   group     = "warm"
