--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,9 +13,10 @@
 
 from vanerelay.interface import SECOND, Idempotency
 from vanerelay.lab import fault_network, rule_checker, scenario, scenario_texts, schedule
-from vanerelay.lab.link_faults import Parties, Passage, Way, datagram
-from vanerelay.lab.model import Cold, Engine, Job, Machine, Put, Word
-from vanerelay.lab.record import Row, What
+from vanerelay.lab.engine_model import EngineModel, Job, JobEvent, Machine, SlowStart, Submission
+from vanerelay.lab.event_log import Event, EventKind
+from vanerelay.lab.link_faults import DelayedStream, LinkState, Parties, datagram_arrival
+from vanerelay.lab.scenario_config import RetryBudget, ServiceClass
 
 MS = SECOND // 1000
 
@@ -28,13 +29,13 @@
     """When each dispatch ended, with the shell's steps."""
     now, found = 0, {}
     while now < until:
-        due = engine.due(now)
+        due = engine.next_event_at(now)
         now = min(until, due if due is not None else until)
         engine.advance(now)
-        for at, word, one in engine.news:
-            if word is Word.ENDED:
+        for at, event, one in engine.events:
+            if event is JobEvent.ENDED:
                 found[one.key] = at
-        engine.news.clear()
+        engine.events.clear()
     return found
 
 
@@ -50,88 +51,94 @@
     ],
 )
 def test_engine_by_arithmetic(jobs, expected):
-    engine = Engine(Machine(2, 1000.0), Cold(), 0)
+    engine = EngineModel(Machine(2, 1000.0), SlowStart(), 0)
     for one in jobs:
-        assert engine.put(0, one) is Put.TAKEN
+        assert engine.submit(0, one) is Submission.ACCEPTED
     found = ends(engine, SECOND)
     assert {key: pytest.approx(at / MS, abs=3) for key, at in found.items()} == expected
 
 
 def test_processor_sharing_keeps_the_known_mean():
     """M/M/1 with processor sharing: the mean time is work / (1 - load); Little's law holds with it."""
-    chance, engine = random.Random(3), Engine(Machine(1, 1e9, 10**6), Cold(), 0)
+    chance, engine = random.Random(3), EngineModel(Machine(1, 1e9, 10**6), SlowStart(), 0)
     work, load, now, took = 100 * MS, 0.6, 0.0, []
     for number in range(20_000):
         now += chance.expovariate(load / work)
-        while (due := engine.due(engine._now)) is not None and due <= now:
+        while (due := engine.next_event_at(engine.now)) is not None and due <= now:
             engine.advance(due)
         engine.advance(int(now))
-        engine.put(int(now), job(str(number), chance.expovariate(1 / work) + 1, came=int(now)))
-        took += [at - one.came for at, word, one in engine.news if word is Word.ENDED]
-        engine.news.clear()
+        engine.submit(int(now), job(str(number), chance.expovariate(1 / work) + 1, came=int(now)))
+        took += [at - one.arrived_at for at, event, one in engine.events if event is JobEvent.ENDED]
+        engine.events.clear()
     assert sum(took) / len(took) == pytest.approx(work / (1 - load), rel=0.06)
 
 
 def test_engine_falls_under_the_sum_of_all_and_returns_cold():
-    engine = Engine(Machine(2, 1e6), Cold(0.5, 10 * SECOND, 2.0, SECOND, SECOND), 0, fresh=True)
+    engine = EngineModel(Machine(2, 1e6), SlowStart(0.5, 10 * SECOND, 2.0, SECOND, SECOND), 0, fresh=True)
     most = 2.0 * 2 * 0.5 * SECOND
-    assert engine.put(0, job("a", most * 0.6, source="m1")) is Put.TAKEN
-    assert engine.put(10, job("b", most * 0.5, source="m2")) is Put.FELL
-    assert engine.down and dict(engine.falls[0].sent) == {"m1": round(most * 0.6), "m2": round(most * 0.5)}
-    assert engine.put(20, job("c")) is Put.DOWN
-    engine.rise(SECOND)
-    assert engine.share(SECOND) == 0.5 and engine.put(SECOND, job("d")) is Put.TAKEN
+    assert engine.submit(0, job("a", most * 0.6, source="m1")) is Submission.ACCEPTED
+    assert engine.submit(10, job("b", most * 0.5, source="m2")) is Submission.OVERLOADED
+    assert engine.is_down and dict(engine.overloads[0].work_by_sender) == {
+        "m1": round(most * 0.6),
+        "m2": round(most * 0.5),
+    }
+    assert engine.submit(20, job("c")) is Submission.DOWN
+    engine.restart(SECOND)
+    assert engine.capacity_share(SECOND) == 0.5 and engine.submit(SECOND, job("d")) is Submission.ACCEPTED
 
 
 def test_dispatches_of_one_that_vanished_run_on_and_waiting_ones_are_dropped():
-    engine = Engine(Machine(1, 100.0), Cold(), 0)
-    engine.put(0, job("runs", need=100.0))
-    engine.put(0, job("waits", need=100.0))
+    engine = EngineModel(Machine(1, 100.0), SlowStart(), 0)
+    engine.submit(0, job("runs", need=100.0))
+    engine.submit(0, job("waits", need=100.0))
     engine.drop(10, "runs")
     engine.drop(10, "waits")
-    assert list(engine.running) == ["runs"] and not engine.line
-    assert [word for _, word, _ in engine.news] == [Word.BEGAN, Word.DROPPED]
+    assert list(engine.running) == ["runs"] and not engine.queue
+    assert [event for _, event, _ in engine.events] == [JobEvent.BEGAN, JobEvent.DROPPED]
 
 
 @pytest.mark.parametrize(
-    "way, first, second",
+    "link, first, second",
     [
-        (Way(), 0, 0),
-        (Way(delay=50), 50, 50),
-        (Way(rate=1000.0), SECOND // 10, 2 * SECOND // 10),  # a hundred bytes each
-        (Way(held=True), None, None),
-        (Way(swallowed=True), None, None),
+        (LinkState(), 0, 0),
+        (LinkState(delay=50), 50, 50),
+        (LinkState(bytes_per_s=1000.0), SECOND // 10, 2 * SECOND // 10),  # a hundred bytes each
+        (LinkState(is_held=True), None, None),
+        (LinkState(is_dropping=True), None, None),
     ],
 )
-def test_passages(way, first, second):
+def test_streams(link, first, second):
     """When two pieces of a hundred bytes arrive that were sent at once."""
-    passage, found = Passage(way, random.Random(1)), []
+    stream, found = DelayedStream(link, random.Random(1)), []
     for piece in (b"a" * 100, b"b" * 100):
-        passage.put(0, piece)
+        stream.send(0, piece)
     for now in range(0, SECOND, 10):
-        data, _ = passage.take(now)
+        data, _ = stream.receive(now)
         found += [now] * (len(data) // 100)
     assert [*found, None, None][:2] == [first, second]
 
 
 def test_what_was_held_comes_later_in_order_with_the_end_behind_it():
-    way = Way(held=True)
-    passage = Passage(way, random.Random(1))
-    passage.put(0, b"one")
-    passage.put(5, b"two")
-    passage.close(6)
-    assert passage.take(100) == (b"", False) and passage.due() is None
-    way.held = False
-    assert passage.take(100) == (b"onetwo", True)
+    link = LinkState(is_held=True)
+    stream = DelayedStream(link, random.Random(1))
+    stream.send(0, b"one")
+    stream.send(5, b"two")
+    stream.close(6)
+    assert stream.receive(100) == (b"", False) and stream.next_arrival() is None
+    link.is_held = False
+    assert stream.receive(100) == (b"onetwo", True)
 
 
 def test_lost_pieces_come_late_and_lost_datagrams_never():
     chance = random.Random(5)
-    passage = Passage(Way(loss=0.5), chance)
+    stream = DelayedStream(LinkState(loss=0.5), chance)
     for _ in range(50):
-        passage.put(0, b"x")
-    assert len(passage.take(0)[0]) < 50 and passage.due() > 0
-    assert {datagram(0, Way(loss=1.0), chance), datagram(0, Way(held=True), chance)} == {None}
+        stream.send(0, b"x")
+    assert len(stream.receive(0)[0]) < 50 and stream.next_arrival() > 0
+    assert {
+        datagram_arrival(0, LinkState(loss=1.0), chance),
+        datagram_arrival(0, LinkState(is_held=True), chance),
+    } == {None}
 
 
 def test_words_for_links():
@@ -145,33 +152,41 @@
 
 
 ONCE, TWICE = (
-    scenario.Group("order", SECOND, 2 * SECOND, 1.0, 100, effect=Idempotency.NON_IDEMPOTENT),
-    scenario.Group("copy", SECOND, 2 * SECOND, 1.0, 100, effect=Idempotency.DEDUPLICATED, window=SECOND),
+    ServiceClass("order", SECOND, 2 * SECOND, 1.0, 100, idempotency=Idempotency.NON_IDEMPOTENT),
+    ServiceClass(
+        "copy",
+        SECOND,
+        2 * SECOND,
+        1.0,
+        100,
+        idempotency=Idempotency.DEDUPLICATED,
+        deduplication_window=SECOND,
+    ),
 )
-HERE = scenario.Group("here", SECOND, 2 * SECOND, 1.0, 100, locations=("east",))
-SITE = rule_checker.Site(
+HERE = ServiceClass("here", SECOND, 2 * SECOND, 1.0, 100, zones=("east",))
+CONTEXT = rule_checker.CheckContext(
     {g.name: g for g in (ONCE, TWICE, HERE)},
-    scenario.Ration(10 * SECOND, 1, 0.1),
+    RetryBudget(10 * SECOND, 1, 0.1),
     {"e1": "east", "e2": "west"},
     {"m9": [(0, 10 * SECOND)]},
 )
 
 
 def rows(*told):
-    """At, what, then other fields; of batch `b` at `m1` unless told."""
-    return [Row(at, what, **{"batch": "b", "manager": "m1", **other}) for at, what, other in told]
+    """Time, kind, then other fields; of query `b` at `m1` unless told."""
+    return [Event(at, kind, **{"query": "b", "gateway": "m1", **other}) for at, kind, other in told]
 
 
 def sent(at=0, manager="m1", group="order"):
-    return at, What.SENT, {"figure": 2.0 * SECOND, "group": group, "manager": manager}
+    return at, EventKind.SENT, {"value": 2.0 * SECOND, "service_class": group, "gateway": manager}
 
 
 def came(at, engine="e1", group="order", **other):
-    return at, What.ARRIVED, {"engine": engine, "group": group, **other}
+    return at, EventKind.ARRIVED, {"engine": engine, "service_class": group, **other}
 
 
 def answered(at, told="returned", **other):
-    return at, What.ANSWERED, {"told": told, "group": "order", **other}
+    return at, EventKind.ANSWERED, {"detail": told, "service_class": "order", **other}
 
 
 @pytest.mark.parametrize(
@@ -180,14 +195,14 @@
         ([sent(), answered(SECOND)], []),
         ([sent(), answered(3 * SECOND)], [1]),
         ([sent(), answered(SECOND), answered(SECOND)], [1]),
-        ([sent(), (4 * SECOND, What.READY, {})], [1]),
-        ([sent(), (SECOND, What.LOST, {})], [1]),
-        ([sent(manager="m9"), (SECOND, What.LOST, {"manager": "m9"})], []),
+        ([sent(), (4 * SECOND, EventKind.READY, {})], [1]),
+        ([sent(), (SECOND, EventKind.LOST, {})], [1]),
+        ([sent(manager="m9"), (SECOND, EventKind.LOST, {"gateway": "m9"})], []),
         ([came(0), came(10, "e2")], [2]),
         (
             [
                 came(0),
-                (5, What.NEVER, {"engine": "e1", "group": "order", "told": "pushed back"}),
+                (5, EventKind.NEVER_RAN, {"engine": "e1", "service_class": "order", "detail": "pushed back"}),
                 came(10, "e2"),
             ],
             [],
@@ -195,74 +210,89 @@
         (
             [
                 came(0),
-                (5, What.NEVER, {"engine": "e1", "group": "order", "told": "pushed back"}),
+                (5, EventKind.NEVER_RAN, {"engine": "e1", "service_class": "order", "detail": "pushed back"}),
                 came(10),
-                (12, What.NEVER, {"engine": "e1", "group": "order", "told": "pushed back"}),
+                (
+                    12,
+                    EventKind.NEVER_RAN,
+                    {"engine": "e1", "service_class": "order", "detail": "pushed back"},
+                ),
                 came(15, "e2"),
             ],
             [],
         ),
         (
-            [came(0), (5, What.NEVER, {"engine": "e1", "group": "order", "told": "dropped"}), came(10, "e2")],
+            [
+                came(0),
+                (5, EventKind.NEVER_RAN, {"engine": "e1", "service_class": "order", "detail": "dropped"}),
+                came(10, "e2"),
+            ],
             [2],
         ),
         ([came(0, group="copy"), came(SECOND // 2, "e2", "copy")], []),
         ([came(0, group="copy"), came(2 * SECOND, "e2", "copy")], [2]),
-        ([came(0), (1, What.BEGAN, {"engine": "e1", "group": "order"}), answered(9, "pushed back")], [2]),
         (
             [
                 came(0),
-                (1, What.BEGAN, {"engine": "e1", "group": "order"}),
-                (2, What.ENDED, {"group": "order"}),
-                (3, What.ENDED, {"group": "order"}),
+                (1, EventKind.BEGAN, {"engine": "e1", "service_class": "order"}),
+                answered(9, "pushed back"),
+            ],
+            [2],
+        ),
+        (
+            [
+                came(0),
+                (1, EventKind.BEGAN, {"engine": "e1", "service_class": "order"}),
+                (2, EventKind.ENDED, {"service_class": "order"}),
+                (3, EventKind.ENDED, {"service_class": "order"}),
             ],
             [8],
         ),
-        ([(0, What.TOLD, {"engine": "e1", "told": "DRAINING"}), came(SECOND)], []),
-        ([(0, What.TOLD, {"engine": "e1", "told": "DRAINING"}), came(3 * SECOND)], [3]),
+        ([(0, EventKind.NOTIFIED, {"engine": "e1", "detail": "DRAINING"}), came(SECOND)], []),
+        ([(0, EventKind.NOTIFIED, {"engine": "e1", "detail": "DRAINING"}), came(3 * SECOND)], [3]),
         (
             [
-                (0, What.TOLD, {"engine": "e1", "told": "DRAINING"}),
-                (1, What.TOLD, {"engine": "e1", "told": "SERVING"}),
+                (0, EventKind.NOTIFIED, {"engine": "e1", "detail": "DRAINING"}),
+                (1, EventKind.NOTIFIED, {"engine": "e1", "detail": "SERVING"}),
                 came(3 * SECOND),
             ],
             [],
         ),
         (
             [
-                (0, What.TOLD, {"engine": "e1", "told": "SERVING"}),
-                (5, What.FELL, {"engine": "e1", "told": "m1=9,m2=1"}),
+                (0, EventKind.NOTIFIED, {"engine": "e1", "detail": "SERVING"}),
+                (5, EventKind.OVERLOADED, {"engine": "e1", "detail": "m1=9,m2=1"}),
             ],
             [4],
         ),
         (
             [
-                (0, What.TOLD, {"engine": "e1", "told": "SERVING"}),
-                (5, What.FELL, {"engine": "e1", "told": "m1=5,m2=5"}),
+                (0, EventKind.NOTIFIED, {"engine": "e1", "detail": "SERVING"}),
+                (5, EventKind.OVERLOADED, {"engine": "e1", "detail": "m1=5,m2=5"}),
             ],
             [],
         ),
         (
             [
-                (0, What.TOLD, {"engine": "e1", "told": "SERVING"}),
-                (1, What.STRUCK, {"engine": "e1"}),
-                (5, What.FELL, {"engine": "e1", "told": "m1=9"}),
+                (0, EventKind.NOTIFIED, {"engine": "e1", "detail": "SERVING"}),
+                (1, EventKind.STRUCK, {"engine": "e1"}),
+                (5, EventKind.OVERLOADED, {"engine": "e1", "detail": "m1=9"}),
             ],
             [],
         ),
         ([came(0, "e2", "here")], [6]),
-        ([came(0, batch=f"{n // 2}", group="") for n in range(8)], [7]),
-        ([(5, What.DIED, {"told": "exit code 1"})], [0]),
+        ([came(0, query=f"{n // 2}", group="") for n in range(8)], [7]),
+        ([(5, EventKind.DIED, {"detail": "exit code 1"})], [0]),
     ],
 )
 def test_rules_from_outside(told, broken):
-    assert [one.rule for one in rule_checker.judge(rows(*told), SITE)] == broken
+    assert [one.rule for one in rule_checker.check(rows(*told), CONTEXT)] == broken
 
 
 def test_the_schedule_is_the_seed_s_alone():
     found = scenario.load("faults")
-    one, other = (schedule.needs(found, 7) for _ in range(2))
-    assert [(n.at, n.work, n.draw) for n in one] == [(n.at, n.work, n.draw) for n in other]
+    one, other = (schedule.draw_requests(found, 7) for _ in range(2))
+    assert [(n.at, n.work, n.gateway_draw) for n in one] == [(n.at, n.work, n.gateway_draw) for n in other]
     burst = [sum(a * SECOND <= n.at < (a + 2) * SECOND for n in one) for a in (10, 14)]
     assert burst[1] > 1.4 * burst[0]
 
@@ -276,7 +306,7 @@
     ],
 )
 def test_bad_scripts_are_refused_with_their_line(tmp_path, change, why):
-    text = (scenario.SCRIPTS / "faults.hcl").read_text()
+    text = (scenario_texts.SCENARIOS / "faults.hcl").read_text()
     path = tmp_path / "bad.hcl"
     path.write_text(text.replace(change, why, 1))
     with pytest.raises(scenario.OperatorConfigError, match="line [0-9]+: "):
@@ -298,7 +328,9 @@
     Who means to change a scenario records its digest anew.
     """
     recorded = json.loads((Path(__file__).parent / "data" / "scenario_digests.json").read_text())
-    loaded = {path.stem: plain_values(scenario.load(path.stem)) for path in scenario.SCRIPTS.glob("*.hcl")}
+    loaded = {
+        path.stem: plain_values(scenario.load(path.stem)) for path in scenario_texts.SCENARIOS.glob("*.hcl")
+    }
     assert {
         name: hashlib.sha256(repr(values).encode()).hexdigest() for name, values in loaded.items()
     } == recorded
@@ -325,7 +357,7 @@
 )
 def test_texts_that_can_not_be_included_are_refused_with_their_line(tmp_path, name, why):
     shared_texts(tmp_path, outer="@INCLUDE inner@\n", inner="@INCLUDE outer@\n")
-    text = (scenario.SCRIPTS / "fleet.hcl").read_text()
+    text = (scenario_texts.SCENARIOS / "fleet.hcl").read_text()
     path = tmp_path / "bad.hcl"
     path.write_text(text.replace("@INCLUDE rollout-options@", f"@INCLUDE {name}@"))
     with pytest.raises(scenario.OperatorConfigError, match=f"line [0-9]+: .*{why}"):
--- a/vanerelay/lab/cache_model.py
+++ b/vanerelay/lab/cache_model.py
@@ -1,4 +1,4 @@
-"""What an engine keeps warm: the table groups read last. Pure; nothing of it is served."""
+"""What an engine has cached: the table groups read last. Pure; nothing of it is served."""
 
 from __future__ import annotations
 
@@ -7,15 +7,22 @@
 
 
 @dataclass(slots=True)
-class Warm:
-    keeps: int
-    groups: OrderedDict[int, float] = field(default_factory=OrderedDict)
-
-    def read(self, now: float, group: int) -> None:
-        self.groups[group] = now
-        self.groups.move_to_end(group)
-        while len(self.groups) > self.keeps:
-            self.groups.popitem(last=False)
-
-    def old(self, group: int) -> None:
-        self.groups.pop(group, None)
+class TableCache:
+    """The `capacity` table groups read last, each with the time of its last read."""
+
+    capacity: int
+    table_groups: OrderedDict[int, float] = field(default_factory=OrderedDict)
+
+    def read(self, now: float, table_group: int) -> None:
+        """A read has cached a table group; the one read longest ago may go."""
+        self.table_groups[table_group] = now
+        self.table_groups.move_to_end(table_group)
+        while len(self.table_groups) > self.capacity:
+            self.table_groups.popitem(last=False)
+
+    def invalidate(self, table_group: int) -> None:
+        """A load has made what was cached of a table group useless."""
+        self.table_groups.pop(table_group, None)
+
+
+__all__ = ["TableCache"]
--- a/vanerelay/lab/client_load.py
+++ b/vanerelay/lab/client_load.py
@@ -1,346 +1,316 @@
-"""Clients of a play: they bring what the schedule says at its times, and say what became of it."""
+"""Clients of a run: they send what the schedule says at its times, and log what became of it."""
 
 from __future__ import annotations
 
 import dataclasses
 import random
 import re
-import struct
 from bisect import bisect_left
 from collections import defaultdict
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 from typing import Any
 
 from vanerelay.history import History
-from vanerelay.interface import MILLISECOND, SECOND, Idempotency
-from vanerelay.lab.engine_server import World
-from vanerelay.lab.fault_network import Joint
-from vanerelay.lab.record import What
-from vanerelay.lab.scenario import Clients, Group
-from vanerelay.lab.schedule import Need, shares
-from vanerelay.net.frames import ANSWER, LAST, LEAVE, OPEN_MOST, REQUEST, frame
-
-CODES = {0: "returned", 1: "pushed back", 2: "errored"}
-HEAD = struct.Struct(">IBI")
-WATCHED = 2 * SECOND  # past its limit, for which a batch is watched for what is still said of it
-CONNECTIONS = 8  # to one manager at a time
-FOLLOWS = 5 * MILLISECOND  # after a load has ended until its reader comes
-
-
-@dataclass(slots=True)
-class Try:
-    """One batch on its way."""
-
-    need: Need
-    ref: str
-    manager: str
-    stream: int = 0
-    timer: Any = None
-    begun: int = 0  # by the histories' clock
-    hint: str = ""
-
-
-class Connection:
-    """One client connection to one manager: requests out, answers in."""
-
-    def __init__(self, load: Load, manager: str, joint: Joint) -> None:
-        self._load, self.manager, self._joint = load, manager, joint
-        self.open, self._last, self._held = dict[int, Try](), 0, bytearray()
-        self.closing = False
-
-    @property
-    def free(self) -> bool:
-        return not self.closing and len(self.open) < OPEN_MOST
-
-    def ask(self, one: Try, data: bytes) -> None:
-        self._last += 1
-        one.stream = self._last
-        self.open[one.stream] = one
-        self._joint.send(self, frame(REQUEST, one.stream, data))
-
-    def leave(self, one: Try) -> None:
-        if self.open.pop(one.stream, None) is not None:
-            self._joint.send(self, frame(LEAVE, one.stream))
-
-    def deliver(self, data: bytes) -> None:
-        self._held += data
-        while len(self._held) >= HEAD.size:
-            size, kind, stream = HEAD.unpack_from(self._held)
-            if len(self._held) < 4 + size:
-                return
-            payload = bytes(self._held[HEAD.size : 4 + size])
-            del self._held[: 4 + size]
-            if kind == LAST:
-                self.closing = True
-                self._load.lose(self.manager, 0)
-            elif kind == ANSWER and stream in self.open:
-                fields, at = dict[str, str](), 2
-                for _ in range(payload[1]):
-                    end = at + 1 + payload[at]
-                    length = int.from_bytes(payload[end : end + 2], "big")
-                    fields[payload[at + 1 : end].decode()] = payload[end + 2 : end + 2 + length].decode()
-                    at = end + 2 + length
-                self._load.answered(self.open.pop(stream), payload[0], fields, payload[at:])
-
-    def over(self, reset: bool) -> None:
-        self.closing = True
-        opened, self.open = self.open, {}
-        self._load.ended(self, list(opened.values()))
-
-    def flow(self, wanted: bool) -> None:
-        pass
-
-    def end(self) -> None:
-        self.closing = True
-        self._joint.close(self)
-
-
-class Load:
-    """All clients. `managers`: names and real addresses, by which the front sends."""
+from vanerelay.interface import MILLISECOND, SECOND, Duration, Idempotency
+from vanerelay.lab.client_connection import Answer, ClientConnection, ClientQuery
+from vanerelay.lab.event_log import EventKind, QueryResult, RequestOutcome
+from vanerelay.lab.faulty_connection import FaultyConnection
+from vanerelay.lab.run_context import RunContext
+from vanerelay.lab.scenario_config import ClientBehaviour, ServiceClass
+from vanerelay.lab.schedule import ClientRequest, cumulative_load_shares
+
+CLIENTS = "clients"
+"""The name of the clients as a party."""
+WATCH_PAST_DEADLINE = 2 * SECOND
+"""For which a query is watched for answers that come too late."""
+MAX_CONNECTIONS = 8
+"""To one gateway at a time."""
+FOLLOW_DELAY = 5 * MILLISECOND
+"""After a load has ended until its reader comes."""
+LAST_LOAD_HINT = re.compile(r"after=@LAST@ ?")
+HINT_WITHOUT_LOAD = "stale<=1h"
+"""Where a hint names the last load and there was none yet."""
+
+
+class ClientLoad:
+    """All clients, and the front that spreads their queries over the gateways.
+
+    Attributes:
+        ready: gateways that the front uses.
+        open_requests: that are not over yet.
+    """
 
     def __init__(
         self,
-        world: World,
-        clients: Clients,
-        needs: Sequence[Need],
-        names: Sequence[str],
+        context: RunContext,
+        behaviour: ClientBehaviour,
+        requests: Sequence[ClientRequest],
+        gateways: Sequence[str],
         address: Callable[[str], str],
         release: Callable[[str], str],
         seed: int,
-        groups: Sequence[Group] = (),
+        service_classes: Sequence[ServiceClass] = (),
     ) -> None:
-        self._world, self._clients, self._needs = world, clients, needs
-        self._names, self._address, self._release = list(names), address, release
-        self._shares, self._next = shares(len(names), clients.skew), 0
-        self._chance = random.Random(f"{seed}/tries")
-        self.ready = set[str]()  # as the front knows
-        self._connections = defaultdict[str, list[Connection]](list)
-        self.open, self._serial, self.behind = 0, 0, 0
-        self._history = History("clients", f"{world.histories}/clients.jsonl" if world.histories else "")
-        self._ended = dict[int, str]()  # the last load of each table group, by its reference
-        self._followers = defaultdict[str, list[Group]](list)
-        for group in groups:
-            if group.follows:
-                self._followers[group.follows].append(group)
+        """`address` and `release` tell them of a gateway, by its name."""
+        self._context, self._behaviour, self._requests = context, behaviour, requests
+        self._gateways, self._address, self._release = list(gateways), address, release
+        self._load_shares = cumulative_load_shares(len(gateways), behaviour.load_skew)
+        self._next_request = 0
+        self._random = random.Random(f"{seed}/tries")
+        self.ready = set[str]()
+        self._connections = defaultdict[str, list[ClientConnection]](list)
+        self.open_requests, self._query_count = 0, 0
+        self._history = context.history(CLIENTS)
+        self._last_loads = dict[int, str]()  # by table group: the reference of the last load
+        self._followers = defaultdict[str, list[ServiceClass]](list)
+        for service_class in service_classes:
+            if service_class.follows:
+                self._followers[service_class.follows].append(service_class)
 
     def begin(self) -> None:
-        self._bring()
-
-    @property
-    def done(self) -> bool:
-        return self._next >= len(self._needs) and not self.open
-
-    def _bring(self) -> None:
-        now = self._world.now() - self._world.zero
-        while self._next < len(self._needs) and self._needs[self._next].at <= now:
-            need = self._needs[self._next]
-            self.behind = max(self.behind, now - need.at)
-            self._next += 1
-            self.open += 1
-            self._try(need, need.draw)
-        if self._next < len(self._needs):
-            wait = max(1, self._needs[self._next].at - now) / SECOND
-            self._world.net.reactor.callLater(wait, self._bring)
-
-    def _try(self, need: Need, draw: float, even: bool = False) -> None:
-        """`draw`: of the manager, by their shares of the load, or `even` for all."""
-        need.tries += 1
-        at = int(draw * len(self._names)) if even else bisect_left(self._shares, draw)
-        manager = self._names[min(len(self._names) - 1, at)]
-        if manager not in self.ready:
-            others = [name for name in self._names if name in self.ready]
+        """Begins with the load."""
+        now = self._context.since_load_start()
+        while self._next_request < len(self._requests) and self._requests[self._next_request].at <= now:
+            request = self._requests[self._next_request]
+            self._next_request += 1
+            self.open_requests += 1
+            self._attempt(request, self._gateway_by_share(request.gateway_draw), request.gateway_draw)
+        if self._next_request < len(self._requests):
+            wait = max(1, self._requests[self._next_request].at - now)
+            self._context.call_later(wait, self.begin)
+
+    def _gateway_by_share(self, draw: float) -> str:
+        place = bisect_left(self._load_shares, draw)
+        return self._gateways[min(len(self._gateways) - 1, place)]
+
+    def _attempt(self, request: ClientRequest, gateway: str, draw: float) -> None:
+        """One query of a request to a gateway, or to another where the front does not use that one."""
+        request.attempts += 1
+        if gateway not in self.ready:
+            others = [name for name in self._gateways if name in self.ready]
             if not others:
-                self._again(need, "lost", 0)
+                self._retry(request, RequestOutcome.LOST)
                 return
-            manager = others[int(draw * 1e6) % len(others)]
-        self._serial += 1
-        one = Try(need, f"{self._serial:016x}", manager)
-        found = next((c for c in self._connections[manager] if c.free), None)
-        if found is not None:
-            self._send(found, one)
-            return
-        if len(self._connections[manager]) >= CONNECTIONS:
-            self._connections[manager] = [c for c in self._connections[manager] if not c.closing]
-        if len(self._connections[manager]) >= CONNECTIONS:
-            self._again(need, "lost", 0)
-            return
+            gateway = others[int(draw * 1e6) % len(others)]
+        self._query_count += 1
+        query = ClientQuery(request, f"{self._query_count:016x}", gateway)
+        free = next((one for one in self._connections[gateway] if one.is_free), None)
+        if free is not None:
+            self._send(free, query)
+        elif self._may_connect(gateway):
+            self._connect(query)
+        else:
+            self._retry(request, RequestOutcome.LOST)
+
+    def _may_connect(self, gateway: str) -> bool:
+        if len(self._connections[gateway]) >= MAX_CONNECTIONS:
+            self._connections[gateway] = [one for one in self._connections[gateway] if not one.is_closing]
+        return len(self._connections[gateway]) < MAX_CONNECTIONS
+
+    def _connect(self, query: ClientQuery) -> None:
+        gateway = query.gateway
 
-        def opened(joint: Joint) -> Connection:
-            connection = Connection(self, manager, joint)
-            self._connections[manager].append(connection)
-            self._world.net.reactor.callLater(0, self._send, connection, one)
+        def opened(faulty_connection: FaultyConnection) -> ClientConnection:
+            connection = ClientConnection(self, gateway, faulty_connection)
+            self._connections[gateway].append(connection)
+            self._context.call_later(0, self._send, connection, query)
             return connection
 
         def failed() -> None:
-            self.lose(manager, self._clients.notice)
-            self._again(need, "lost", 0)
+            self._notice_failure(gateway, self._behaviour.failure_notice_delay)
+            self._retry(query.request, RequestOutcome.LOST)
 
-        self._world.net.reach("clients", manager, self._address(manager), opened, failed)
+        self._context.network.connect(CLIENTS, gateway, self._address(gateway), opened, failed)
 
-    def _send(self, connection: Connection, one: Try) -> None:
-        if connection.closing:
-            self._again(one.need, "lost", 0)
+    def _send(self, connection: ClientConnection, query: ClientQuery) -> None:
+        request = query.request
+        if connection.is_closing:
+            self._retry(request, RequestOutcome.LOST)
             return
-        need, group = one.need, one.need.group
-        allow = max(1, (group.limit - self._waited(need)) // 10)
-        told = {
-            "service": group.name,
-            "ref": one.ref,
-            "allow": str(allow),
-            "project": "",
-            "effort": f"{need.work / 10:.1f}",
-            "space": str(need.memory),
-        }
-        fields = b"".join(
-            bytes((len(name),)) + name.encode() + len(value).to_bytes(2, "big") + value.encode()
-            for name, value in told.items()
-        )
-        what = (
-            f"INSERT INTO sales_{need.table}.orders SELECT a, b, c FROM staged"
-            if group.load
-            else f"SELECT a, b, c FROM sales_{need.table}.orders"
-        )
-        one.hint, one.begun = self._hint(need) if need.hint else "", History.now()
-        hint = f"/*+ vanerelay {one.hint} */ " if one.hint else ""
-        body = f"{hint}{what} -- w={need.work} m={need.memory} n={group.threads}"
-        connection.ask(one, bytes((len(told),)) + fields + body.encode())
-        self._world.add(
-            What.SENT,
-            batch=one.ref,
-            group=group.name,
-            manager=one.manager,
-            need=need.number,
-            figure=float(allow * 10),
-            told=self._release(one.manager),
+        time_left = request.service_class.deadline - self._age(request)
+        time_left_ms = max(1, time_left // MILLISECOND)
+        query.hint = self._hint(request) if request.hint else ""
+        query.began = History.now()
+        connection.send(query, _payload(query, time_left_ms))
+        deadline = time_left_ms * MILLISECOND
+        release = self._release(query.gateway)
+        self._log(EventKind.SENT, query, value=float(deadline), detail=release)
+        watch = deadline + WATCH_PAST_DEADLINE
+        query.timer = self._context.call_later(watch, self._give_up, connection, query)
+
+    def _hint(self, request: ClientRequest) -> str:
+        hint = request.hint.replace("@SESSION@", f"s{request.session}")
+        last_load = self._last_loads.get(request.table, "")
+        if last_load:
+            return hint.replace("@LAST@", last_load)
+        return LAST_LOAD_HINT.sub("", hint) or HINT_WITHOUT_LOAD
+
+    def _age(self, request: ClientRequest) -> Duration:
+        return self._context.since_load_start() - request.at
+
+    def answered(self, query: ClientQuery, answer: Answer) -> None:
+        """A gateway has answered a query."""
+        request = query.request
+        query.stop_timer()
+        self._write_history(query, answer)
+        if answer.result is QueryResult.COMPLETED and request.service_class.is_load:
+            self._follow(query)
+        self._log(EventKind.ANSWERED, query, detail=answer.result)
+        if answer.result is QueryResult.COMPLETED:
+            is_met = self._age(request) <= request.service_class.latency_objective
+            self._end(request, query.gateway, RequestOutcome.MET if is_met else RequestOutcome.LATE)
+        else:
+            retry_after_ms = answer.fields.get("cooldown", "")
+            retry_after = int(retry_after_ms) * MILLISECOND if retry_after_ms.isdecimal() else 0
+            self._retry(request, RequestOutcome(answer.result), retry_after, query.gateway)
+
+    def _write_history(self, query: ClientQuery, answer: Answer) -> None:
+        """Of queries on table groups, for the checkers of histories."""
+        request = query.request
+        if not query.hint and not request.service_class.is_load:
+            return
+        fields: dict[str, Any] = dict(answer.fields)
+        self._history.add(
+            "query",
+            query.began,
+            ref=query.reference,
+            table=request.table,
+            group=request.service_class.name,
+            session=f"s{request.session}" if "@SESSION@" in request.hint else "",
+            hint=query.hint,
+            manager=query.gateway,
+            result=answer.result,
+            engine=answer.body.split(b"\t")[1].decode() if answer.body.count(b"\t") > 1 else "",
+            **fields,
         )
-        left = (allow * 10 + WATCHED) / SECOND
-        one.timer = self._world.net.reactor.callLater(left, self._forget, connection, one)
-
-    def _hint(self, need: Need) -> str:
-        text = need.hint.replace("@SESSION@", f"s{need.session}")
-        last = self._ended.get(need.table, "")
-        return text.replace("@LAST@", last) if last else re.sub(r"after=@LAST@ ?", "", text) or "stale<=1h"
-
-    def _tell(self, one: Try, code: int, fields: dict[str, str], body: bytes) -> None:
-        """For the histories: what a client was answered."""
-        need, more = one.need, dict[str, Any](fields)
-        if one.hint or need.group.load:
-            self._history.add(
-                "query",
-                one.begun,
-                ref=one.ref,
-                table=need.table,
-                group=need.group.name,
-                session=f"s{need.session}" if "@SESSION@" in need.hint else "",
-                hint=one.hint,
-                manager=one.manager,
-                result=CODES.get(code, "errored"),
-                engine=body.split(b"\t")[1].decode() if body.count(b"\t") > 1 else "",
-                **more,
-            )
 
-    def _followed(self, one: Try) -> None:
-        """A load has ended: those that read it come at once, by another manager."""
-        self._ended[one.need.table] = one.ref
-        for group in self._followers.get(one.need.group.name, ()):
-            others = [name for name in self._names if name in self.ready and name != one.manager]
-            need = dataclasses.replace(
-                one.need,
-                number=-self._serial,
-                at=self._world.now() - self._world.zero + FOLLOWS,
-                group=group,
-                work=group.work,
-                memory=round(group.memory),
-                hint=group.hint.replace("@LAST@", one.ref),
-                tries=0,
-                over=False,
+    def _follow(self, load: ClientQuery) -> None:
+        """A load has ended: those that read it come at once, by another gateway."""
+        self._last_loads[load.request.table] = load.reference
+        for service_class in self._followers.get(load.request.service_class.name, ()):
+            others = [name for name in self._gateways if name in self.ready and name != load.gateway]
+            request = dataclasses.replace(
+                load.request,
+                number=-self._query_count,
+                at=self._context.since_load_start() + FOLLOW_DELAY,
+                service_class=service_class,
+                work=service_class.work,
+                memory_mb=round(service_class.memory_mb),
+                hint=service_class.hint.replace("@LAST@", load.reference),
+                attempts=0,
+                is_over=False,
             )
-            self.open += 1
-            place = self._names.index(self._chance.choice(others)) if others else 0
-            draw = (place + 0.5) / len(self._names)
-            self._world.net.reactor.callLater(FOLLOWS / SECOND, self._try, need, draw, True)
-
-    def _waited(self, need: Need) -> int:
-        return self._world.now() - self._world.zero - need.at
-
-    def answered(self, one: Try, code: int, fields: dict[str, str], body: bytes = b"") -> None:
-        word = CODES.get(code, "errored")
-        self._stop(one)
-        self._tell(one, code, fields, body)
-        if word == "returned" and one.need.group.load:
-            self._followed(one)
-        self._world.add(
-            What.ANSWERED,
-            batch=one.ref,
-            group=one.need.group.name,
-            manager=one.manager,
-            told=word,
-            need=one.need.number,
+            self.open_requests += 1
+            place = self._gateways.index(self._random.choice(others)) if others else 0
+            draw = (place + 0.5) / len(self._gateways)
+            self._context.call_later(FOLLOW_DELAY, self._attempt, request, self._gateways[place], draw)
+
+    def closing(self, gateway: str) -> None:
+        """A gateway takes no more queries on a connection: the front asks again whether it is ready."""
+        self._notice_failure(gateway, 0)
+
+    def connection_closed(self, connection: ClientConnection, queries: list[ClientQuery]) -> None:
+        """A connection is over. What was open on it is the client's to repeat, if it may."""
+        if connection in self._connections[connection.gateway]:
+            self._connections[connection.gateway].remove(connection)
+        for query in queries:
+            query.stop_timer()
+            self._log(EventKind.LOST, query)
+            self._retry(query.request, RequestOutcome.LOST, 0, query.gateway)
+        if queries:
+            self._notice_failure(connection.gateway, self._behaviour.failure_notice_delay)
+
+    def _notice_failure(self, gateway: str, delay: Duration) -> None:
+        """The front learns that a gateway takes no queries; it asks again whether it is ready."""
+        self._context.call_later(delay, self.ready.discard, gateway)
+
+    def _give_up(self, connection: ClientConnection, query: ClientQuery) -> None:
+        """Nothing came long past the deadline. For the checker it stays open; the client cancels."""
+        query.timer = None
+        connection.cancel(query)
+        self._end(query.request, query.gateway, RequestOutcome.UNANSWERED)
+
+    def _retry(
+        self, request: ClientRequest, outcome: RequestOutcome, retry_after: Duration = 0, gateway: str = ""
+    ) -> None:
+        """Another query, where clients send one, else the end; never past the deadline.
+
+        Idempotent queries are retried after any failure, others after a rejection, or where no gateway was
+        reached (`gateway` is empty).
+        """
+        service_class, behaviour = request.service_class, self._behaviour
+        is_idempotent = service_class.idempotency is Idempotency.IDEMPOTENT
+        may_retry = outcome is RequestOutcome.REJECTED or is_idempotent or not gateway
+        wait = retry_after or self._backoff(request)
+        is_too_late = self._age(request) + wait >= service_class.deadline
+        if request.is_over or not may_retry or request.attempts > behaviour.max_retries or is_too_late:
+            self._end(request, gateway, outcome)
+            return
+        draw = self._random.random()
+        self._context.call_later(wait, self._attempt, request, self._gateway_by_share(draw), draw)
+
+    def _backoff(self, request: ClientRequest) -> Duration:
+        backoff = self._behaviour.backoff * 2 ** (request.attempts - 1)
+        return int(backoff * (0.5 + self._random.random()))
+
+    def _end(self, request: ClientRequest, gateway: str, outcome: RequestOutcome) -> None:
+        if request.is_over:
+            return
+        request.is_over = True
+        self.open_requests -= 1
+        self._context.log(
+            EventKind.REQUEST_ENDED,
+            service_class=request.service_class.name,
+            gateway=gateway,
+            detail=outcome,
+            request=request.number,
+            value=float(self._age(request)),
+            query=self._release(gateway) if gateway else "",
+        )
+
+    def _log(self, kind: EventKind, query: ClientQuery, **fields: Any) -> None:
+        self._context.log(
+            kind,
+            query=query.reference,
+            service_class=query.request.service_class.name,
+            gateway=query.gateway,
+            request=query.request.number,
+            **fields,
         )
-        if word == "returned":
-            self._over(
-                one.need, one.manager, "met" if self._waited(one.need) <= one.need.group.goal else "late"
-            )
-        else:
-            cooldown = fields.get("cooldown", "")
-            self._again(one.need, word, int(cooldown) * 10 if cooldown.isdecimal() else 0, one.manager)
-
-    def ended(self, connection: Connection, tries: list[Try]) -> None:
-        """A connection is gone. What was open on it is the client's to repeat, if it may."""
-        if connection in self._connections[connection.manager]:
-            self._connections[connection.manager].remove(connection)
-        for one in tries:
-            self._stop(one)
-            self._world.add(
-                What.LOST, batch=one.ref, group=one.need.group.name, manager=one.manager, need=one.need.number
-            )
-            self._again(one.need, "lost", 0, one.manager)
-        if tries:
-            self.lose(connection.manager, self._clients.notice)
-
-    def lose(self, manager: str, after: int) -> None:
-        """The front learns that nobody takes requests there; it asks again whether the manager is ready."""
-        self._world.net.reactor.callLater(after / SECOND, self.ready.discard, manager)
-
-    def _forget(self, connection: Connection, one: Try) -> None:
-        """Nothing came long past the limit. It stays open in the record; the client leaves."""
-        one.timer = None
-        connection.leave(one)
-        self._over(one.need, one.manager, "unanswered")
-
-    def _stop(self, one: Try) -> None:
-        if one.timer is not None and one.timer.active():
-            one.timer.cancel()
-        one.timer = None
-
-    def _again(self, need: Need, word: str, cooldown: int, manager: str = "") -> None:
-        """Another try, where clients make one: of repeatable batches after any failure, of others after a
-        pushback; never past the limit."""
-        group = need.group
-        allowed = word == "pushed back" or group.effect is Idempotency.IDEMPOTENT or not manager
-        wait = cooldown or int(self._clients.backoff * 2 ** (need.tries - 1) * (0.5 + self._chance.random()))
-        late = self._waited(need) + wait >= group.limit
-        if need.over or not allowed or need.tries > self._clients.retries or late:
-            self._over(need, manager, word)
-        else:
-            self._world.net.reactor.callLater(wait / SECOND, self._try, need, self._chance.random())
-
-    def _over(self, need: Need, manager: str, word: str) -> None:
-        if not need.over:
-            need.over = True
-            self.open -= 1
-            self._world.add(
-                What.OVER,
-                group=need.group.name,
-                manager=manager,
-                told=word,
-                need=need.number,
-                figure=float(self._waited(need)),
-                batch=self._release(manager) if manager else "",
-            )
 
     def close(self) -> None:
+        """Closes all connections."""
         for connections in self._connections.values():
             for connection in list(connections):
-                connection.end()
+                connection.close()
+
+
+def _payload(query: ClientQuery, time_left_ms: int) -> bytes:
+    """A query as the users' frames have it."""
+    request = query.request
+    fields = {
+        "service": request.service_class.name,
+        "ref": query.reference,
+        "allow": str(time_left_ms),
+        "project": "",
+        "effort": f"{request.work / MILLISECOND:.1f}",
+        "space": str(request.memory_mb),
+    }
+    encoded = b"".join(
+        bytes((len(name),)) + name.encode() + len(value).to_bytes(2, "big") + value.encode()
+        for name, value in fields.items()
+    )
+    return bytes((len(fields),)) + encoded + _statement(query).encode()
+
+
+def _statement(query: ClientQuery) -> str:
+    request = query.request
+    hint = f"/*+ vanerelay {query.hint} */ " if query.hint else ""
+    if request.service_class.is_load:
+        text = f"INSERT INTO sales_{request.table}.orders SELECT a, b, c FROM staged"
+    else:
+        text = f"SELECT a, b, c FROM sales_{request.table}.orders"
+    return f"{hint}{text} -- w={request.work} m={request.memory_mb} n={request.service_class.threads}"
+
+
+__all__ = ["CLIENTS", "ClientLoad"]
--- a/vanerelay/lab/commands.py
+++ b/vanerelay/lab/commands.py
@@ -1,4 +1,4 @@
-"""`vanerelay lab`: plays of several real workload managers under faults, and what is seen of them."""
+"""`vanerelay lab`: runs several real gateways under faults, and tells what is seen of them."""
 
 from __future__ import annotations
 
@@ -6,15 +6,24 @@
 import sys
 import tempfile
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from vanerelay.interface import SECOND
-from vanerelay.lab import scenario, tables
+from vanerelay.lab import scenario, scenario_texts, tables
+from vanerelay.lab.rule_checker import Rule
 from vanerelay.operator_config import OperatorConfigError
 
-BROKEN, UNUSABLE = 1, 2  # exit codes: a rule, a crash or what was expected; a script that can't be played
+if TYPE_CHECKING:
+    from vanerelay.lab.scenario_run import ScenarioRun
+
+BROKEN, UNUSABLE = 1, 2
+"""Exit codes: a rule, a crash or what was expected; a scenario that can't be run."""
+MAX_FINDINGS = 20
+"""That are printed."""
+RULE_NAMES: dict[int, str] = {Rule.CRASH: "crash", Rule.DOUBLE_EFFECT: "effect done twice"}
+"""Of those that have no number in the users' list."""
 
 
 @click.group()
@@ -25,7 +34,7 @@
 @lab.command()
 def scripts() -> None:
     """The scripts that come with the laboratory."""
-    for path in sorted(scenario.SCRIPTS.glob("*.hcl")):
+    for path in sorted(scenario_texts.SCENARIOS.glob("*.hcl")):
         first = path.read_text(encoding="utf-8").splitlines()[0]
         click.echo(f"{path.stem:<16} {first.lstrip('# ')}")
 
@@ -43,94 +52,111 @@
     """Plays SCRIPT (a path, or the name of one that comes along) with real processes.
 
     Exits with 0 where all rules were kept and what the script expects was reached, with 1 where not, with 2
-    where it could not be played."""
+    where it could not be played.
+    """
     try:
         found = scenario.load(name)
-    except OperatorConfigError as fault:
-        click.echo(f"vanerelay: {fault}", err=True)
+    except OperatorConfigError as error:
+        click.echo(f"vanerelay: {error}", err=True)
         sys.exit(UNUSABLE)
     with tempfile.TemporaryDirectory() as spare:
-        sys.exit(_play(found, seed, report, folder or Path(spare), as_json, quiet))
+        sys.exit(_run(found, seed, report, folder or Path(spare), as_json, quiet))
 
 
-def _play(
-    found: scenario.Script, seed: int, report: Path | None, folder: Path, as_json: bool, quiet: bool
+def _run(
+    found: scenario.Scenario, seed: int, report: Path | None, folder: Path, as_json: bool, quiet: bool
 ) -> int:
-    from twisted.internet import reactor as found_reactor
-
-    reactor: Any = found_reactor
-    from vanerelay.lab.scenario_run import BadPlay, Play
-
-    progress = (lambda line: None) if quiet else lambda line: click.echo(line, err=True)
-    play, wrong = Play(reactor, found, seed, folder, progress), list[str]()
-
-    def end(result: Any) -> None:
-        if result is not None:
-            result.trap(BadPlay)
-            wrong.append(str(result.value))
-        reactor.stop()
-
-    def begin() -> None:
-        play.run().addBoth(end)
+    """Runs a scenario and prints what came of it; returns the exit code."""
+    from vanerelay.lab.scenario_run import RunError
 
-    reactor.callWhenRunning(begin)
-    reactor.addSystemEventTrigger("before", "shutdown", play.kill)
-    reactor.run()
-    if wrong:
-        click.echo(f"vanerelay: {wrong[0]}", err=True)
+    try:
+        run = _run_to_end(found, seed, folder, quiet)
+    except RunError as error:
+        click.echo(f"vanerelay: {error}", err=True)
         return UNUSABLE
-    findings, rows = play.findings(), play.record.rows
-    table = tables.table(rows)
-    told = tables.summary(table, rows, findings, found.groups)
-    told["cold_pressed"] = round(play.pressed, 3)
-    served = tables.utility(table, found.groups, found.expected.since // SECOND)
-    short = served < found.expected.served
+    findings = run.findings()
+    table = tables.make_table(run.events)
+    summary = tables.summary(table, run.events, findings, found.service_classes)
+    summary["cold_pressed"] = round(run.peak_load, 3)
+    expectation = found.expectation
+    served = tables.served_value(table, found.service_classes, expectation.since // SECOND)
+    is_short = served < expectation.served_value
     if report is not None:
-        from vanerelay.lab import report as pages
+        from vanerelay.lab import report as html_report
 
-        pages.write(report, found, seed, rows, findings, play.slips)
+        html_report.write(report, found, seed, run.events, findings, run.latenesses)
     if as_json:
-        told |= {
+        summary |= {
             "script": found.name,
             "seed": seed,
-            "expected": found.expected.served,
-            "reached": not short,
+            "expected": expectation.served_value,
+            "reached": not is_short,
             "served_since": round(served, 4),
-            "laboratory_late": len(play.slips),
+            "laboratory_late": len(run.latenesses),
         }
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(summary))
     else:
-        _say(found, seed, told, served)
-    return BROKEN if findings or short else 0
+        _print_summary(found, seed, summary, served)
+    return BROKEN if findings or is_short else 0
+
+
+def _run_to_end(found: scenario.Scenario, seed: int, folder: Path, quiet: bool) -> ScenarioRun:
+    """Runs a scenario under the reactor. Raises RunError."""
+    from twisted.internet import reactor as twisted_reactor
+
+    from vanerelay.lab.scenario_run import RunError, ScenarioRun
+
+    reactor: Any = twisted_reactor
 
+    def print_progress(line: str) -> None:
+        if not quiet:
+            click.echo(line, err=True)
 
-def _say(found: scenario.Script, seed: int, told: dict[str, Any], served: float) -> None:
+    run, errors = ScenarioRun(reactor, found, seed, folder, print_progress), list[RunError]()
+
+    def ended(result: Any) -> None:
+        if result is not None:
+            result.trap(RunError)
+            errors.append(result.value)
+        reactor.stop()
+
+    def begin() -> None:
+        run.run().addBoth(ended)
+
+    reactor.callWhenRunning(begin)
+    reactor.addSystemEventTrigger("before", "shutdown", run.kill)
+    reactor.run()
+    if errors:
+        raise errors[0]
+    return run
+
+
+def _print_summary(found: scenario.Scenario, seed: int, summary: dict[str, Any], served: float) -> None:
     click.echo(
-        f"{found.name}, seed {seed}: {told['served']:.1%} of the utility within its goals, "
-        f"{told['dispatches']} dispatches, {told['engines_fallen']} engines fell over"
+        f"{found.name}, seed {seed}: {summary['served']:.1%} of the utility within its goals, "
+        f"{summary['dispatches']} dispatches, {summary['engines_fallen']} engines fell over"
     )
-    for name, cell in told["groups"].items():
-        ends = ", ".join(f"{cell[end]} {end}" for end in tables.ENDS if end in cell)
+    for name, cell in summary["groups"].items():
+        outcomes = ", ".join(f"{cell[outcome]} {outcome}" for outcome in tables.OUTCOMES if outcome in cell)
         click.echo(
-            f"  {name}: {cell['offered']} came, {ends}; p50 {cell['p50_ms']} ms, p99 {cell['p99_ms']} ms"
+            f"  {name}: {cell['offered']} came, {outcomes}; p50 {cell['p50_ms']} ms, p99 {cell['p99_ms']} ms"
         )
-    for one in told["findings"][:20]:
-        rule = (
-            "crash"
-            if one["rule"] == 0
-            else "effect done twice"
-            if one["rule"] == 8
-            else f"rule {one['rule']}"
-        )
-        click.echo(f"  {rule} at {one['at_s']} s: {one['who']} {one['batch']}: {one['text']}")
-    if len(told["findings"]) > 20:
-        click.echo(f"  and {len(told['findings']) - 20} more")
-    if told["cold_pressed"]:
-        click.echo(f"  cold engines were sent {told['cold_pressed']:.0%} of what they bear, at most")
-    if not told["findings"]:
+    _print_findings(summary["findings"])
+    if summary["cold_pressed"]:
+        click.echo(f"  cold engines were sent {summary['cold_pressed']:.0%} of what they bear, at most")
+    if not summary["findings"]:
         click.echo("  all rules kept, no crash")
-    if served < found.expected.served:
+    expectation = found.expectation
+    if served < expectation.served_value:
         click.echo(
-            f"  expected {found.expected.served:.1%} after {found.expected.since / SECOND:.0f} s, "
+            f"  expected {expectation.served_value:.1%} after {expectation.since / SECOND:.0f} s, "
             f"was {served:.1%}"
         )
+
+
+def _print_findings(findings: list[dict[str, Any]]) -> None:
+    for one in findings[:MAX_FINDINGS]:
+        rule = RULE_NAMES.get(one["rule"], f"rule {one['rule']}")
+        click.echo(f"  {rule} at {one['at_s']} s: {one['who']} {one['batch']}: {one['text']}")
+    if len(findings) > MAX_FINDINGS:
+        click.echo(f"  and {len(findings) - MAX_FINDINGS} more")
--- a/vanerelay/lab/link_faults.py
+++ b/vanerelay/lab/link_faults.py
@@ -1,8 +1,9 @@
-"""Links with faults: what becomes of bytes on their way from one party to another. Pure, told the time.
+"""Links with faults: what becomes of bytes on their way from one party to another.
 
-A `Way` is the state of one direction between two parties; each connection has a `Passage` on it, which keeps
-order, as TCP does. What a link loses of TCP comes late, by its sender's repeating; of datagrams it is
-gone."""
+Pure: told the time. A `LinkState` is the state of one direction between two parties; each connection has a
+`DelayedStream` on it, which keeps the order, as TCP does. What a link loses of TCP comes late, by its
+sender's retransmission; a lost datagram is gone.
+"""
 
 from __future__ import annotations
 
@@ -12,107 +13,132 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from vanerelay.interface import SECOND
+from vanerelay.interface import SECOND, Duration
 
-REPEAT = SECOND // 5  # until TCP sends again what was lost, doubled each time
-REPEATS = 6  # at most, for one piece
-HELD_MOST = 4 * 2**20  # bytes on their way on one passage; past it no more is read from the sender
+RETRANSMISSION_TIMEOUT = SECOND // 5
+"""Until TCP sends again what was lost; it doubles each time."""
+MAX_RETRANSMISSIONS = 6
+"""Of one piece of data."""
+MAX_BYTES_IN_FLIGHT = 4 * 2**20
+"""On one stream; past it no more is read from the sender."""
+BOTH_WAYS, ONE_WAY = " - ", " > "
+"""Between the parties of a link, as scenarios write it."""
 
 
 @dataclass(slots=True)
-class Way:
-    """One direction of a link. Times in the module's unit; `rate` in bytes a second, 0: as fast as it goes;
-    `loss` the chance of one piece; `held`: nothing passes, and comes later; `swallowed`: what comes is gone
-    without a word; `refused`: no new connection."""
-
-    delay: int = 0
-    jitter: int = 0
-    rate: float = 0.0
+class LinkState:
+    """One direction of a link.
+
+    Attributes:
+        delay, jitter: how late everything comes, and how much later at random.
+        bytes_per_s: the rate, 0 for as fast as it goes.
+        loss: the probability that one piece of data is lost.
+        is_held: nothing passes, and all of it comes later.
+        is_dropping: what is sent is gone without notice.
+        is_refusing: new connections are refused.
+    """
+
+    delay: Duration = 0
+    jitter: Duration = 0
+    bytes_per_s: float = 0.0
     loss: float = 0.0
-    held: bool = False
-    swallowed: bool = False
-    refused: bool = False
+    is_held: bool = False
+    is_dropping: bool = False
+    is_refusing: bool = False
 
-    @property
-    def sound(self) -> bool:
-        return self == Way()
+    def draw_delay(self, random_source: random.Random) -> Duration:
+        """The delay of one piece of data, with its jitter."""
+        return self.delay + (random_source.randrange(self.jitter + 1) if self.jitter else 0)
 
 
 @dataclass(slots=True)
-class Passage:
-    """One connection's bytes in one direction. `put` and `close` by the sender, `take` by the receiver."""
+class DelayedStream:
+    """The bytes of one connection in one direction.
 
-    way: Way
-    chance: random.Random
+    The sender calls `send` and `close`, the receiver `receive`.
+    """
+
+    link: LinkState
+    random_source: random.Random
     _pieces: deque[tuple[int, bytes | None]] = field(default_factory=deque)  # None: the end
-    _last: int = 0
-    held: int = 0
+    _last_arrival: int = 0
+    bytes_in_flight: int = 0
 
-    def put(self, now: int, data: bytes) -> None:
-        if not self.way.swallowed:
-            self._pieces.append((self._due(now, len(data)), data))
-            self.held += len(data)
+    def send(self, now: int, data: bytes) -> None:
+        """Sends one piece of data."""
+        if not self.link.is_dropping:
+            self._pieces.append((self._arrival(now, len(data)), data))
+            self.bytes_in_flight += len(data)
 
     def close(self, now: int) -> None:
-        if not self.way.swallowed:
-            self._pieces.append((self._due(now, 0), None))
-
-    def take(self, now: int) -> tuple[bytes, bool]:
-        """What has arrived, and whether the sender's end came after it."""
-        found = list[bytes]()
-        while self._pieces and not self.way.held and self._pieces[0][0] <= now:
+        """Sends the end of the stream."""
+        if not self.link.is_dropping:
+            self._pieces.append((self._arrival(now, 0), None))
+
+    def receive(self, now: int) -> tuple[bytes, bool]:
+        """What has arrived, and whether the end of the stream came after it."""
+        arrived = list[bytes]()
+        while self._pieces and not self.link.is_held and self._pieces[0][0] <= now:
             data = self._pieces.popleft()[1]
             if data is None:
-                return b"".join(found), True
-            found.append(data)
-            self.held -= len(data)
-        return b"".join(found), False
+                return b"".join(arrived), True
+            arrived.append(data)
+            self.bytes_in_flight -= len(data)
+        return b"".join(arrived), False
 
-    def due(self) -> int | None:
+    def next_arrival(self) -> int | None:
         """When the next piece arrives; None where nothing is on its way, or it is held."""
-        return self._pieces[0][0] if self._pieces and not self.way.held else None
+        return self._pieces[0][0] if self._pieces and not self.link.is_held else None
 
-    def _due(self, now: int, size: int) -> int:
-        way = self.way
-        due = now + way.delay + (self.chance.randrange(way.jitter + 1) if way.jitter else 0)
-        for repeat in range(REPEATS if way.loss else 0):
-            if self.chance.random() >= way.loss:
+    def _arrival(self, now: int, size: int) -> int:
+        link = self.link
+        arrival = now + link.draw_delay(self.random_source)
+        for attempt in range(MAX_RETRANSMISSIONS if link.loss else 0):
+            if self.random_source.random() >= link.loss:
                 break
-            due += REPEAT << repeat
+            arrival += RETRANSMISSION_TIMEOUT << attempt
         # A slow link passes one piece after the other.
-        if way.rate:
-            due = max(due, self._last) + int(size * SECOND / way.rate)
-        self._last = max(self._last, due)
-        return self._last
+        if link.bytes_per_s:
+            arrival = max(arrival, self._last_arrival) + int(size * SECOND / link.bytes_per_s)
+        self._last_arrival = max(self._last_arrival, arrival)
+        return self._last_arrival
 
 
-def datagram(now: int, way: Way, chance: random.Random) -> int | None:
+def datagram_arrival(now: int, link: LinkState, random_source: random.Random) -> int | None:
     """When a datagram arrives; None if it does not."""
-    if way.held or way.swallowed or way.refused or way.loss and chance.random() < way.loss:
+    if link.is_held or link.is_dropping or link.is_refusing:
+        return None
+    if link.loss and random_source.random() < link.loss:
         return None
-    return now + way.delay + (chance.randrange(way.jitter + 1) if way.jitter else 0)
+    return now + link.draw_delay(random_source)
 
 
 @dataclass(slots=True)
 class Parties:
-    """Who there is, by name, and where: what a script's words for links mean."""
+    """All parties of a scenario by name, with their zones: what a scenario's patterns stand for."""
 
-    locations: dict[str, str] = field(default_factory=dict)
+    zones: dict[str, str] = field(default_factory=dict)
 
-    def meant(self, pattern: str) -> set[str]:
-        """Names by pattern; `@place` for all who are there."""
+    def matching(self, pattern: str) -> set[str]:
+        """Names by a pattern; `@zone` for all in a zone."""
         if pattern.startswith("@"):
-            return {name for name, place in self.locations.items() if fnmatch.fnmatch(place, pattern[1:])}
-        return {name for name in self.locations if fnmatch.fnmatch(name, pattern)}
-
-    def directions(self, told: str) -> Iterable[tuple[str, str]]:
-        """`a > b` one direction, `a - b` both; nobody has a link to himself. Raises ValueError."""
-        both, sign = " - " in told, " - " if " - " in told else " > "
-        left, found, right = told.partition(sign)
-        if not found or not left.strip() or not right.strip():
-            raise ValueError(f'{told!r}, expected two parties, such as "m1 > e2" or "m* - feed"')
-        for one in sorted(self.meant(left.strip())):
-            for other in sorted(self.meant(right.strip()) - {one}):
-                yield one, other
-                if both:
-                    yield other, one
+            return {name for name, zone in self.zones.items() if fnmatch.fnmatch(zone, pattern[1:])}
+        return {name for name in self.zones if fnmatch.fnmatch(name, pattern)}
+
+    def directions(self, link: str) -> Iterable[tuple[str, str]]:
+        """The directions of `a > b` (one way) or `a - b` (both); nobody has a link to itself.
+
+        Raises ValueError.
+        """
+        is_both_ways = BOTH_WAYS in link
+        left, separator, right = link.partition(BOTH_WAYS if is_both_ways else ONE_WAY)
+        if not separator or not left.strip() or not right.strip():
+            raise ValueError(f'{link!r}, expected two parties, such as "m1 > e2" or "m* - feed"')
+        for sender in sorted(self.matching(left.strip())):
+            for receiver in sorted(self.matching(right.strip()) - {sender}):
+                yield sender, receiver
+                if is_both_ways:
+                    yield receiver, sender
+
+
+__all__ = ["MAX_BYTES_IN_FLIGHT", "DelayedStream", "LinkState", "Parties", "datagram_arrival"]
--- a/vanerelay/lab/report.py
+++ b/vanerelay/lab/report.py
@@ -1,4 +1,4 @@
-"""A play as one HTML file with its plots in it, and its table as CSV beside it."""
+"""A run as one HTML file with its plots in it, and its table as CSV beside it."""
 
 from __future__ import annotations
 
@@ -6,31 +6,38 @@
 import html
 import io
 import json
-from collections.abc import Sequence
+from collections import Counter
+from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
 from typing import Any
 
 import matplotlib
 import numpy as np
 
-from vanerelay.interface import SECOND
+from vanerelay.interface import MILLISECOND, SECOND
 from vanerelay.lab import tables
-from vanerelay.lab.record import Row, What
+from vanerelay.lab.event_log import Event, EventKind, Lateness, RequestOutcome
 from vanerelay.lab.rule_checker import Finding
-from vanerelay.lab.scenario import Script
+from vanerelay.lab.scenario_config import Scenario
 
 matplotlib.use("svg")
 from matplotlib import pyplot  # noqa: E402
 
-WIDE, HIGH = 10.0, 2.6  # inches of a plot
+PLOT_WIDTH_IN, PLOT_HEIGHT_IN = 10.0, 2.6
+MAX_FINDINGS = 200
+"""That the page lists."""
+MANY_ROWS = 12
+"""From which on a grid has small labels."""
 COLOURS = {
-    "met": "#2a7",
-    "late": "#db3",
-    "pushed back": "#48c",
-    "errored": "#c33",
-    "lost": "#933",
-    "unanswered": "#555",
+    RequestOutcome.MET: "#2a7",
+    RequestOutcome.LATE: "#db3",
+    RequestOutcome.REJECTED: "#48c",
+    RequestOutcome.FAILED: "#c33",
+    RequestOutcome.LOST: "#933",
+    RequestOutcome.UNANSWERED: "#555",
 }
+Plot = Callable[[Any, tables.Table, Scenario], None]
+"""Draws on the axes that it is given."""
 STYLE = (
     "body{font:15px sans-serif;max-width:62em;margin:2em auto;color:#222}table{border-collapse:collapse}"
     "td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:right}td:first-child,th:first-child"
@@ -40,61 +47,75 @@
 
 def write(
     path: Path,
-    script: Script,
+    scenario: Scenario,
     seed: int,
-    rows: Sequence[Row],
+    events: Sequence[Event],
     findings: Sequence[Finding],
-    slips: Sequence[tuple[int, int]],
+    latenesses: Sequence[Lateness],
 ) -> Path:
-    """The report at `path`; gives where the table went."""
-    table = tables.table(rows)
-    told = tables.summary(table, rows, findings, script.groups)
-    sheet = path.with_suffix(".csv")
-    with sheet.open("w", newline="", encoding="utf-8") as file:
-        csv.writer(file).writerows(tables.lines(table))
+    """Writes the report at `path`, and the table beside it; returns where the table is."""
+    table = tables.make_table(events)
+    summary = tables.summary(table, events, findings, scenario.service_classes)
+    csv_path = path.with_suffix(".csv")
+    with csv_path.open("w", newline="", encoding="utf-8") as file:
+        csv.writer(file).writerows(tables.csv_rows(table))
+    faults = [(event.at / SECOND, event.detail) for event in events if event.kind is EventKind.FAULT]
+    title = html.escape(scenario.name)
     parts = [
-        f"<!doctype html><meta charset=utf-8><title>{html.escape(script.name)}</title>"
-        f"<style>{STYLE}</style><h1>{html.escape(script.name)}, seed {seed}</h1>",
-        _summary(told),
+        f"<!doctype html><meta charset=utf-8><title>{title}</title>"
+        f"<style>{STYLE}</style><h1>{title}, seed {seed}</h1>",
+        _summary(summary),
         _findings(findings),
+        _latenesses(latenesses),
+        *_plots(table, scenario, faults),
+        _faults(faults),
+        f"<p>Table: <a href='{html.escape(csv_path.name)}'>{html.escape(csv_path.name)}</a></p>"
+        "<details><summary>As JSON</summary>"
+        f"<pre>{html.escape(json.dumps(summary, indent=1))}</pre></details>",
     ]
-    if slips:
-        worst = max(late for _, late in slips) / 10
-        parts.append(
-            f"<p class=bad>The laboratory itself was late {len(slips)} times, by {worst:.0f} ms at most: "
-            "answers in time around these moments were not judged.</p>"
-        )
-    marks = [(row.at / SECOND, row.told) for row in rows if row.what is What.FAULT]
-    for title, plot in (
-        ("What became of batches, by the second they came up", _ends),
-        ("Goal met, by release", _releases),
-        ("Latency of those returned, ms", _latency),
-        ("Dispatches, by engine", _engines),
-        ("Answers, by manager", _managers),
-    ):
-        parts.append(f"<h2>{title}</h2>{_svg(plot, table, script, marks)}")
-    parts.append(
-        f"<h2>Faults</h2><ul>{''.join(f'<li>{at:.1f} s: {html.escape(what)}' for at, what in marks)}</ul>"
+    path.write_text("".join(parts), encoding="utf-8")
+    return csv_path
+
+
+def _latenesses(latenesses: Sequence[Lateness]) -> str:
+    if not latenesses:
+        return ""
+    worst_ms = max(one.late_by for one in latenesses) / MILLISECOND
+    return (
+        f"<p class=bad>The laboratory itself was late {len(latenesses)} times, "
+        f"by {worst_ms:.0f} ms at most: answers in time around these moments were not judged.</p>"
     )
-    parts.append(
-        f"<p>Table: <a href='{html.escape(sheet.name)}'>{html.escape(sheet.name)}</a></p>"
-        f"<details><summary>As JSON</summary><pre>{html.escape(json.dumps(told, indent=1))}</pre></details>"
+
+
+def _faults(faults: Sequence[tuple[float, str]]) -> str:
+    items = "".join(f"<li>{at:.1f} s: {html.escape(what)}" for at, what in faults)
+    return f"<h2>Faults</h2><ul>{items}</ul>"
+
+
+def _plots(table: tables.Table, scenario: Scenario, faults: Sequence[tuple[float, str]]) -> Iterator[str]:
+    plots: tuple[tuple[str, Plot], ...] = (
+        ("What became of batches, by the second they came up", _plot_outcomes),
+        ("Goal met, by release", _plot_releases),
+        ("Latency of those returned, ms", _plot_latencies),
+        ("Dispatches, by engine", _plot_engines),
+        ("Answers, by manager", _plot_gateways),
     )
-    path.write_text("".join(parts), encoding="utf-8")
-    return sheet
+    for title, plot in plots:
+        yield f"<h2>{title}</h2>{_svg(plot, table, scenario, faults)}"
 
 
-def _summary(told: dict[str, Any]) -> str:
-    head = "".join(f"<th>{name}" for name in ("group", "offered", *tables.ENDS, "p50 ms", "p99 ms"))
+def _summary(summary: dict[str, Any]) -> str:
+    head = "".join(f"<th>{name}" for name in ("group", "offered", *tables.OUTCOMES, "p50 ms", "p99 ms"))
     body = "".join(
         f"<tr><td>{html.escape(name)}<td>{cell['offered']}"
-        + "".join(f"<td>{cell.get(end, 0)}" for end in tables.ENDS)
+        + "".join(f"<td>{cell.get(outcome, 0)}" for outcome in tables.OUTCOMES)
         + f"<td>{cell['p50_ms']}<td>{cell['p99_ms']}"
-        for name, cell in told["groups"].items()
+        for name, cell in summary["groups"].items()
     )
     return (
-        f"<p>Utility reached within the goals: <b>{told['served']:.1%}</b>; {told['dispatches']} dispatches; "
-        f"{told['engines_fallen']} engines fell over.</p><table><tr>{head}{body}</table>"
+        f"<p>Utility reached within the goals: <b>{summary['served']:.1%}</b>; "
+        f"{summary['dispatches']} dispatches; "
+        f"{summary['engines_fallen']} engines fell over.</p><table><tr>{head}{body}</table>"
     )
 
 
@@ -102,9 +123,9 @@
     if not findings:
         return "<p>All rules kept, no crash.</p>"
     rows = "".join(
-        f"<tr><td>{one.rule}<td>{one.at / SECOND:.3f}<td>{one.batch}<td>{html.escape(one.who)}"
-        f"<td>{html.escape(one.text)}"
-        for one in findings[:200]
+        f"<tr><td>{finding.rule}<td>{finding.at / SECOND:.3f}<td>{finding.query}"
+        f"<td>{html.escape(finding.who)}<td>{html.escape(finding.text)}"
+        for finding in findings[:MAX_FINDINGS]
     )
     return (
         f"<p class=bad>{len(findings)} findings (rule 0: a crash; 8: an effect done twice).</p>"
@@ -112,10 +133,10 @@
     )
 
 
-def _svg(plot: Any, table: tables.Table, script: Script, marks: Sequence[tuple[float, str]]) -> str:
-    figure, axes = pyplot.subplots(figsize=(WIDE, HIGH), layout="constrained")
-    plot(axes, table, script)
-    for at, _ in marks:
+def _svg(plot: Plot, table: tables.Table, scenario: Scenario, faults: Sequence[tuple[float, str]]) -> str:
+    figure, axes = pyplot.subplots(figsize=(PLOT_WIDTH_IN, PLOT_HEIGHT_IN), layout="constrained")
+    plot(axes, table, scenario)
+    for at, _ in faults:
         axes.axvline(at, color="#999", linewidth=0.6, linestyle=":")
     axes.set_xlim(0, max(1, table.seconds))
     axes.set_xlabel("s")
@@ -126,90 +147,97 @@
     return text[text.index("<svg") :]
 
 
-def _by_second(table: tables.Table, value: Any) -> np.ndarray[Any, Any]:
+def _by_second(table: tables.Table, value: Callable[[int], float]) -> np.ndarray[Any, Any]:
     return np.array([value(second) for second in range(table.seconds)], dtype=float)
 
 
-def _ends(axes: Any, table: tables.Table, script: Script) -> None:
-    seconds = np.arange(table.seconds)
-    lines = {
-        end: _by_second(
+def _plot_outcomes(axes: Any, table: tables.Table, _: Scenario) -> None:
+    def counts(outcome: RequestOutcome) -> np.ndarray[Any, Any]:
+        return _by_second(
             table,
-            lambda at, end=end: sum(
-                cell.ends[end] for (second, _, _), cell in table.cells.items() if second == at
+            lambda at: sum(
+                cell.outcomes[outcome] for (second, _, _), cell in table.cells.items() if second == at
             ),
         )
-        for end in tables.ENDS
-    }
+
     axes.stackplot(
-        seconds, *lines.values(), labels=list(lines), colors=[COLOURS[end] for end in lines], step="post"
+        np.arange(table.seconds),
+        *(counts(outcome) for outcome in tables.OUTCOMES),
+        labels=[outcome.value for outcome in tables.OUTCOMES],
+        colors=[COLOURS[outcome] for outcome in tables.OUTCOMES],
+        step="post",
     )
     axes.legend(loc="upper left", fontsize=7, ncols=6)
 
 
-def _releases(axes: Any, table: tables.Table, script: Script) -> None:
+def _plot_releases(axes: Any, table: tables.Table, _: Scenario) -> None:
     for release in table.releases:
-        met = _by_second(
-            table,
-            lambda at, release=release: sum(
-                cell.ends["met"]
-                for (second, _, one), cell in table.cells.items()
-                if (second, one) == (at, release)
-            ),
-        )
-        whole = _by_second(
-            table,
-            lambda at, release=release: sum(
-                cell.offered
-                for (second, _, one), cell in table.cells.items()
-                if (second, one) == (at, release)
-            ),
-        )
-        part = np.divide(met, whole, out=np.full_like(met, np.nan), where=whole > 0)
+        met = _release_counts(table, release, lambda cell: cell.outcomes[RequestOutcome.MET])
+        offered = _release_counts(table, release, lambda cell: cell.offered)
+        part = np.divide(met, offered, out=np.full_like(met, np.nan), where=offered > 0)
         axes.plot(np.arange(len(part)) + 0.5, part, label=release or "this one", linewidth=1.2)
     axes.set_ylim(0, 1.02)
     axes.legend(loc="lower left", fontsize=7)
 
 
-def _latency(axes: Any, table: tables.Table, script: Script) -> None:
-    for group in script.groups:
+def _release_counts(
+    table: tables.Table, release: str, count: Callable[[tables.Cell], int]
+) -> np.ndarray[Any, Any]:
+    return _by_second(
+        table,
+        lambda at: sum(
+            count(cell)
+            for (second, _, of_release), cell in table.cells.items()
+            if (second, of_release) == (at, release)
+        ),
+    )
+
+
+def _plot_latencies(axes: Any, table: tables.Table, scenario: Scenario) -> None:
+    for service_class in scenario.service_classes:
         for part, style in ((0.5, "-"), (0.99, ":")):
-            values = list[float]()
-            for second in range(table.seconds):
-                cell = tables.Cell()
-                for (at, name, _), one in table.cells.items():
-                    if (at, name) == (second, group.name):
-                        cell.latency.add(one.latency)
-                values.append(cell.quantile(part) or float("nan"))
+            values = [
+                _quantile_ms(table, second, service_class.name, part) for second in range(table.seconds)
+            ]
             axes.plot(
                 np.arange(len(values)) + 0.5,
                 values,
                 style,
-                label=f"{group.name} p{part * 100:.0f}",
+                label=f"{service_class.name} p{part * 100:.0f}",
                 linewidth=1.0,
             )
     axes.set_yscale("log")
     axes.legend(loc="upper left", fontsize=7, ncols=4)
 
 
-def _engines(axes: Any, table: tables.Table, script: Script) -> None:
-    _grid(axes, table, {name for _, name in table.dispatches}, table.dispatches)
+def _quantile_ms(table: tables.Table, second: int, service_class: str, part: float) -> float:
+    """Over all releases; not a number where nothing was completed."""
+    total = tables.Cell()
+    for (at, name, _), cell in table.cells.items():
+        if (at, name) == (second, service_class):
+            total.latencies.add(cell.latencies)
+    return total.quantile_ms(part) or float("nan")
+
 
+def _plot_engines(axes: Any, table: tables.Table, _: Scenario) -> None:
+    _plot_grid(axes, table, table.attempts)
 
-def _managers(axes: Any, table: tables.Table, script: Script) -> None:
-    _grid(axes, table, {name for _, name in table.answers}, table.answers)
 
+def _plot_gateways(axes: Any, table: tables.Table, _: Scenario) -> None:
+    _plot_grid(axes, table, table.answers)
 
-def _grid(axes: Any, table: tables.Table, names: set[str], told: Any) -> None:
-    rows = sorted(names, key=lambda name: (len(name), name))
-    if not rows:
+
+def _plot_grid(axes: Any, table: tables.Table, counts: Counter[tuple[int, str]]) -> None:
+    """Counts by second and name, one row a name."""
+    names = sorted({name for _, name in counts}, key=lambda name: (len(name), name))
+    if not names:
         return
-    grid = np.array([[told[second, name] for second in range(max(1, table.seconds))] for name in rows])
+    seconds = max(1, table.seconds)
+    grid = np.array([[counts[second, name] for second in range(seconds)] for name in names])
     axes.imshow(
-        grid,
-        aspect="auto",
-        interpolation="none",
-        cmap="Greens",
-        extent=(0, max(1, table.seconds), len(rows) - 0.5, -0.5),
+        grid, aspect="auto", interpolation="none", cmap="Greens", extent=(0, seconds, len(names) - 0.5, -0.5)
     )
-    axes.set_yticks(range(len(rows)), rows, fontsize=5 if len(rows) > 12 else 7)
+    axes.set_yticks(range(len(names)), names, fontsize=5 if len(names) > MANY_ROWS else 7)
+
+
+__all__ = ["write"]
