--- a/bench/xds.py
+++ b/bench/xds.py
@@ -1,10 +1,11 @@
-"""The control service at size: from a change of the list to the last of many proxies; CPU, bytes and memory.
+"""The control service at scale: from a change of the list to the last of many proxies; CPU, bytes, memory.
 
 python -m bench.xds [--proxies 1 --proxies 100 ...] [--engines 1000] [--rounds 5]
 
-Starts the program itself on loopback. The proxies are machines of the project's own, many in one process,
-each with a connection of its own; they acknowledge everything. Beside the shared encoding the same is
-measured with a response encoded for each stream anew."""
+Starts the program itself on loopback. The proxies are this project's own sessions, many in one process, each
+with a connection of its own; they acknowledge everything. Beside the shared encoding the same is measured
+with a response encoded for each stream anew.
+"""
 
 from __future__ import annotations
 
@@ -27,46 +28,58 @@
 from bench.membership import resident
 from tests.helpers import ROOT, Feed, Node, free_address, member
 from vanerelay.clock import Clock
-from vanerelay.grpc_wire.driver import Client
+from vanerelay.grpc_wire.call import Call
+from vanerelay.grpc_wire.client_session import ClientSession
+from vanerelay.grpc_wire.driver import GrpcClientFactory, GrpcConnection
 from vanerelay.grpc_wire.limits import Limits
-from vanerelay.grpc_wire.session import Call
-from vanerelay.xds.streams import Type
+from vanerelay.grpc_wire.status import Status
+from vanerelay.xds.subscription import ResourceType
 
 reactor: Any = installed
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
-CALLERS = 50  # proxies that connect at a time, as one process plays them all
-ALONE = """
-from vanerelay.xds import service
-service.ENCODED = 0  # nothing is kept: each stream's response is made anew
+CONNECTING = 50  # proxies that connect at a time, as one process plays them all
+UNSHARED_CODE = """
+from vanerelay.xds import view
+view.MAX_CACHED_RESPONSES = 0  # each stream's response is encoded anew
 """
-CHILD = """
+SERVER_CODE = """
 from vanerelay.cli import main
 main()
 """
 
 
 class Proxy:
-    """Subscribes to all endpoints and acknowledges what comes; `at` is when the last came, by type the
-    bytes."""
+    """Subscribes to everything and acknowledges what comes.
+
+    Attributes:
+        updated_at: When the last endpoints came.
+        responses: How many responses came.
+        bytes: Their size.
+        endpoint_updates: How many of them held endpoints.
+    """
 
     def __init__(self, number: int, incremental: bool, zone: str) -> None:
         self.number, self.incremental, self.zone = number, incremental, zone
-        self.at, self.count, self.bytes, self.drains = 0.0, 0, 0, 0
+        self.updated_at, self.responses, self.bytes, self.endpoint_updates = 0.0, 0, 0, 0
         self.call: Call | None = None
 
-    def open(self, connection: Any) -> None:
+    def open(self, connection: GrpcConnection) -> None:
+        """Opens its stream on a new connection."""
         method = "DeltaAggregatedResources" if self.incremental else "StreamAggregatedResources"
-        call = connection.session.call(ADS + method, self)
+        session = connection.session
+        assert isinstance(session, ClientSession)
+        call = session.call(ADS + method, self)
         assert isinstance(call, Call)
         self.call = call
         for kind, names in (
-            (Type.CLUSTER, []),
-            (Type.ENDPOINTS, ["look", "load"]),
-            (Type.ROUTES, ["vanerelay"]),
+            (ResourceType.CLUSTER, []),
+            (ResourceType.ENDPOINTS, ["look", "load"]),
+            (ResourceType.ROUTES, ["vanerelay"]),
         ):
-            self.ask(kind, names, "", "")
+            self.request(kind, names, "", "")
 
-    def ask(self, kind: Type, names: list[str], nonce: str, version: str) -> None:
+    def request(self, kind: ResourceType, names: list[str], nonce: str, version: str) -> None:
+        """Subscribes to names of a type, or acknowledges the response of a nonce."""
         assert self.call is not None
         if self.incremental:
             request = discovery_pb2.DeltaDiscoveryRequest(type_url=kind.value, response_nonce=nonce)
@@ -79,33 +92,40 @@
         request.node.id, request.node.locality.zone = f"p-{self.number}", self.zone
         self.call.send(request.SerializeToString())
 
-    def message(self, data: bytes) -> None:
-        self.count, self.bytes = self.count + 1, self.bytes + len(data)
-        made = discovery_pb2.DeltaDiscoveryResponse if self.incremental else discovery_pb2.DiscoveryResponse
-        answer = made.FromString(data)
-        kind = Type(answer.type_url)
-        if kind is Type.ENDPOINTS:
-            self.at, self.drains = time.monotonic(), self.drains + 1
-        names = {Type.ENDPOINTS: ["look", "load"], Type.ROUTES: ["vanerelay"]}.get(kind, [])
-        self.ask(kind, names, answer.nonce, "" if self.incremental else answer.version_info)
+    def message_received(self, data: bytes) -> None:
+        """A response came; it is acknowledged."""
+        self.responses += 1
+        self.bytes += len(data)
+        message_type = (
+            discovery_pb2.DeltaDiscoveryResponse if self.incremental else discovery_pb2.DiscoveryResponse
+        )
+        answer = message_type.FromString(data)
+        kind = ResourceType(answer.type_url)
+        if kind is ResourceType.ENDPOINTS:
+            self.updated_at = time.monotonic()
+            self.endpoint_updates += 1
+        names = {ResourceType.ENDPOINTS: ["look", "load"], ResourceType.ROUTES: ["vanerelay"]}.get(kind, [])
+        self.request(kind, names, answer.nonce, "" if self.incremental else answer.version_info)
 
     def half_closed(self) -> None:
         """A server never does."""
 
-    def gone(self, ended: Any) -> None:
-        print("gone", ended)
+    def ended(self, status: Status) -> None:
+        """The stream is over."""
+        print("gone", status)
 
-    def drained(self) -> None:
+    def send_queue_emptied(self) -> None:
         """Nothing waits here."""
 
 
-class Served(Node):
+class Gateway(Node):
     """The program, with or without the shared encoding."""
 
-    alone = False
+    unshared = False
 
     def start(self) -> None:
-        code = (ALONE if self.alone else "") + CHILD
+        """Starts the process."""
+        code = (UNSHARED_CODE if self.unshared else "") + SERVER_CODE
         self.process = subprocess.Popen(
             [sys.executable, "-c", code, "serve", *self.words],
             cwd=ROOT,
@@ -114,12 +134,15 @@
         )
 
     def cpu(self) -> float:
+        """The CPU time that the process has used, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-class ServedAlone(Served):
-    alone = True
+class UnsharedGateway(Gateway):
+    """The program, with each response encoded anew."""
+
+    unshared = True
 
 
 def spin(until: Any, limit_s: float = 60.0) -> bool:
@@ -130,39 +153,46 @@
     return bool(until())
 
 
-def measure(count: int, engines: int, rounds: int, incremental: bool, made: type[Served]) -> dict[str, Any]:
+def measure(
+    count: int, engines: int, rounds: int, incremental: bool, gateway: type[Gateway]
+) -> dict[str, Any]:
+    """Drains one engine after the other and measures what reaches the proxies."""
     feed, listen = Feed(), free_address()
     rows = [{**member(9, f"e-{n}"), "host_port": f"127.1.{n // 250}.{1 + n % 250}:9"} for n in range(engines)]
     with tempfile.TemporaryDirectory() as name:
         text = f'xds {{\nlisten = "{listen}"\nmost = 2000\nproxies = {count}\n}}\n'
-        node = made(Path(name), feed, *rows, options=text, memory_mb=1024, sockets=4096)
+        node = gateway(Path(name), feed, *rows, options=text, memory_mb=1024, sockets=4096)
         proxies = [Proxy(n, incremental, "here") for n in range(count)]
         host, _, port = listen.rpartition(":")
         try:
             time.sleep(1.0)
             before = resident(node.process.pid)
             lost: list[str] = []
-            for place in range(0, count, CALLERS):
-                some = proxies[place : place + CALLERS]
-                for proxy in some:
-                    client = Client(reactor, Clock(), Limits(), "x", lost.append)
+            for first in range(0, count, CONNECTING):
+                batch = proxies[first : first + CONNECTING]
+                for proxy in batch:
+                    client = GrpcClientFactory(reactor, Clock(), Limits(), "x", lost.append)
                     TCP4ClientEndpoint(reactor, host, int(port)).connect(client).addCallback(proxy.open)
-                assert spin(lambda some=some: all(p.count >= 3 for p in some)), "proxies are told"
-            assert spin(lambda: all(p.count >= 3 for p in proxies)), "all proxies are told"
+                assert spin(lambda batch=batch: all(p.responses >= 3 for p in batch)), (
+                    "proxies have their first responses"
+                )
+            assert spin(lambda: all(p.responses >= 3 for p in proxies)), (
+                "all proxies have their first responses"
+            )
             spin(lambda: False, 12.0)  # the time in which the expected number counts, and what follows
             memory = (resident(node.process.pid) - before) / count
             took, cpu, sent = [], [], []
-            for turn in range(rounds):
-                drains, cpu_before = [p.drains for p in proxies], node.cpu()
+            for number in range(rounds):
+                updates, cpu_before = [p.endpoint_updates for p in proxies], node.cpu()
                 bytes_before = sum(p.bytes for p in proxies)
                 began = time.monotonic()
-                feed.tell({**rows[turn], "phase": "DRAINING"})
+                feed.tell({**rows[number], "phase": "DRAINING"})
 
-                def told(before: list[int] = drains) -> bool:
-                    return all(p.drains > n for p, n in zip(proxies, before, strict=True))
+                def updated(before: list[int] = updates) -> bool:
+                    return all(p.endpoint_updates > n for p, n in zip(proxies, before, strict=True))
 
-                assert spin(told), "a drain at all proxies"
-                took.append(max(p.at for p in proxies) - began)
+                assert spin(updated), "a drain at all proxies"
+                took.append(max(p.updated_at for p in proxies) - began)
                 spin(lambda: False, 1.0)
                 cpu.append(node.cpu() - cpu_before)
                 sent.append((sum(p.bytes for p in proxies) - bytes_before) / count)
@@ -180,11 +210,12 @@
 @click.option("--rounds", default=5, type=click.IntRange(1))
 @click.option("--one", help="Internal: one measurement, as JSON.")
 def main(proxies: tuple[int, ...], engines: int, rounds: int, one: str | None) -> None:
+    """Measures each number of proxies in a process of its own and prints a table."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (8192, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
     if one is not None:
-        count, incremental, alone = json.loads(one)
-        made = ServedAlone if alone else Served
-        print(json.dumps(measure(count, engines, rounds, incremental, made)))
+        count, incremental, unshared = json.loads(one)
+        gateway = UnsharedGateway if unshared else Gateway
+        print(json.dumps(measure(count, engines, rounds, incremental, gateway)))
         return
     print(
         f"a drain among {engines} engines, {rounds} times; medians, from sockets; CPU with the second after"
@@ -194,8 +225,8 @@
     )
     for count in proxies:
         for incremental in (False, True):
-            for alone in (False, True):
-                told = subprocess.run(
+            for unshared in (False, True):
+                run = subprocess.run(
                     [
                         sys.executable,
                         "-m",
@@ -205,19 +236,19 @@
                         "--rounds",
                         str(rounds),
                         "--one",
-                        json.dumps([count, incremental, alone]),
+                        json.dumps([count, incremental, unshared]),
                     ],
                     capture_output=True,
                     text=True,
                     check=False,
                 )
-                if told.returncode:
-                    print(count, incremental, alone, told.stderr.splitlines()[-1:])
+                if run.returncode:
+                    print(count, incremental, unshared, run.stderr.splitlines()[-1:])
                     continue
-                found = json.loads(told.stdout.splitlines()[-1])
+                found = json.loads(run.stdout.splitlines()[-1])
                 print(
                     f"{count:7}  {'incremental' if incremental else 'world':11}  "
-                    f"{'each' if alone else 'shared':8} "
+                    f"{'each' if unshared else 'shared':8} "
                     f"{statistics.median(found['took']) * 1000:9.0f} {max(found['took']) * 1000:10.0f} "
                     f"{statistics.median(found['cpu']) * 1000:8.0f} "
                     f"{statistics.median(found['bytes']) / 1024:11.1f} "
--- a/tests/test_xds_sockets.py
+++ b/tests/test_xds_sockets.py
@@ -1,4 +1,4 @@
-"""The control service started as operators start it, and proxies of grpcio's making that really send work."""
+"""The control service started as operators start it, and proxies on grpcio that really send queries."""
 
 from __future__ import annotations
 
@@ -24,20 +24,22 @@
 
 from tests.helpers import ROOT, Engine, Feed, Node, free_address, member, until
 from vanerelay.xds import resources
-from vanerelay.xds.streams import Type
+from vanerelay.xds.subscription import ResourceType
 
-BOUND = 2.0
+DRAIN_BOUND_S = 2.0
 
 
 class Site:
+    """One gateway with a control service, its engines and proxies."""
+
     def __init__(self, folder):
-        self.folder, self.made, self.feed = folder, [], Feed()
+        self.folder, self.closables, self.feed = folder, [], Feed()
         self.listen = free_address()
-        self.console = folder / "console"
-        self.more = ""
+        self.control_socket = folder / "console"
+        self.more_options = ""
 
     def engine(self):
-        """An engine that notes when it was sent what."""
+        """An engine that records when it was sent what."""
         one = Engine(
             lambda engine, connection, ident: (
                 engine.times.append((time.monotonic(), ident)),
@@ -45,33 +47,33 @@
             )
         )
         one.times = []
-        self.made.append(one)
+        self.closables.append(one)
         return one
 
     def start(self, *rows):
         text = (
-            f'membership {{\nconsole {{\nsocket = "{self.console}"\n}}\n}}\n'
-            f'xds {{\nlisten = "{self.listen}"\nnodes = ["p*"]\n{self.more}\n}}\n'
+            f'membership {{\nconsole {{\nsocket = "{self.control_socket}"\n}}\n}}\n'
+            f'xds {{\nlisten = "{self.listen}"\nnodes = ["p*"]\n{self.more_options}\n}}\n'
         )
         self.node = Node(self.folder, self.feed, *rows, options=text)
         return self.node
 
-    def proxy(self, name, **told):
-        self.made.append(Proxy(self.listen, name, **told))
-        return self.made[-1]
+    def proxy(self, name, **options):
+        self.closables.append(Proxy(self.listen, name, **options))
+        return self.closables[-1]
 
     def streams(self):
-        told = subprocess.run(
-            [sys.executable, "-m", "vanerelay", "proxies", "--json", "--socket", str(self.console)],
+        shown = subprocess.run(
+            [sys.executable, "-m", "vanerelay", "proxies", "--json", "--socket", str(self.control_socket)],
             cwd=ROOT,
             capture_output=True,
             text=True,
             check=True,
         )
-        return {row["node"]: row for row in map(json.loads, told.stdout.splitlines())}
+        return {row["node"]: row for row in map(json.loads, shown.stdout.splitlines())}
 
     def close(self):
-        for one in self.made:
+        for one in self.closables:
             one.close()
         if hasattr(self, "node"):
             self.node.process.kill()
@@ -81,36 +83,36 @@
 
 
 class Proxy:
-    """A proxy on grpcio: follows its endpoints and sends look-ups to them, one after the other."""
+    """A proxy on grpcio: follows its endpoints and sends queries to them, one after the other."""
 
     def __init__(
-        self, address, name, incremental=False, acks=True, works=True, have=None, zone="here", fails=()
+        self, address, name, incremental=False, acks=True, sends=True, have=None, zone="here", rejects=()
     ):
-        self.name, self.incremental, self.acks, self.zone, self.fails = (
+        self.name, self.incremental, self.acks, self.zone, self.rejects = (
             name,
             incremental,
             acks,
             zone,
-            set(fails),
+            set(rejects),
         )
         self.have = have or {}  # versions by type and name, from an earlier stream
-        self.told, self.endpoints, self.answers = [], {}, 0
+        self.responses, self.endpoints, self.completed = [], {}, 0
         self.ended, self.end = None, threading.Event()
         self.requests = queue.Queue()
         self.channel = grpc.insecure_channel(address)
         stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(self.channel)
         method = stub.DeltaAggregatedResources if incremental else stub.StreamAggregatedResources
         for kind, names in (
-            (Type.CLUSTER, []),
-            (Type.ENDPOINTS, ["look", "load"]),
-            (Type.LISTENER, ["vanerelay"]),
-            (Type.ROUTES, ["vanerelay"]),
+            (ResourceType.CLUSTER, []),
+            (ResourceType.ENDPOINTS, ["look", "load"]),
+            (ResourceType.LISTENER, ["vanerelay"]),
+            (ResourceType.ROUTES, ["vanerelay"]),
         ):
             self.requests.put(self.request(kind, names))
         self.stream = method(iter(self.requests.get, None))
         threading.Thread(target=self.follow, daemon=True).start()
-        if works:
-            threading.Thread(target=self.work, daemon=True).start()
+        if sends:
+            threading.Thread(target=self.send_queries, daemon=True).start()
 
     def request(self, kind, names=(), nonce="", version="", error=None):
         make = discovery_pb2.DeltaDiscoveryRequest if self.incremental else discovery_pb2.DiscoveryRequest
@@ -124,18 +126,24 @@
                 found.initial_resource_versions.update(self.have.get(kind, {}))
         else:
             found.resource_names.extend(names)
-            found.version_info = version or (resources.version(self.have[kind]) if kind in self.have else "")
+            found.version_info = version or (
+                resources.combined_version(self.have[kind]) if kind in self.have else ""
+            )
         return found
 
     def follow(self):
-        names = {Type.ENDPOINTS: ["look", "load"], Type.LISTENER: ["vanerelay"], Type.ROUTES: ["vanerelay"]}
+        names = {
+            ResourceType.ENDPOINTS: ["look", "load"],
+            ResourceType.LISTENER: ["vanerelay"],
+            ResourceType.ROUTES: ["vanerelay"],
+        }
         try:
             for answer in self.stream:
-                kind = Type(answer.type_url)
-                self.told.append((kind, answer))
+                kind = ResourceType(answer.type_url)
+                self.responses.append((kind, answer))
                 for one in answer.resources:
                     packed = one.resource if self.incremental else one
-                    if kind is Type.ENDPOINTS:
+                    if kind is ResourceType.ENDPOINTS:
                         from envoy.config.endpoint.v3 import endpoint_pb2
 
                         found = endpoint_pb2.ClusterLoadAssignment()
@@ -144,7 +152,7 @@
                 if not self.acks:
                     continue
                 version = "" if self.incremental else answer.version_info
-                error = "this proxy can't" if kind in self.fails else None
+                error = "this proxy can't" if kind in self.rejects else None
                 self.requests.put(
                     self.request(
                         kind, () if self.incremental else names.get(kind, ()), answer.nonce, version, error
@@ -166,7 +174,7 @@
             ]
         )
 
-    def work(self):
+    def send_queries(self):
         lines, chance = {}, random.Random(self.name)
         while not self.end.wait(0.01):
             able = self.healthy()
@@ -177,14 +185,14 @@
                 if port not in lines:
                     lines[port] = socket.create_connection(("127.0.0.1", port), 5)
                     lines[port].settimeout(5)
-                ident = f"{self.name}-{self.answers}".encode().hex()
+                ident = f"{self.name}-{self.completed}".encode().hex()
                 parts = [b"serve", ident.encode(), b"sort=look,patience=1000", b"SELECT 1"]
                 lines[port].sendall(b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts))
                 lines[port].recv(4096)
-                self.answers += 1
+                self.completed += 1
 
     def kinds(self):
-        return [kind for kind, _ in self.told]
+        return [kind for kind, _ in self.responses]
 
     def close(self):
         self.end.set()
@@ -199,7 +207,7 @@
     one.close()
 
 
-def test_no_proxy_sends_new_work_to_a_drained_engine(site):
+def test_no_proxy_sends_new_queries_to_a_draining_engine(site):
     one, two = site.engine(), site.engine()
     site.start(member(one, "e-1"), member(two, "e-2"))
     proxies = [
@@ -207,20 +215,19 @@
         site.proxy("p-delta", incremental=True),
         site.proxy("p-mute", acks=False),
     ]
-    closed = Closed(site.listen)
-    until(lambda: all(p.answers > 20 for p in proxies), "work of all proxies")
+    closed = ClosedWindowProxy(site.listen)
+    until(lambda: all(p.completed > 20 for p in proxies), "work of all proxies")
     until(lambda: len(one.times) > 10 and len(two.times) > 10, "work at both engines")
     number = site.feed.tell(member(one, "e-1", "DRAINING"))
     site.feed.heard(number)
     learned = time.monotonic()
     until(lambda: all(len(p.healthy()) == 1 for p in proxies), "the drain at all proxies")
-    before = [p.answers for p in proxies]
-    until(lambda: all(p.answers > n + 200 for p, n in zip(proxies, before, strict=True)), "further work")
-    assert max(at for at, _ in one.times) - learned < BOUND and time.monotonic() - learned > 1.0
+    before = [p.completed for p in proxies]
+    until(lambda: all(p.completed > n + 200 for p, n in zip(proxies, before, strict=True)), "further work")
+    assert max(at for at, _ in one.times) - learned < DRAIN_BOUND_S and time.monotonic() - learned > 1.0
     rows = site.streams()
     assert rows["p-world"]["behind_s"] == rows["p-delta"]["behind_s"] == 0.0 < rows["p-mute"]["behind_s"]
-    # One whose window was closed all the while has little waiting for it, and then gets the newest state
-    # alone.
+    # For one whose window was closed all the while little is queued; then it gets the newest state alone.
     assert 0 < rows["p-closed"]["unsent"] < 100_000
     site.feed.tell(member(one, "e-1", "DELETED"))
     until(lambda: len(proxies[0].endpoints["look"].endpoints[0].lb_endpoints) == 1, "the engine gone")
@@ -229,8 +236,8 @@
     assert b"e-1" not in last.SerializeToString() and str(one.port) not in str(last)
 
 
-class Closed:
-    """A proxy that lets nothing through, by a window of nothing, until it is opened."""
+class ClosedWindowProxy:
+    """A proxy that lets nothing through, by a window of 0 bytes, until it is opened."""
 
     def __init__(self, listen):
         host, _, port = listen.rpartition(":")
@@ -250,7 +257,9 @@
                 ("te", "trailers"),
             ],
         )
-        request = discovery_pb2.DiscoveryRequest(type_url=Type.ENDPOINTS.value, resource_names=["look"])
+        request = discovery_pb2.DiscoveryRequest(
+            type_url=ResourceType.ENDPOINTS.value, resource_names=["look"]
+        )
         request.node.id, request.node.locality.zone = "p-closed", "here"
         data = request.SerializeToString()
         self.h2.send_data(1, b"\0" + len(data).to_bytes(4, "big") + data)
@@ -277,57 +286,69 @@
 
 
 def versions(proxy):
-    """What a proxy holds, by type and name, as it would tell on its next stream."""
+    """What a proxy holds, by type and name, as it would say on its next stream."""
     held = {}
-    for kind, answer in proxy.told:
+    for kind, answer in proxy.responses:
         for one in answer.resources:
             held.setdefault(kind, {})[one.name] = one.version
     return held
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_a_gateway_that_restarts_sends_nothing_that_proxies_have(site, incremental):
+def test_a_restarted_gateway_sends_nothing_that_proxies_have(site, incremental):
     one, two = site.engine(), site.engine()
     site.start(member(one, "e-1"), member(two, "e-2"))
-    first = site.proxy("p-1", incremental=True, works=False)
+    first = site.proxy("p-1", incremental=True, sends=False)
     until(lambda: len(set(first.kinds())) == 4, "all four types")
     # make before break
-    assert first.kinds()[:4] == [Type.CLUSTER, Type.ENDPOINTS, Type.LISTENER, Type.ROUTES]
+    assert first.kinds()[:4] == [
+        ResourceType.CLUSTER,
+        ResourceType.ENDPOINTS,
+        ResourceType.LISTENER,
+        ResourceType.ROUTES,
+    ]
     have = versions(first)
     site.node.process.kill()
     site.node.process.wait()
     site.node.start()
     until(site.node._ready, "readiness")
-    have[Type.ENDPOINTS] = {n: v for n, v in have[Type.ENDPOINTS].items() if n in ("look", "load")}
-    back = [site.proxy(f"p-{n + 10}", incremental=incremental, works=False, have=have) for n in range(1)]
+    have[ResourceType.ENDPOINTS] = {
+        n: v for n, v in have[ResourceType.ENDPOINTS].items() if n in ("look", "load")
+    }
+    reconnected = [
+        site.proxy(f"p-{n + 10}", incremental=incremental, sends=False, have=have) for n in range(1)
+    ]
     until(lambda: "p-10" in site.streams(), "the proxy is back")
     until(lambda: all(site.streams()["p-10"]["behind_s"] == 0.0 for _ in range(3)), "nothing to tell")
-    assert not back[0].told
+    assert not reconnected[0].responses
     number = site.feed.tell(member(one, "e-1", "DRAINING"))
     site.feed.heard(number)
-    until(lambda: len(back[0].healthy()) == 1, "the drain")
-    assert Type.LISTENER not in back[0].kinds()
+    until(lambda: len(reconnected[0].healthy()) == 1, "the drain")
+    assert ResourceType.LISTENER not in reconnected[0].kinds()
 
 
-def test_a_refusal_is_reported_once_and_is_no_loop(site):
+def test_a_rejection_is_logged_once_and_is_no_loop(site):
     one, two = site.engine(), site.engine()
     site.start(member(one, "e-1"), member(two, "e-2"))
-    bad, good = site.proxy("p-bad", fails=[Type.CLUSTER], works=False), site.proxy("p-good", works=False)
+    bad, good = (
+        site.proxy("p-bad", rejects=[ResourceType.CLUSTER], sends=False),
+        site.proxy("p-good", sends=False),
+    )
     until(lambda: len(set(good.kinds())) == 4 and len(set(bad.kinds())) == 4, "all types at both")
     until(lambda: site.streams()["p-bad"]["refused"], "the refusal")
     time.sleep(0.6)
     rows = site.streams()
-    assert bad.kinds().count(Type.CLUSTER) <= 2 and rows["p-bad"]["refused"] == {
+    assert bad.kinds().count(ResourceType.CLUSTER) <= 2 and rows["p-bad"]["refused"] == {
         "cluster": "this proxy can't"
     }
     assert rows["p-bad"]["nacks"] <= 2 and not rows["p-good"]["refused"]
-    lines = [line for line in site.node.log.read_text().splitlines() if "refuses" in line]
+    lines = [line for line in site.node.log.read_text().splitlines() if "proxy rejected an update" in line]
     assert len(lines) == 1 and "this proxy can't" in lines[0]
 
 
-def test_who_may_not_connect_and_what_is_no_request(site):
+def test_forbidden_nodes_and_malformed_requests(site):
     site.start(member(site.engine(), "e-1"))
-    stranger = site.proxy("stranger", works=False)
+    stranger = site.proxy("stranger", sends=False)
     until(lambda: stranger.ended, "the refusal")
     assert stranger.ended is grpc.StatusCode.PERMISSION_DENIED
     with grpc.insecure_channel(site.listen) as channel:
@@ -344,7 +365,7 @@
             grpc.StatusCode.INVALID_ARGUMENT
         )
         listeners = "/envoy.service.listener.v3.ListenerDiscoveryService/StreamListeners"
-        wrong = discovery_pb2.DiscoveryRequest(type_url=Type.CLUSTER.value).SerializeToString()
+        wrong = discovery_pb2.DiscoveryRequest(type_url=ResourceType.CLUSTER.value).SerializeToString()
         assert call(listeners, wrong) is grpc.StatusCode.INVALID_ARGUMENT
     host, _, port = site.listen.rpartition(":")
     for junk in (b"GET / HTTP/1.1\r\n\r\n", os.urandom(300), b""):
@@ -355,15 +376,15 @@
                 with contextlib.suppress(ConnectionError):
                     while other.recv(4096):
                         pass  # it is ended by the other side
-    fine = site.proxy("p-1", works=False)
+    fine = site.proxy("p-1", sends=False)
     until(lambda: fine.healthy(), "a proxy that keeps to the protocol")
-    assert site.node.client() and site.node.log.read_text().count("does not keep to the protocol") == 1
+    assert site.node.client() and site.node.log.read_text().count("gRPC peer violated the protocol") == 1
 
 
-def test_reports_of_load_are_asked_for_and_heard(site):
+def test_load_reports_are_requested_and_read(site):
     one = site.engine()
     site.start(member(one, "e-1"))
-    proxy = site.proxy("p-1", works=False)
+    proxy = site.proxy("p-1", sends=False)
     until(lambda: proxy.healthy(), "endpoints")
     requests = queue.Queue()
     hello = lrs_pb2.LoadStatsRequest()
@@ -394,7 +415,7 @@
     requests.put(None)
 
 
-def test_tls_from_files_and_proxies_that_must_show_a_certificate(site):
+def test_tls_from_files_and_proxies_that_must_present_a_certificate(site):
     import datetime
 
     from cryptography import x509
@@ -431,18 +452,18 @@
     (_, key, certificate), (_, other_key, other) = pair("control", signer), pair("proxy", signer)
     for name, data in (("key", key), ("certificate", certificate), ("root", root)):
         (site.folder / name).write_bytes(data)
-    site.more = (
+    site.more_options = (
         f'tls {{\ncertificate = "{site.folder}/certificate"\nkey = "{site.folder}/key"\n'
         f'proxies_ca = "{site.folder}/root"\n}}'
     )
     site.start(member(site.engine(), "e-1"))
-    request = discovery_pb2.DiscoveryRequest(type_url=Type.CLUSTER.value)
+    request = discovery_pb2.DiscoveryRequest(type_url=ResourceType.CLUSTER.value)
     request.node.id = "p-1"
 
     def ask(*own):
         credentials = grpc.ssl_channel_credentials(root, *own)
-        told = [("grpc.ssl_target_name_override", "control")]
-        with grpc.secure_channel(site.listen, credentials, told) as channel:
+        options = [("grpc.ssl_target_name_override", "control")]
+        with grpc.secure_channel(site.listen, credentials, options) as channel:
             stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
             requests = queue.Queue()
             requests.put(request)
@@ -477,8 +498,8 @@
     return server
 
 
-def test_grpcio_s_own_resolver_spreads_calls_by_our_weights_and_leaves_a_drained_engine(site):
-    """Weights of places: calls from a place of no engine go 3 to 1 where three of four engines' cores are."""
+def test_grpcio_s_own_resolver_spreads_calls_by_our_weights_and_leaves_a_draining_engine(site):
+    """Calls from a zone without engines go 3 to 1 where three of four engines' cores are."""
     names = ["a", "b", "c", "d"]
     engines = [grpc_engine(name) for name in names]
     rows = [
--- a/vanerelay/grpc_wire/__init__.py
+++ b/vanerelay/grpc_wire/__init__.py
@@ -1,1 +1,1 @@
-"""gRPC over HTTP/2: machines fed bytes on the library h2, and a thin Twisted driver; server and client."""
+"""gRPC over HTTP/2: the wire alone, at either side, on h2 and Twisted."""
--- a/vanerelay/grpc_wire/frames.py
+++ b/vanerelay/grpc_wire/frames.py
@@ -1,7 +1,8 @@
-"""HTTP/2 frames and gRPC messages out of bytes, whole ones only. Machines.
+"""Splits bytes into HTTP/2 frames and gRPC messages. Pure; complete ones only.
 
-The frames go on to h2 as they came; they are looked at before, since h2 takes a GOAWAY for the end of all
-calls, and tells of no frame that only costs."""
+Frames go on to h2 as they came. They are looked at before, since h2 takes a GOAWAY for the end of all calls,
+and reports no event for some frames that only cost.
+"""
 
 from __future__ import annotations
 
@@ -9,105 +10,160 @@
 from dataclasses import dataclass
 
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-FRAME_MOST = 16_384  # what we let the peer send, HTTP/2's own default
+"""What a client's connection begins with."""
+
+MAX_FRAME_BYTES = 16_384
+"""The largest frame that a peer may send: HTTP/2's own default."""
+
+FRAME_HEADER_BYTES = 9
+"""A frame's header: length (3), type, flags, stream (4)."""
+
+MESSAGE_PREFIX_BYTES = 5
+"""A message's prefix: whether it is compressed, and its length (4)."""
+
+GZIP_WINDOW_BITS = 31
+"""Tells zlib to write and read gzip's format, with the largest window."""
+
+COMPRESSION_LEVEL = 6
+"""zlib's own default: more costs time and hardly shrinks resources."""
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Malformed:
     """Why what came cannot be read on."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Frame:
-    """A frame with its head, as it came; `payload` starts after nine bytes."""
+class MessageTooLarge(Malformed):
+    """A message is larger than this side takes."""
 
-    kind: int
-    data: bytes
+
+@dataclass(frozen=True, slots=True)
+class Preface:
+    """The client's connection preface."""
+
+    data: bytes = PREFACE
 
 
-class Splitter:
-    """Bytes into frames; at a server the preface first."""
+@dataclass(frozen=True, slots=True)
+class Frame:
+    """A frame as it came, its header included."""
 
-    def __init__(self, preface: bool) -> None:
-        self._begun, self._preface = bytearray(), preface
+    type: int
+    data: bytes
+
+    @property
+    def payload(self) -> bytes:
+        """What follows the header."""
+        return self.data[FRAME_HEADER_BYTES:]
 
-    def feed(self, data: bytes) -> list[Frame | Broken | bytes]:
-        """Frames that are whole now, and the preface as bytes. A Broken is the last."""
-        self._begun += data
-        found: list[Frame | Broken | bytes] = []
-        at, begun = 0, self._begun
-        if self._preface:
-            size = min(len(begun), len(PREFACE))
-            if begun[:size] != PREFACE[:size]:
-                return [Broken("no HTTP/2")]
+    @property
+    def payload_size(self) -> int:
+        """The length of the payload."""
+        return len(self.data) - FRAME_HEADER_BYTES
+
+
+class FrameSplitter:
+    """Bytes into frames; at a server, the preface first."""
+
+    def __init__(self, expects_preface: bool) -> None:
+        self._buffer = bytearray()
+        self._expects_preface = expects_preface
+
+    def feed(self, data: bytes) -> list[Preface | Frame | Malformed]:
+        """The frames that are complete now. A Malformed is the last."""
+        self._buffer += data
+        found: list[Preface | Frame | Malformed] = []
+        if self._expects_preface:
+            size = min(len(self._buffer), len(PREFACE))
+            if self._buffer[:size] != PREFACE[:size]:
+                return [Malformed("no HTTP/2")]
             if size < len(PREFACE):
                 return found
-            found.append(PREFACE)
-            at, self._preface = len(PREFACE), False
-        while len(begun) - at >= 9:
-            size = int.from_bytes(begun[at : at + 3], "big")
-            if size > FRAME_MOST:
-                found.append(Broken(f"a frame of {size} bytes"))
+            found.append(Preface())
+            del self._buffer[:size]
+            self._expects_preface = False
+        found += self._frames()
+        return found
+
+    def _frames(self) -> list[Frame | Malformed]:
+        found: list[Frame | Malformed] = []
+        start, buffer = 0, self._buffer
+        while len(buffer) - start >= FRAME_HEADER_BYTES:
+            size = int.from_bytes(buffer[start : start + 3], "big")
+            end = start + FRAME_HEADER_BYTES + size
+            if size > MAX_FRAME_BYTES:
+                found.append(Malformed(f"a frame of {size} bytes"))
                 break
-            if len(begun) - at < 9 + size:
+            if len(buffer) < end:
                 break
-            found.append(Frame(begun[at + 3], bytes(begun[at : at + 9 + size])))
-            at += 9 + size
-        del begun[:at]
+            found.append(Frame(buffer[start + 3], bytes(buffer[start:end])))
+            start = end
+        del buffer[:start]
         return found
 
 
-class Messages:
-    """Bytes of one call into messages: a flag, a length, that many bytes."""
+class MessageDecoder:
+    """Bytes of one call into messages."""
 
-    def __init__(self, most: int, gzip: bool) -> None:
-        self._begun, self._most, self._gzip = bytearray(), most, gzip
+    def __init__(self, max_bytes: int, gzip: bool) -> None:
+        self._buffer = bytearray()
+        self._max_bytes = max_bytes
+        self._gzip = gzip
 
     @property
-    def begun(self) -> bool:
-        return bool(self._begun)
-
-    def feed(self, data: bytes) -> list[bytes | Broken]:
-        """Messages that are whole now, unpacked. A Broken is the last."""
-        self._begun += data
-        found: list[bytes | Broken] = []
-        at, begun = 0, self._begun
-        while len(begun) - at >= 5:
-            packed, size = begun[at], int.from_bytes(begun[at + 1 : at + 5], "big")
-            if packed > 1 or packed and not self._gzip:
-                found.append(Broken("a message packed in no way that was told"))
+    def has_partial(self) -> bool:
+        """Whether a message has begun that is not complete."""
+        return bool(self._buffer)
+
+    def feed(self, data: bytes) -> list[bytes | Malformed]:
+        """The messages that are complete now, decompressed. A Malformed is the last."""
+        self._buffer += data
+        found: list[bytes | Malformed] = []
+        start, buffer = 0, self._buffer
+        while len(buffer) - start >= MESSAGE_PREFIX_BYTES:
+            body = start + MESSAGE_PREFIX_BYTES
+            compressed, size = buffer[start], int.from_bytes(buffer[start + 1 : body], "big")
+            malformed = self._check_prefix(compressed, size)
+            if malformed is not None:
+                found.append(malformed)
                 break
-            if size > self._most:
-                found.append(Broken(f"a message of {size} bytes, {self._most} at most"))
+            if len(buffer) < body + size:
                 break
-            if len(begun) - at < 5 + size:
+            message = bytes(buffer[body : body + size])
+            found.append(self._decompress(message) if compressed else message)
+            start = body + size
+            if isinstance(found[-1], Malformed):
                 break
-            message = bytes(begun[at + 5 : at + 5 + size])
-            found.append(self._unpack(message) if packed else message)
-            at += 5 + size
-            if isinstance(found[-1], Broken):
-                break
-        del begun[:at]
+        del buffer[:start]
         return found
 
-    def _unpack(self, message: bytes) -> bytes | Broken:
-        unpacker = zlib.decompressobj(wbits=31)
+    def _check_prefix(self, compressed: int, size: int) -> Malformed | None:
+        if compressed > 1 or (compressed and not self._gzip):
+            return Malformed("a message packed in no way that was told")
+        if size > self._max_bytes:
+            return MessageTooLarge(f"a message of {size} bytes, {self._max_bytes} at most")
+        return None
+
+    def _decompress(self, message: bytes) -> bytes | Malformed:
+        decompressor = zlib.decompressobj(wbits=GZIP_WINDOW_BITS)
         try:
-            data = unpacker.decompress(message, self._most + 1)
-        except zlib.error as fault:
-            return Broken(f"a message that cannot be unpacked: {fault}")
-        if len(data) > self._most:
-            return Broken(f"a message unpacked to over {self._most} bytes")
-        return data if unpacker.eof else Broken("a message packed in part")
+            data = decompressor.decompress(message, self._max_bytes + 1)
+        except zlib.error as error:
+            return Malformed(f"a message that cannot be unpacked: {error}")
+        if len(data) > self._max_bytes:
+            return Malformed(f"a message unpacked to over {self._max_bytes} bytes")
+        return data if decompressor.eof else Malformed("a message packed in part")
 
 
-def pack(message: bytes) -> bytes:
-    """A message packed by gzip, the same bytes for the same message."""
-    packer = zlib.compressobj(6, wbits=31)
-    return packer.compress(message) + packer.flush()
+def gzip_compress(message: bytes) -> bytes:
+    """A message compressed by gzip, the same bytes for the same message."""
+    compressor = zlib.compressobj(COMPRESSION_LEVEL, wbits=GZIP_WINDOW_BITS)
+    return compressor.compress(message) + compressor.flush()
 
 
-def prefix(size: int, packed: bool = False) -> bytes:
-    return bytes((packed,)) + size.to_bytes(4, "big")
+def message_prefix(size: int, compressed: bool = False) -> bytes:
+    """What goes before a message of so many bytes."""
+    return bytes((compressed,)) + size.to_bytes(4, "big")
--- a/vanerelay/grpc_wire/limits.py
+++ b/vanerelay/grpc_wire/limits.py
@@ -1,53 +1,81 @@
-"""What one connection may cost: limits, and a meter of what only costs. Pure.
+"""What one connection may cost: its limits, and a meter of frames that cost without use. Pure.
 
-A peer that floods cheap frames (pings, resets, settings, empty data, as published for HTTP/2's known floods)
-makes its counterpart work for nothing; each is counted over a span, and past its most the connection ends."""
+A peer that floods cheap frames (pings, resets, settings, empty data: HTTP/2's published floods) makes the
+other side work for nothing. Each kind is counted over a window, and above its limit the connection ends.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from vanerelay.config_field import config_field
 from vanerelay.interface import SECOND, Duration
 
 DATA, HEADERS, PRIORITY, RST_STREAM, SETTINGS, PUSH_PROMISE, PING, GOAWAY, WINDOW_UPDATE, CONTINUATION = (
     range(10)
 )
-REFUSED = 256  # no frame's type: a call past the limit
+
+REFUSED_CALL = 256
+"""Counted beside the frame types, and none of them: a call above the limit of calls."""
+
+UNKNOWN_TYPE = -1
+"""Under which all frame types that HTTP/2 does not define are counted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Of one connection. `streams`: calls open at once; `message`, `headers`: bytes of one, unpacked;
-    `waiting`: bytes that one call may have queued to be sent; `quiet`: after how long without a byte the peer
-    is pinged, and `answer`: how long it has for it; `greeting`: how long the peer's first frames may take."""
+    """The limits of one connection.
 
-    streams: int = 100
-    message: int = 4 * 2**20
-    headers: int = 16 * 2**10
-    waiting: int = 16 * 2**20
-    quiet: Duration = 30 * SECOND
-    answer: Duration = 10 * SECOND
-    greeting: Duration = 5 * SECOND
+    Attributes:
+        max_calls: Calls open at once.
+        max_message_bytes: The size of a message, decompressed.
+        max_header_bytes: The size of a request's headers, decompressed.
+        max_queued_bytes: The bytes that one call may have queued to be sent.
+        ping_after: The time without a byte after which the peer is pinged.
+        ping_timeout: How long the peer has to answer a ping.
+        handshake_timeout: How long the peer's first frames may take.
+    """
 
+    max_calls: int = config_field("streams", default=100)
+    max_message_bytes: int = config_field("message", default=4 * 2**20)
+    max_header_bytes: int = config_field("headers", default=16 * 2**10)
+    max_queued_bytes: int = config_field("waiting", default=16 * 2**20)
+    ping_after: Duration = config_field("quiet", default=30 * SECOND)
+    ping_timeout: Duration = config_field("answer", default=10 * SECOND)
+    handshake_timeout: Duration = config_field("greeting", default=5 * SECOND)
 
-class Meter:
-    """Frames that only cost, over the last span."""
 
-    SPAN = 10 * SECOND
-    MOST = {PRIORITY: 200, RST_STREAM: 300, SETTINGS: 50, PING: 100, CONTINUATION: 100, WINDOW_UPDATE: 50_000}
-    EMPTY = 200  # frames of data with nothing in them
-    OTHER = 100  # of kinds that nobody knows
+class FloodMeter:
+    """Counts the frames of one connection that cost without use."""
+
+    WINDOW = 10 * SECOND
+    MAX_FRAMES = {
+        PRIORITY: 200,
+        RST_STREAM: 300,
+        SETTINGS: 50,
+        PING: 100,
+        CONTINUATION: 100,
+        WINDOW_UPDATE: 50_000,
+    }
+    """The frames of each type that a window may hold: far above what a peer that behaves sends."""
+    MAX_EMPTY_DATA = 200
+    """The frames of data without a byte that a window may hold."""
+    MAX_OTHER = 100
+    """The frames of any other type, and refused calls, that a window may hold."""
 
     def __init__(self) -> None:
-        self._since, self._counts = 0, dict[int, int]()
+        self._window_start = 0
+        self._counts = dict[int, int]()
 
-    def costs(self, now: int, kind: int, size: int) -> str | None:
-        """Counts a frame; why the connection is to end, if it is."""
-        if now - self._since >= self.SPAN:
-            self._since, self._counts = now, {}
-        if kind == DATA and size or kind in (HEADERS, GOAWAY):
+    def count(self, now: int, frame_type: int, size: int) -> str | None:
+        """Counts a frame; the reason if the connection has to end."""
+        if now - self._window_start >= self.WINDOW:
+            self._window_start, self._counts = now, {}
+        if (frame_type == DATA and size) or frame_type in (HEADERS, GOAWAY):
             return None
-        counted = kind if kind <= CONTINUATION else -1
-        most = self.EMPTY if kind == DATA else self.MOST.get(counted, self.OTHER)
+        counted = frame_type if frame_type <= CONTINUATION else UNKNOWN_TYPE
+        limit = self.MAX_EMPTY_DATA if frame_type == DATA else self.MAX_FRAMES.get(counted, self.MAX_OTHER)
         self._counts[counted] = count = self._counts.get(counted, 0) + 1
-        return f"{count} frames of type {kind} in {self.SPAN // SECOND} s" if count > most else None
+        if count <= limit:
+            return None
+        return f"{count} frames of type {frame_type} in {self.WINDOW // SECOND} s"
--- a/vanerelay/grpc_wire/session.py
+++ b/vanerelay/grpc_wire/session.py
@@ -1,580 +1,347 @@
-"""One connection, at either side: fed bytes and the time, asked for bytes. Knows no socket, clock or Twisted.
+"""What both sides of a connection share: fed bytes and the time, asked for bytes.
 
-A call is a handle; what happens to it is a call on its listener. `outgoing` hands out what flow control lets
-go now, a piece at a time, so that a peer that reads slowly holds up its own calls alone, and their bytes wait
-here, bounded."""
+Knows no socket, clock or Twisted.
+
+A call is a handle; what happens to it is a call on its listener. `data_to_send` hands out what flow control
+allows, a piece at a time: a peer that reads slowly holds up its own calls alone, and their bytes wait here,
+bounded.
+"""
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Callable, Mapping
-from typing import Protocol
+import contextlib
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Iterable
 
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.errors import ErrorCodes
-from h2.events import (
-    DataReceived,
-    Event,
-    InformationalResponseReceived,
-    PingAckReceived,
-    RequestReceived,
-    ResponseReceived,
-    StreamEnded,
-    StreamReset,
-    TrailersReceived,
-)
+from h2.events import DataReceived, Event, PingAckReceived, StreamReset
 from h2.exceptions import H2Error
 from h2.settings import SettingCodes, Settings
 from hyperframe.frame import GoAwayFrame
 
-from vanerelay.grpc_wire import status
-from vanerelay.grpc_wire.frames import FRAME_MOST, Broken, Messages, Splitter, prefix
-from vanerelay.grpc_wire.limits import GOAWAY, REFUSED, Limits, Meter
+from vanerelay.grpc_wire.call import Call
+from vanerelay.grpc_wire.frames import (
+    FRAME_HEADER_BYTES,
+    MAX_FRAME_BYTES,
+    Frame,
+    FrameSplitter,
+    Malformed,
+    MessageTooLarge,
+    Preface,
+)
+from vanerelay.grpc_wire.limits import GOAWAY, FloodMeter, Limits
 from vanerelay.grpc_wire.status import Code, Status
 
-PIECE = 65_536  # bytes that `outgoing` hands out at a time, about
-WINDOW = 2**20  # bytes that a peer may have under way to us on a connection
-LAST = 2**31 - 1
-SPARE = 1000  # calls past the limit that are refused one by one
-ENCODINGS = "identity,gzip"
+SEND_BYTES = 65_536
+"""About how much `data_to_send` hands out at a time: a socket's usual buffer."""
 
-Headers = list[tuple[str, str]]
+CONNECTION_WINDOW = 2**20
+"""Bytes that a peer may send on a connection above HTTP/2's first window before we acknowledge them."""
 
+MAX_STREAM_ID = 2**31 - 1
+"""The largest stream id; also the mask that removes a frame's reserved bit."""
 
-class Listener(Protocol):
-    """What happens to a call. `message` and `half_closed` come from the peer; `gone` once, after which
-    nothing does, unless the call was finished by its own side; `drained` when all that was sent has left."""
+GOAWAY_PAYLOAD_BYTES = 8
+"""The last stream id and the error code, which each GOAWAY carries."""
 
-    def message(self, data: bytes) -> None: ...
+EXCESS_CALLS = 1000
+"""Calls above the limit that are refused one by one, before h2 ends the connection for them."""
 
-    def half_closed(self) -> None: ...
+MAX_REASON_CHARACTERS = 200
+"""How much of h2's description of an error is kept."""
 
-    def gone(self, ended: Status) -> None: ...
+PING_DATA = b"vanerela"
+"""What a ping carries: eight bytes, with no meaning."""
 
-    def drained(self) -> None: ...
+ENCODINGS = "identity,gzip"
+"""The message encodings that this side reads."""
 
+SILENT = "silent"
+"""The end reason of a connection whose peer did not answer a ping."""
 
-class Call:
-    """A call, at either side."""
+CLOSED = "closed"
+"""The end reason of a connection that was closed for none."""
 
-    def __init__(
-        self,
-        session: Session,
-        stream: int,
-        path: str,
-        metadata: dict[str, str],
-        until: int | None,
-        gzip: bool,
-    ) -> None:
-        self._session, self.stream, self.path, self.metadata, self.until = (
-            session,
-            stream,
-            path,
-            metadata,
-            until,
-        )
-        self.listener: Listener | None = None
-        self.messages = Messages(session.limits.message, gzip)
-        self.packs = "gzip" in metadata.get("grpc-accept-encoding", "")  # the peer unpacks
-        self.queue: deque[memoryview] = deque()
-        self.waiting = 0  # bytes queued
-        self.closing: Headers | None = None  # trailers to send after the queue; empty at a client
-        self.started = self.over = self.answered = False
-
-    def send(self, message: bytes, packed: bytes | None = None) -> bool:
-        """Queues a message; `packed` is sent in its place to a peer that unpacks. False: over, or too much
-        waits."""
-        body, is_packed = (packed, True) if packed is not None and self.packs else (message, False)
-        if self.over or self.closing is not None or self.waiting + len(body) > self._session.limits.waiting:
-            return False
-        self.queue.append(memoryview(prefix(len(body), is_packed)))
-        if body:
-            self.queue.append(memoryview(body))
-        self.waiting += 5 + len(body)
-        self._session.wants(self)
-        return True
-
-    def finish(self, ended: Status = status.OK) -> None:
-        """A server's end of the call, after what is queued."""
-        if not self.over and self.closing is None:
-            self.closing = status.told(ended)
-            self._session.wants(self)
-
-    def half_close(self) -> None:
-        """A client's end of its messages."""
-        if not self.over and self.closing is None:
-            self.closing = []
-            self._session.wants(self)
-
-    def cancel(self, code: ErrorCodes = ErrorCodes.CANCEL) -> None:
-        """Ends the call at once; its listener hears no more."""
-        self._session.drop(self, code)
-
-
-Opener = Callable[[Call], "Listener | Status"]
-
-
-class Session:
-    """What both sides share."""
-
-    client = False
+
+class Session(ABC):
+    """One connection, at either side.
+
+    Attributes:
+        calls: The open calls, by stream id.
+        draining: Whether no new calls are taken or made.
+        end_reason: Why the connection is over; empty while it is not.
+    """
+
+    is_client = False
 
     def __init__(self, now: int, limits: Limits, wake: Callable[[], None]) -> None:
-        """`wake` is called when something waits to be sent, other than in answer to `feed`."""
-        self.limits, self._wake, self._now = limits, wake, now
-        self._h2 = H2Connection(H2Configuration(client_side=self.client, header_encoding="utf-8"))
-        # As initial values: what is set otherwise is told only once the peer has acknowledged something.
-        self._h2.local_settings = self._settings(limits.streams)
-        self._splitter, self._meter = Splitter(not self.client), Meter()
+        """Opens the connection. `wake` is called when there is data to send, other than within `feed`."""
+        self.limits = limits
+        self._wake = wake
+        self._now = now
+        self._h2 = H2Connection(H2Configuration(client_side=self.is_client, header_encoding="utf-8"))
+        self._splitter = FrameSplitter(expects_preface=not self.is_client)
+        self._meter = FloodMeter()
         self.calls: dict[int, Call] = {}
-        self._ready: dict[Call, None] = {}  # calls with something to send
-        self._extra = b""  # frames of our own beside h2
-        self._heard, self._pinged, self._greeted = now, 0, False
-        self._latest = 0  # the peer's last call
-        self.ending, self.ended = False, ""  # takes no new calls; why it is over
+        self._sendable: dict[Call, None] = {}  # calls with something to send, in order
+        self._own_frames = b""  # written beside h2
+        self._received_at = now
+        self._pinged_at = 0  # 0 while no ping is unanswered
+        self._handshake_done = False
+        self._last_stream_id = 0  # of the calls taken from the peer
+        self.draining = False
+        self.end_reason = ""
+        # As initial values: h2 sends what is set otherwise only once the peer has acknowledged something.
+        self._h2.local_settings = self._settings(limits.max_calls)
         self._h2.initiate_connection()
-        # h2 ends a connection on a call past the limit, which a peer may open before it has heard of one:
-        # what
-        # it holds them to is above what was told, and those between are refused alone.
-        self._h2.local_settings = self._settings(limits.streams + SPARE)
-        self._h2.increment_flow_control_window(WINDOW)
+        # h2 ends a connection for a call above the limit, which a peer may open before it knows the limit.
+        # So h2 is given a higher limit than the peer, and the calls between the two are refused alone.
+        self._h2.local_settings = self._settings(limits.max_calls + EXCESS_CALLS)
+        self._h2.increment_flow_control_window(CONNECTION_WINDOW)
 
-    def _settings(self, streams: int) -> Settings:
+    def _settings(self, max_calls: int) -> Settings:
         return Settings(
-            client=self.client,
+            client=self.is_client,
             initial_values={
-                SettingCodes.MAX_CONCURRENT_STREAMS: streams,
-                SettingCodes.MAX_HEADER_LIST_SIZE: self.limits.headers,
-                SettingCodes.MAX_FRAME_SIZE: FRAME_MOST,
+                SettingCodes.MAX_CONCURRENT_STREAMS: max_calls,
+                SettingCodes.MAX_HEADER_LIST_SIZE: self.limits.max_header_bytes,
+                SettingCodes.MAX_FRAME_SIZE: MAX_FRAME_BYTES,
                 SettingCodes.ENABLE_PUSH: 0,
             },
         )
 
-    # Bytes.
+    # Receiving.
 
     def feed(self, now: int, data: bytes) -> None:
-        self._now, self._heard, self._pinged = now, now, 0
-        if self.ended:
+        """Bytes came from the peer."""
+        self._now, self._received_at, self._pinged_at = now, now, 0
+        if self.end_reason:
             return
-        for frame in self._splitter.feed(data):
-            if isinstance(frame, Broken):
-                self._end(ErrorCodes.PROTOCOL_ERROR, frame.why)
-            elif isinstance(frame, bytes):
-                self._receive(frame)
+        for part in self._splitter.feed(data):
+            if isinstance(part, Malformed):
+                self._end(ErrorCodes.PROTOCOL_ERROR, part.reason)
+            elif isinstance(part, Preface):
+                self._feed_h2(part.data)
             else:
-                self._greeted = True
-                costs = self._meter.costs(now, frame.kind, len(frame.data) - 9)
-                if costs is not None:
-                    self._end(ErrorCodes.ENHANCE_YOUR_CALM, costs)
-                elif frame.kind == GOAWAY and len(frame.data) >= 17:
-                    self._going_away(int.from_bytes(frame.data[9:13], "big") & LAST)
-                else:
-                    self._receive(frame.data)
-            if self.ended:
+                self._frame_received(part)
+            if self.end_reason:
                 return
 
-    def _receive(self, data: bytes) -> None:
+    def _frame_received(self, frame: Frame) -> None:
+        self._handshake_done = True
+        flood = self._meter.count(self._now, frame.type, frame.payload_size)
+        if flood is not None:
+            self._end(ErrorCodes.ENHANCE_YOUR_CALM, flood)
+        elif frame.type == GOAWAY and frame.payload_size >= GOAWAY_PAYLOAD_BYTES:
+            last = frame.data[FRAME_HEADER_BYTES : FRAME_HEADER_BYTES + 4]
+            self._peer_going_away(int.from_bytes(last, "big") & MAX_STREAM_ID)
+        else:
+            self._feed_h2(frame.data)
+
+    def _feed_h2(self, data: bytes) -> None:
         try:
-            events = self._h2.receive_data(data)
-            for event in events:
-                self._event(event)
-        except H2Error as fault:
-            self._end(None, f"{type(fault).__name__}: {fault}"[:200])
+            for event in self._h2.receive_data(data):
+                self._handle(event)
+        except H2Error as error:
+            self._end(None, f"{type(error).__name__}: {error}"[:MAX_REASON_CHARACTERS])
         except UnicodeDecodeError:
             self._end(ErrorCodes.PROTOCOL_ERROR, "headers that are no text")
 
-    def outgoing(self) -> bytes:
-        """What may be written now, about PIECE bytes; empty when there is nothing. To be asked again until
-        then."""
-        left = PIECE
-        if not self.ended:
-            for call in list(self._ready):
+    def _handle(self, event: Event) -> None:
+        """Handles what both sides treat alike."""
+        if isinstance(event, DataReceived):
+            self._data_received(event)
+        elif isinstance(event, StreamReset):
+            self._stream_reset(event)
+        elif not isinstance(event, PingAckReceived):
+            for call in self.calls.values():  # windows and settings: calls that wait may go on
+                if call.queue:
+                    self._sendable[call] = None
+
+    def _data_received(self, event: DataReceived) -> None:
+        if event.stream_id is not None and event.flow_controlled_length:
+            self._h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
+        call = self._call_of(event.stream_id)
+        if call is None or not event.data:
+            return
+        for message in call.decoder.feed(event.data):
+            if call.closed or call.listener is None:
+                return
+            if isinstance(message, Malformed):
+                too_large = isinstance(message, MessageTooLarge)
+                code = Code.RESOURCE_EXHAUSTED if too_large else Code.INTERNAL
+                self._fail_call(call, Status(code, message.reason))
+                return
+            call.listener.message_received(message)
+
+    def _stream_reset(self, event: StreamReset) -> None:
+        call = self._call_of(event.stream_id)
+        if call is None:
+            return
+        refused = event.error_code == ErrorCodes.REFUSED_STREAM
+        code = Code.UNAVAILABLE if refused else Code.CANCELLED
+        reason = f"reset by the peer, code {int(event.error_code or 0)}"
+        self._call_ended(call, Status(code, reason, may_have_run=not refused))
+
+    def _call_of(self, stream_id: int | None) -> Call | None:
+        return self.calls.get(stream_id or 0)
+
+    # Sending.
+
+    def data_to_send(self) -> bytes:
+        """What may be written now, about SEND_BYTES; to be asked again until nothing is left."""
+        left = SEND_BYTES
+        if not self.end_reason:
+            for call in list(self._sendable):
                 if left <= 0:
                     break
-                left -= self._pump(call, left)
-        data, self._extra = self._h2.data_to_send() + self._extra, b""
+                left -= self._send_from(call, left)
+        data, self._own_frames = self._h2.data_to_send() + self._own_frames, b""
         return data
 
-    def _pump(self, call: Call, most: int) -> int:
-        """Sends of one call what its window allows, and lets the next one come before it goes on."""
+    def _send_from(self, call: Call, max_bytes: int) -> int:
+        """Sends what flow control allows of one call, and returns how much; others come before it goes on."""
         sent = 0
-        del self._ready[call]
+        del self._sendable[call]
         try:
             if not call.started:
-                self._start(call)
-            while call.queue and sent < most:
-                room = min(
-                    self._h2.local_flow_control_window(call.stream), self._h2.max_outbound_frame_size, most
+                self._start_call(call)
+            while call.queue and sent < max_bytes:
+                window = min(
+                    self._h2.local_flow_control_window(call.stream_id),
+                    self._h2.max_outbound_frame_size,
+                    max_bytes,
                 )
-                if room <= 0:
-                    return sent  # woken by the peer's window
-                piece = call.queue.popleft()
-                if len(piece) > room:
-                    call.queue.appendleft(piece[room:])
-                    piece = piece[:room]
-                elif len(piece) == 5 and call.queue and len(call.queue[0]) + 5 <= room:
-                    # one frame for a short message
-                    piece = memoryview(bytes(piece) + bytes(call.queue.popleft()))
-                self._h2.send_data(call.stream, piece.tobytes())
-                call.waiting -= len(piece)
-                sent += len(piece)
+                if window <= 0:
+                    return sent  # the peer's next window makes it sendable again
+                data = call.queue.take(window)
+                self._h2.send_data(call.stream_id, data)
+                sent += len(data)
             if call.queue:
-                self._ready[call] = None
-            elif call.closing is not None:
-                self._close(call)
+                self._sendable[call] = None
+            elif call.trailers is not None:
+                self._end_sending(call)
             elif call.listener is not None and sent:
-                call.listener.drained()
-        except H2Error as fault:
-            self.drop(call, ErrorCodes.INTERNAL_ERROR)
-            self._gone(call, Status(Code.INTERNAL, str(fault)))
+                call.listener.send_queue_emptied()
+        except H2Error as error:
+            self.drop_call(call, ErrorCodes.INTERNAL_ERROR)
+            self._call_ended(call, Status(Code.INTERNAL, str(error)))
         return sent
 
-    def wants(self, call: Call) -> None:
-        self._ready[call] = None
+    def schedule_send(self, call: Call) -> None:
+        """A call has something to send."""
+        self._sendable[call] = None
         self._wake()
 
     # Time.
 
-    def due(self) -> int:
+    def next_tick_at(self) -> int:
         """When `tick` has something to do."""
-        moments = [call.until for call in self.calls.values() if call.until is not None]
-        moments.append(
-            self._pinged + self.limits.answer
-            if self._pinged
-            else self._heard + (self.limits.quiet if self._greeted else self.limits.greeting)
-        )
+        moments = [call.deadline for call in self.calls.values() if call.deadline is not None]
+        if self._pinged_at:
+            moments.append(self._pinged_at + self.limits.ping_timeout)
+        elif self._handshake_done:
+            moments.append(self._received_at + self.limits.ping_after)
+        else:
+            moments.append(self._received_at + self.limits.handshake_timeout)
         return min(moments)
 
     def tick(self, now: int) -> None:
-        """Calls past their time limit end; a quiet peer is asked whether it lives, a silent one is given
-        up."""
+        """Ends calls past their deadline; pings a quiet peer, and gives a silent one up."""
         self._now = now
-        for call in [c for c in self.calls.values() if c.until is not None and c.until <= now]:
-            self._late(call)
-        if not self._greeted and now - self._heard >= self.limits.greeting:
+        for call in [c for c in self.calls.values() if c.deadline is not None and c.deadline <= now]:
+            self._deadline_passed(call)
+        quiet_for = now - self._received_at
+        if not self._handshake_done and quiet_for >= self.limits.handshake_timeout:
             self._end(ErrorCodes.PROTOCOL_ERROR, "no HTTP/2 in time")
-        elif self._pinged and now - self._pinged >= self.limits.answer:
-            self._end(ErrorCodes.NO_ERROR, "silent")
-        elif not self._pinged and now - self._heard >= self.limits.quiet and not self.ended:
-            self._pinged = now
-            self._h2.ping(b"vanerela")
+        elif self._pinged_at and now - self._pinged_at >= self.limits.ping_timeout:
+            self._end(ErrorCodes.NO_ERROR, SILENT)
+        elif not self._pinged_at and quiet_for >= self.limits.ping_after and not self.end_reason:
+            self._pinged_at = now
+            self._h2.ping(PING_DATA)
             self._wake()
 
     # Ends.
 
     def drain(self) -> None:
-        """No new calls from the peer; those that are open go on. h2's own GOAWAY would end them."""
-        if not self.ending and not self.ended:
-            self.ending = True
-            frame = GoAwayFrame(0, last_stream_id=self._latest, error_code=ErrorCodes.NO_ERROR.value)
-            self._extra += frame.serialize()
+        """Takes no new calls from the peer; open ones go on. h2's own GOAWAY would end them."""
+        if not self.draining and not self.end_reason:
+            self.draining = True
+            frame = GoAwayFrame(0, last_stream_id=self._last_stream_id, error_code=ErrorCodes.NO_ERROR.value)
+            self._own_frames += frame.serialize()
             self._wake()
 
-    def lost(self, why: str) -> None:
+    def connection_lost(self, reason: str) -> None:
         """The connection is gone."""
-        self._over(why)
+        self._close(reason)
 
-    def drop(self, call: Call, code: ErrorCodes) -> None:
-        """Ends a call without a word to its listener."""
-        if self.calls.pop(call.stream, None) is None:
+    def drop_call(self, call: Call, code: ErrorCodes) -> None:
+        """Ends a call at once, without notice to its listener."""
+        if self.calls.pop(call.stream_id, None) is None:
             return
         self._forget(call)
-        if not self.ended:
+        if not self.end_reason:
             try:
-                self._h2.reset_stream(call.stream, code)
+                self._h2.reset_stream(call.stream_id, code)
             except H2Error:
-                return  # closed at the same moment
+                return  # the stream was closed at the same moment
             self._wake()
 
     def _forget(self, call: Call) -> None:
-        call.over = True
+        call.closed = True
         call.queue.clear()
-        call.waiting = 0
-        self._ready.pop(call, None)
-        self.calls.pop(call.stream, None)
+        self._sendable.pop(call, None)
+        self.calls.pop(call.stream_id, None)
 
-    def _gone(self, call: Call, ended: Status) -> None:
-        was = call.over
+    def _call_ended(self, call: Call, ended: Status) -> None:
+        was_closed = call.closed
         self._forget(call)
-        if call.listener is not None and not was:
-            call.listener.gone(ended)
+        if call.listener is not None and not was_closed:
+            call.listener.ended(ended)
 
-    def _end(self, code: ErrorCodes | None, why: str) -> None:
-        """Ends the connection; h2 has said so itself where no code is given."""
-        if self.ended:
+    def _end(self, code: ErrorCodes | None, reason: str) -> None:
+        """Ends the connection; without a code h2 has told the peer already."""
+        if self.end_reason:
             return
         if code is not None:
-            try:
+            with contextlib.suppress(H2Error):  # it is closed already
                 self._h2.close_connection(code)
-            except H2Error:
-                pass  # it is closed already
-        self._over(why)
+        self._close(reason)
         self._wake()
 
-    def _over(self, why: str) -> None:
-        if not self.ended:
-            self.ended = why or "closed"
-            for call in list(self.calls.values()):
-                self._gone(call, self._lost(call, self.ended))
-
-    def _lost(self, call: Call, why: str) -> Status:
-        return Status(Code.UNAVAILABLE, why, ran=call.started and not call.queue)
-
-    # What differs.
-
-    def _start(self, call: Call) -> None:
-        raise NotImplementedError
+    def _close(self, reason: str) -> None:
+        if self.end_reason:
+            return
+        self.end_reason = reason or CLOSED
+        for call in list(self.calls.values()):
+            left = call.started and not call.queue
+            self._call_ended(call, Status(Code.UNAVAILABLE, self.end_reason, may_have_run=left))
 
-    def _close(self, call: Call) -> None:
-        raise NotImplementedError
+    # What the two sides do differently.
 
-    def _late(self, call: Call) -> None:
-        raise NotImplementedError
+    def _peer_going_away(self, last_stream_id: int) -> None:
+        """The peer takes no new calls."""
+        self.draining = True
 
-    def _going_away(self, last: int) -> None:
-        self.ending = True
+    @abstractmethod
+    def _start_call(self, call: Call) -> None:
+        """A call is about to send for the first time."""
 
-    def _event(self, event: Event) -> None:
-        if isinstance(event, DataReceived):
-            if event.stream_id is not None and event.flow_controlled_length:
-                self._h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
-            call = self.calls.get(event.stream_id or 0)
-            if call is not None and event.data:
-                self._data(call, event.data)
-        elif isinstance(event, StreamReset):
-            call = self.calls.get(event.stream_id or 0)
-            if call is not None:
-                refused = event.error_code == ErrorCodes.REFUSED_STREAM
-                code = Code.UNAVAILABLE if refused else Code.CANCELLED
-                self._gone(
-                    call, Status(code, f"reset by the peer, code {int(event.error_code or 0)}", not refused)
-                )
-        elif not isinstance(event, PingAckReceived):
-            for call in self.calls.values():  # windows and settings: whoever waits may go on
-                if call.queue:
-                    self._ready[call] = None
+    @abstractmethod
+    def _end_sending(self, call: Call) -> None:
+        """A call has sent all its messages."""
 
-    def _data(self, call: Call, data: bytes) -> None:
-        for message in call.messages.feed(data):
-            if call.over or call.listener is None:
-                return
-            if isinstance(message, Broken):
-                self._wrong(
-                    call,
-                    Status(Code.RESOURCE_EXHAUSTED if "most" in message.why else Code.INTERNAL, message.why),
-                )
-                return
-            call.listener.message(message)
+    @abstractmethod
+    def _deadline_passed(self, call: Call) -> None:
+        """A call's deadline has passed."""
 
-    def _wrong(self, call: Call, ended: Status) -> None:
+    @abstractmethod
+    def _fail_call(self, call: Call, ended: Status) -> None:
         """What the peer sent on a call cannot be used."""
-        raise NotImplementedError
-
-
-class ServerSession(Session):
-    """Takes calls. `open` is asked for each: its listener, or the status that it ends with at once."""
-
-    def __init__(self, now: int, limits: Limits, wake: Callable[[], None], opener: Opener) -> None:
-        super().__init__(now, limits, wake)
-        self._open = opener
-
-    def _event(self, event: Event) -> None:
-        if isinstance(event, RequestReceived):
-            assert event.stream_id is not None
-            self._request(event.stream_id, {name: value for name, value in _text(event.headers)})
-        elif isinstance(event, StreamEnded):
-            call = self.calls.get(event.stream_id or 0)
-            if call is not None and call.listener is not None:
-                if call.messages.begun:
-                    self._wrong(call, Status(Code.INTERNAL, "the call ended within a message"))
-                else:
-                    call.listener.half_closed()
-        else:
-            super()._event(event)
-
-    def _request(self, stream: int, headers: dict[str, str]) -> None:
-        # h2 holds the peer to our settings once it has acknowledged them, which it may never do.
-        if self.ending or len(self.calls) >= self.limits.streams:
-            self._h2.reset_stream(stream, ErrorCodes.REFUSED_STREAM)
-            costs = self._meter.costs(self._now, REFUSED, 0)
-            if costs is not None and not self.ending:
-                self._end(ErrorCodes.ENHANCE_YOUR_CALM, costs)
-            return
-        if sum(len(name) + len(value) + 32 for name, value in headers.items()) > self.limits.headers:
-            self._h2.send_headers(stream, [(":status", "431")], end_stream=True)
-            return
-        self._latest = max(self._latest, stream)
-        kind = headers.get("content-type", "")
-        if headers.get(":method") != "POST" or not kind.startswith("application/grpc"):
-            self._h2.send_headers(stream, [(":status", "415")], end_stream=True)
-            return
-        told = headers.get("grpc-timeout")
-        limit = status.timeout(told) if told is not None else None
-        packing = headers.get("grpc-encoding", "identity")
-        call = Call(
-            self,
-            stream,
-            headers.get(":path", ""),
-            headers,
-            None if limit is None else self._now + limit,
-            packing == "gzip",
-        )
-        self.calls[stream] = call
-        if packing not in ENCODINGS.split(","):
-            call.finish(Status(Code.UNIMPLEMENTED, f"grpc-encoding {packing}, expected one of {ENCODINGS}"))
-        elif told is not None and limit is None:
-            call.finish(Status(Code.INTERNAL, "grpc-timeout that is none"))
-        else:
-            found = self._open(call)
-            if isinstance(found, Status):
-                call.finish(found)
-            elif not call.over:
-                call.listener = found
-
-    def _start(self, call: Call) -> None:
-        call.started = True
-        if call.closing is not None and not call.queue:
-            return  # trailers alone
-        headers = [
-            (":status", "200"),
-            ("content-type", "application/grpc"),
-            ("grpc-accept-encoding", ENCODINGS),
-        ]
-        if call.packs:
-            headers.append(("grpc-encoding", "gzip"))
-        self._h2.send_headers(call.stream, headers)
-        call.answered = True
-
-    def _close(self, call: Call) -> None:
-        head = (
-            []
-            if call.answered
-            else [
-                (":status", "200"),
-                ("content-type", "application/grpc"),
-                ("grpc-accept-encoding", ENCODINGS),
-            ]
-        )
-        self._h2.send_headers(call.stream, [*head, *(call.closing or [])], end_stream=True)
-        self._forget(call)
-
-    def _late(self, call: Call) -> None:
-        call.until = None
-        call.queue.clear()
-        call.waiting = 0
-        call.closing = None
-        listener, call.listener = call.listener, None
-        call.finish(Status(Code.DEADLINE_EXCEEDED))
-        if listener is not None:
-            listener.gone(Status(Code.DEADLINE_EXCEEDED))
-
-    def _wrong(self, call: Call, ended: Status) -> None:
-        listener, call.listener = call.listener, None
-        call.finish(ended)
-        if listener is not None:
-            listener.gone(ended)
-
-
-class ClientSession(Session):
-    """Makes calls."""
-
-    client = True
-
-    def __init__(self, now: int, limits: Limits, wake: Callable[[], None], authority: str) -> None:
-        super().__init__(now, limits, wake)
-        self._authority = authority
-
-    def call(
-        self,
-        path: str,
-        listener: Listener,
-        metadata: Mapping[str, str] | None = None,
-        until: int | None = None,
-    ) -> Call | Status:
-        """Opens a call; a Status where none can be opened, so that nothing ran."""
-        if self.ended or self.ending:
-            return Status(Code.UNAVAILABLE, self.ended or "the peer is going away", ran=False)
-        if self._h2.open_outbound_streams >= self._h2.remote_settings.max_concurrent_streams:
-            return Status(Code.UNAVAILABLE, "as many calls are open as the peer takes", ran=False)
-        call = Call(self, self._h2.get_next_available_stream_id(), path, dict(metadata or {}), until, False)
-        call.listener = listener
-        self._h2.send_headers(call.stream, self._head(call))
-        call.started = True
-        self.calls[call.stream] = call
-        self._wake()
-        return call
-
-    def _head(self, call: Call) -> Headers:
-        head = [
-            (":method", "POST"),
-            (":scheme", "http"),
-            (":path", call.path),
-            (":authority", self._authority),
-            ("te", "trailers"),
-            ("content-type", "application/grpc"),
-            ("grpc-accept-encoding", ENCODINGS),
-        ]
-        if call.until is not None:
-            head.append(("grpc-timeout", f"{min(10**8 - 1, max(1, call.until - self._now) * 100)}u"))
-        return [*head, *call.metadata.items()]
-
-    def _start(self, call: Call) -> None:
-        call.started = True
-
-    def _close(self, call: Call) -> None:
-        if call.closing is not None and not call.answered:
-            call.answered = True  # no further end of ours
-            self._h2.end_stream(call.stream)
-
-    def _event(self, event: Event) -> None:
-        if isinstance(event, (ResponseReceived, TrailersReceived)):
-            call = self.calls.get(event.stream_id or 0)
-            if call is not None:
-                self._answer(call, {name: value for name, value in _text(event.headers)})
-        elif isinstance(event, StreamEnded):
-            call = self.calls.get(event.stream_id or 0)
-            if call is not None:
-                self._gone(call, Status(Code.INTERNAL, "ended without a status"))
-        elif not isinstance(event, InformationalResponseReceived):
-            super()._event(event)
-
-    def _answer(self, call: Call, headers: dict[str, str]) -> None:
-        if "grpc-status" in headers:
-            self._gone(call, status.heard(headers))
-            if call.closing is None or not call.answered:
-                try:
-                    self._h2.reset_stream(call.stream, ErrorCodes.NO_ERROR)
-                except H2Error:
-                    return  # both sides have ended it
-        elif headers.get(":status") != "200":
-            code = status.HTTP.get(int(headers.get(":status", "0")), Code.UNKNOWN)
-            self.drop(call, ErrorCodes.CANCEL) if call.listener is None else self._refused(
-                call, code, headers
-            )
-        else:
-            call.messages = Messages(self.limits.message, headers.get("grpc-encoding") == "gzip")
-
-    def _refused(self, call: Call, code: Code, headers: dict[str, str]) -> None:
-        listener = call.listener
-        self.drop(call, ErrorCodes.CANCEL)
-        if listener is not None:
-            listener.gone(Status(code, f"HTTP status {headers.get(':status')}"))
-
-    def _late(self, call: Call) -> None:
-        self._wrong(call, Status(Code.DEADLINE_EXCEEDED))
-
-    def _wrong(self, call: Call, ended: Status) -> None:
-        listener, was = call.listener, call.over
-        self.drop(call, ErrorCodes.CANCEL)
-        if listener is not None and not was:
-            listener.gone(ended)
-
-    def _going_away(self, last: int) -> None:
-        self.ending = True
-        for call in [call for call in self.calls.values() if call.stream > last]:
-            self._gone(call, Status(Code.UNAVAILABLE, "the peer went away before it", ran=False))
 
 
-def _text(headers: object) -> list[tuple[str, str]]:
-    return [(str(name), str(value)) for name, value in headers]  # type: ignore[attr-defined]
+def decode_headers(headers: Iterable[tuple[object, object]] | None) -> dict[str, str]:
+    """The headers of an h2 event, which h2 decodes to text; the last of a name counts."""
+    return {str(name): str(value) for name, value in headers or ()}
--- a/vanerelay/grpc_wire/status.py
+++ b/vanerelay/grpc_wire/status.py
@@ -1,9 +1,10 @@
-"""How a call ended: gRPC's codes, their words on the wire, and how far it had come."""
+"""How a call ended: gRPC's codes, their form on the wire, and how far the call had come."""
 
 from __future__ import annotations
 
 import re
 import urllib.parse
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import IntEnum
 
@@ -34,18 +35,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """An end. `ran` is False only where nothing of the call can have run at the other side: it never left
-    whole, was refused before it was looked at, or came after the last that a peer going away has taken."""
+    """How a call ended.
+
+    Attributes:
+        may_have_run: False only where nothing of the call can have run at the other side: it never left as a
+            whole, was refused before it was looked at, or came after the last call that a peer going away
+            takes.
+    """
 
     code: Code
     message: str = ""
-    ran: bool = True
+    may_have_run: bool = True
 
 
 OK = Status(Code.OK)
-CODES = {code.value: code for code in Code}
-# HTTP statuses of answers that are none of gRPC's, as the specification maps them.
-HTTP = {
+
+HTTP_CODES = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
     403: Code.PERMISSION_DENIED,
@@ -55,8 +60,16 @@
     503: Code.UNAVAILABLE,
     504: Code.UNAVAILABLE,
 }
-TIMEOUT = re.compile(r"([0-9]{1,8})([HMSmun])")
-UNITS = {
+"""The codes for HTTP statuses of answers that are none of gRPC's, as the specification maps them."""
+
+MAX_MESSAGE_CHARACTERS = 1000
+"""How much of a status's message is sent, so that trailers stay below a peer's limit of headers."""
+
+_CODES = {code.value: code for code in Code}
+_PLAIN_CHARACTERS = " !#$&'()*+,/:;=?@[]~"
+"""Characters of a message that go as they are; all others are percent-encoded."""
+_TIMEOUT = re.compile(r"([0-9]{1,8})([HMSmun])")
+_TIMEOUT_UNITS = {
     "H": 3600 * SECOND,
     "M": 60 * SECOND,
     "S": SECOND,
@@ -66,25 +79,25 @@
 }
 
 
-def timeout(text: str) -> int | None:
-    """A `grpc-timeout` in tenths of a millisecond, rounded down; None where it is none."""
-    found = TIMEOUT.fullmatch(text)
-    return int(int(found[1]) * UNITS[found[2]]) if found else None
+def parse_timeout(text: str) -> int | None:
+    """A `grpc-timeout` in ticks, rounded down; None where it is malformed."""
+    match = _TIMEOUT.fullmatch(text)
+    return int(int(match[1]) * _TIMEOUT_UNITS[match[2]]) if match else None
 
 
-def told(status: Status) -> list[tuple[str, str]]:
-    """The trailers that tell a status."""
+def encode_trailers(status: Status) -> list[tuple[str, str]]:
+    """The trailers that carry a status."""
     trailers = [("grpc-status", str(status.code.value))]
     if status.message:
-        trailers.append(
-            ("grpc-message", urllib.parse.quote(status.message[:1000], safe=" !#$&'()*+,/:;=?@[]~"))
-        )
+        message = urllib.parse.quote(status.message[:MAX_MESSAGE_CHARACTERS], safe=_PLAIN_CHARACTERS)
+        trailers.append(("grpc-message", message))
     return trailers
 
 
-def heard(trailers: dict[str, str]) -> Status:
-    """A status out of trailers; UNKNOWN where they tell none."""
+def decode_trailers(trailers: Mapping[str, str]) -> Status:
+    """The status that trailers carry; UNKNOWN where they carry none."""
     text = trailers.get("grpc-status", "")
     if not text.isdecimal() or len(text) > 3:
         return Status(Code.UNKNOWN, "no grpc-status")
-    return Status(CODES.get(int(text), Code.UNKNOWN), urllib.parse.unquote(trailers.get("grpc-message", "")))
+    message = urllib.parse.unquote(trailers.get("grpc-message", ""))
+    return Status(_CODES.get(int(text), Code.UNKNOWN), message)
--- a/vanerelay/xds/assignment.py
+++ b/vanerelay/xds/assignment.py
@@ -1,13 +1,12 @@
-"""What proxies are handed: engines, weights, priorities, limits, retries, drops. Pure, with every choice and
-figure.
+"""Decides what proxies are handed: endpoints, weights, priorities, limits, retries and drops. Pure.
 
-A gateway hands `Handed.part` of its own slices, and of its budgets of cold engines, to all its proxies
-together, and fills the rest itself. Of that each proxy gets an even share. Times are whole tenths of a
-millisecond."""
+A gateway hands `ProxyShareConfig.share` of its own slices, and of its budgets of engines in slow start, to
+all its proxies together, and fills the rest itself. Each proxy gets an even part of that. The rules that
+comments name by number are those of `docs/design/xds.md`. Times are in ticks.
+"""
 
 from __future__ import annotations
 
-import math
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
@@ -15,6 +14,7 @@
 
 import msgspec
 
+from vanerelay.config_field import config_field
 from vanerelay.interface import (
     SECOND,
     Capabilities,
@@ -27,291 +27,342 @@
     ServiceClass,
 )
 
-WIDTH = 2.8  # threads a core, as the module counts them on its own slices
-FULL = 100  # the weight of a core of a sound, warm engine of weight 1
-HEAVIEST = 10_000  # an endpoint's weight at most
-# of the ration's share goes to proxies' retries: they count active batches, the rule those of a span
-BUDGET = 0.8
-EJECTED = 30  # percent of a group's engines that a proxy may leave out on its own word
-# of a cold engine's budget is handed on: a proxy bounds how many run, not how many are sent
-COLD_CAUTION = 0.5
+THREADS_PER_CORE = 2.8
+"""Threads that a core holds, as the gateway counts them on its own slices."""
+
+WEIGHT_PER_CORE = 100
+"""The weight of a core of a healthy, warm engine of weight 1."""
+
+MAX_ENDPOINT_WEIGHT = 10_000
+"""The largest weight of an endpoint."""
+
+RETRY_BUDGET_SHARE = 0.8
+"""The part of the retry ratio for proxies: they count queries in flight, our rule those of a window."""
+
+MAX_EJECTION_PERCENT = 30
+"""Percent of a service class's engines that a proxy may eject by its own observations."""
+
+SLOW_START_CAUTION = 0.5
+"""The part of a slow-start budget that is handed on: a proxy bounds how many run, not how many are sent."""
+
+SLOW_START_TRAFFIC = 0.5
+"""The part of the queries that fit on engines in slow start that are sent there: an overflow is lost."""
+
+ROUTE_WEIGHT_TOTAL = 10_000
+"""What the weights of a route's two clusters add up to."""
+
+DEFAULT_RETRY_PERCENT = 20.0
+"""The retry budget where the settings state none: Envoy's default."""
+
+DEFAULT_MIN_RETRIES = 3
+"""Retries that are always allowed where the settings state no budget: Envoy's default."""
 
 
 @dataclass(frozen=True, slots=True)
-class Handed:
-    """The operators' words. `part`: of our slices that goes to proxies; `changes_every`: how often small
-    changes are handed on, `change`: by how much a weight or limit must differ from the one in force to be one
-    at all."""
+class ProxyShareConfig:
+    """The `handed` block of the operators' file.
 
-    part: Annotated[float, msgspec.Meta(ge=0, le=0.95)] = 0.5
-    changes_every: Duration = 2 * SECOND
-    change: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1
+    Attributes:
+        share: The part of our slices that goes to proxies.
+        update_interval: The time between updates that carry small changes alone.
+        min_change: By how much a weight or limit must differ from the one in force to be a change at all.
+    """
 
+    share: Annotated[float, msgspec.Meta(ge=0, le=0.95)] = config_field("part", default=0.5)
+    update_interval: Duration = config_field("changes_every", default=2 * SECOND)
+    min_change: Annotated[float, msgspec.Meta(ge=0, le=1)] = config_field("change", default=0.1)
 
-class Health(Enum):
-    """What a proxy is told of an endpoint."""
+
+class EndpointHealth(Enum):
+    """The health of an endpoint, as proxies are told."""
 
     HEALTHY = "healthy"
     UNHEALTHY = "unhealthy"
     DRAINING = "draining"
 
 
-class Retry(Enum):
-    """When a proxy may send a batch again."""
+class RetryPolicy(Enum):
+    """When a proxy may retry a query."""
 
-    NEVER_RAN = "never ran"  # only where nothing of the first dispatch can have run
-    HARMLESS = "harmless"  # after any end
+    ONLY_IF_NEVER_RAN = "never ran"
+    """Only where nothing of the first attempt can have run."""
+    AFTER_ANY_FAILURE = "harmless"
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """One engine, as proxies are told of it."""
+
     name: str
     address: str
-    health: Health
+    health: EndpointHealth
     weight: int
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """The endpoints of one location, by name; 0 is the highest priority."""
+class LocalityEndpoints:
+    """The endpoints of one zone, ordered by name; 0 is the highest priority."""
 
-    location: int
+    zone: int
     priority: int
     weight: int
     endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
-    """One service group at a proxy. `most`: its batches open at once; `most_cold`: the same on engines that
-    are cold, to which `cold_share` of 10,000 go; `dropped`: of a million that are turned away at once;
-    `retry_percent`, `retries`: further dispatches a proxy may have out, as a part of its open batches and at
-    the least."""
+class ClassAssignment:
+    """One service class at a proxy.
+
+    Attributes:
+        warm: Engines that are warm.
+        slow_start: Engines that are in slow start.
+        max_queries: Queries in flight on warm engines.
+        max_slow_start_queries: Queries in flight on engines in slow start, all together.
+        slow_start_weight: Of ROUTE_WEIGHT_TOTAL, what goes to engines in slow start.
+        drops_per_million: Of a million queries, those that are rejected at once.
+        max_attempts: Attempts of one query, the first included.
+        deadline: The time that all attempts of a query have together.
+        retry_percent: Retries that may be in flight, in percent of the queries in flight.
+        min_retries: Retries that may be in flight whatever the traffic.
+    """
 
     name: str
-    warm: tuple[Part, ...]
-    cold: tuple[Part, ...]
-    most: int
-    most_cold: int
-    cold_share: int
-    dropped: int
-    retry: Retry
-    dispatches: int
-    time_limit: int
+    warm: tuple[LocalityEndpoints, ...]
+    slow_start: tuple[LocalityEndpoints, ...]
+    max_queries: int
+    max_slow_start_queries: int
+    slow_start_weight: int
+    drops_per_million: int
+    retry: RetryPolicy
+    max_attempts: int
+    deadline: int
     retry_percent: float
-    retries: int
+    min_retries: int
 
 
-Plan = tuple[Group, ...]
+Assignment = tuple[ClassAssignment, ...]
+"""What one proxy is handed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What the settings say, once."""
+class AssignmentTerms:
+    """What the settings and the operators state; constant while the gateway runs.
 
-    groups: tuple[ServiceClass, ...]
-    allowed: Capabilities
-    ration: RetryBudgetTerms
-    cold_multiple: float
+    Attributes:
+        overload_multiple: How many times its capacity of the moment an engine in slow start may be sent.
+    """
 
+    service_classes: tuple[ServiceClass, ...]
+    capabilities: Capabilities
+    retry_budget: RetryBudgetTerms
+    overload_multiple: float
+    proxy_share: ProxyShareConfig
 
-def plan(
-    terms: Terms,
-    conditions: Sequence[EngineStatus],
-    addresses: Mapping[int, str],
-    handed: Handed,
-    proxies: int,
-    location: int | None,
-    demand: Sequence[float],
-    shed: Sequence[float],
-    peaks: Sequence[float],
-    draining: Sequence[tuple[str, str, int, int]] = (),
-) -> Plan:
-    """What one proxy in a location is handed (None: one that is in none of ours).
-
-    `addresses`: of engines, by index. `demand`, `shed`, `peaks`: by group, the part of the proxies' work that
-    it is (summing to 1), the part that the door turns away, the memory of a usual grant in MB. `draining`:
-    name, address, location and kind of engines that leave: told as such for as long as the list holds
-    them."""
-    found = []
-    for row, group in enumerate(terms.groups):
-        if group.ordered:
-            continue  # rule 5: a proxy keeps no order
-        able = [c for c in conditions if _may(group, c) and c.entry.index in addresses]
-        warm, cold = [c for c in able if c.warmed_up], [c for c in able if not c.warmed_up]
-        share = handed.part / max(1, proxies)
-        most = sum(_room(c, group, peaks[row]) for c in warm) * share * demand[row]
-        most_cold = min(
-            (
-                _cold_room(c, group, terms.cold_multiple) * share * demand[row]
-                for c in cold
-                if _offered(c, group, terms, share * demand[row])
-            ),
-            default=0.0,
-        )
-        offered = [c for c in cold if _offered(c, group, terms, share * demand[row])]
-        leaving = [one for one in draining if _within(group, one[2], one[3])]
-        # A batch that overflows its bound is lost to the proxy: fewer are sent to cold engines than they
-        # could hold.
-        cold_share = (
-            int(10_000 * 0.5 * int(most_cold) / (most + int(most_cold))) if most_cold >= 1 and most else 0
-        )
-        retry, limit = _retry(group)
-        found.append(
-            Group(
-                name=group.name,
-                warm=_parts(warm, addresses, location, leaving),
-                cold=_parts(offered, addresses, location, ()),
-                most=max(1, int(most)),
-                most_cold=int(most_cold),
-                cold_share=10_000 if not warm and most_cold >= 1 else cold_share,
-                dropped=int(1_000_000 * min(1.0, shed[row])),
-                retry=retry,
-                dispatches=max(1, terms.allowed.max_attempts),
-                time_limit=limit,
-                retry_percent=100.0 * BUDGET * terms.ration.retry_ratio if terms.ration.window else 20.0,
-                retries=int(terms.ration.min_retries * handed.part / max(1, proxies))
-                if terms.ration.window
-                else 3,
-            )
-        )
-    return tuple(found)
+
+@dataclass(frozen=True, slots=True)
+class DrainingEngine:
+    """An engine that drains. Proxies are told so for as long as the engine list holds it."""
+
+    name: str
+    address: str
+    zone: int
+    machine_kind: int
 
 
-def _within(group: ServiceClass, location: int, kind: int) -> bool:
-    """Rule 6."""
-    return (group.zones is None or location in group.zones) and (
-        group.machine_kinds is None or kind in group.machine_kinds
+@dataclass(frozen=True, slots=True)
+class GatewayState:
+    """What the gateway knows at one moment.
+
+    Attributes:
+        engines: The status of each engine.
+        addresses: The addresses of engines, by index.
+        proxies: The proxies that share what is handed out.
+        demand: The share of each service class in the proxies' work; they sum to 1.
+        shed: The share of each service class's queries that the load shedder rejects.
+        typical_grants: The memory in MB of a usual grant of each service class.
+    """
+
+    engines: Sequence[EngineStatus]
+    addresses: Mapping[int, str]
+    proxies: int
+    demand: Sequence[float]
+    shed: Sequence[float]
+    typical_grants: Sequence[float]
+    draining: Sequence[DrainingEngine] = ()
+
+
+def assign(terms: AssignmentTerms, state: GatewayState, zone: int | None) -> Assignment:
+    """What one proxy in a zone is handed; None for a proxy that is in none of ours.
+
+    Ordered service classes are left out (rule 5): a proxy keeps no order.
+    """
+    return tuple(
+        _assign_class(terms, state, row, zone)
+        for row, service_class in enumerate(terms.service_classes)
+        if not service_class.ordered
     )
 
 
-def _may(group: ServiceClass, c: EngineStatus) -> bool:
-    return c.entry.state is EngineState.UP and _within(group, c.entry.zone, c.entry.machine_kind)
+def _assign_class(terms: AssignmentTerms, state: GatewayState, row: int, zone: int | None) -> ClassAssignment:
+    service_class, demand = terms.service_classes[row], state.demand[row]
+    part = terms.proxy_share.share / max(1, state.proxies)  # of our slices, for one proxy
+    eligible = [
+        engine
+        for engine in state.engines
+        if _may_serve(service_class, engine) and engine.entry.index in state.addresses
+    ]
+    warm = [engine for engine in eligible if engine.warmed_up]
+    slow_start = [
+        engine
+        for engine in eligible
+        if not engine.warmed_up and _offered(engine, service_class, terms, part * demand)
+    ]
+    grant = state.typical_grants[row]
+    warm_queries = sum(_capacity(engine, service_class, grant) for engine in warm) * part * demand
+    slow_start_queries = min(
+        (
+            _slow_start_capacity(engine, service_class, terms.overload_multiple) * part * demand
+            for engine in slow_start
+        ),
+        default=0.0,
+    )
+    draining = [
+        engine for engine in state.draining if _placed(service_class, engine.zone, engine.machine_kind)
+    ]
+    retry, deadline = _retry_policy(service_class)
+    retry_percent, min_retries = _retry_budget(terms, state.proxies)
+    return ClassAssignment(
+        name=service_class.name,
+        warm=_localities(warm, state.addresses, zone, draining),
+        slow_start=_localities(slow_start, state.addresses, zone, ()),
+        max_queries=max(1, int(warm_queries)),
+        max_slow_start_queries=int(slow_start_queries),
+        slow_start_weight=_slow_start_weight(bool(warm), warm_queries, slow_start_queries),
+        drops_per_million=int(1_000_000 * min(1.0, state.shed[row])),
+        retry=retry,
+        max_attempts=max(1, terms.capabilities.max_attempts),
+        deadline=deadline,
+        retry_percent=retry_percent,
+        min_retries=min_retries,
+    )
+
+
+def _placed(service_class: ServiceClass, zone: int, machine_kind: int) -> bool:
+    """Whether a service class may use such an engine (rule 6)."""
+    return (service_class.zones is None or zone in service_class.zones) and (
+        service_class.machine_kinds is None or machine_kind in service_class.machine_kinds
+    )
 
 
-def _room(c: EngineStatus, group: ServiceClass, peak: float) -> float:
-    """Batches of a group that our slice of an engine holds, by threads and by memory."""
-    if not c.usable or c.entry.weight <= 0.0:
+def _may_serve(service_class: ServiceClass, engine: EngineStatus) -> bool:
+    entry = engine.entry
+    return entry.state is EngineState.UP and _placed(service_class, entry.zone, entry.machine_kind)
+
+
+def _capacity(engine: EngineStatus, service_class: ServiceClass, grant: float) -> float:
+    """Queries of a service class that our slice of an engine holds, by threads and by memory."""
+    if not engine.usable or engine.entry.weight <= 0.0:
         return 0.0
-    threads = c.cores * WIDTH * c.capacity_share / max(1, group.threads)
-    return min(threads, c.memory * c.capacity_share / peak) if peak > 0.0 and c.memory > 1.0 else threads
+    by_threads = engine.cores * THREADS_PER_CORE * engine.capacity_share / max(1, service_class.threads)
+    if grant <= 0.0 or engine.memory <= 1.0:
+        return by_threads
+    return min(by_threads, engine.memory * engine.capacity_share / grant)
+
+
+def _slow_start_capacity(engine: EngineStatus, service_class: ServiceClass, multiple: float) -> float:
+    """Queries that may run at once on an engine in slow start.
+
+    With each using its threads they get no more work done than our part of the budget of rule 4, at this
+    point of the ramp.
+    """
+    rate = multiple * engine.cores * engine.ramp_share * SLOW_START_CAUTION * engine.capacity_share
+    return rate / max(1, service_class.threads)
+
 
+def _offered(engine: EngineStatus, service_class: ServiceClass, terms: AssignmentTerms, part: float) -> bool:
+    """Whether an engine in slow start is handed on.
 
-def _cold_room(c: EngineStatus, group: ServiceClass, multiple: float) -> float:
-    """Batches that may run at once on a cold engine: with each using its threads they get no more work done
-    than our part of the budget of rule 4, at this point of the ramp."""
-    rate = multiple * c.cores * c.ramp_share * COLD_CAUTION * c.capacity_share
-    return rate / max(1, group.threads)
+    Only where we ramp it at all, and each proxy can be given one query on it.
+    """
+    queries = _slow_start_capacity(engine, service_class, terms.overload_multiple) * part
+    return engine.ramped_here and engine.usable and engine.entry.weight > 0.0 and queries >= 1.0
 
 
-def _offered(c: EngineStatus, group: ServiceClass, terms: Terms, share: float) -> bool:
-    """A cold engine is handed on only where we warm it at all, and each proxy can be given one batch on
-    it."""
-    whole = _cold_room(c, group, terms.cold_multiple) * share
-    return c.ramped_here and c.usable and c.entry.weight > 0.0 and whole >= 1.0
+def _slow_start_weight(any_warm: bool, warm_queries: float, slow_start_queries: float) -> int:
+    """The weight of the engines in slow start on a route.
 
+    A query above a limit is lost to the proxy, so fewer are sent to these engines than they could hold.
+    """
+    if slow_start_queries < 1:
+        return 0
+    if not any_warm:
+        return ROUTE_WEIGHT_TOTAL
+    if not warm_queries:
+        return 0
+    queries = int(slow_start_queries)
+    return int(ROUTE_WEIGHT_TOTAL * SLOW_START_TRAFFIC * queries / (warm_queries + queries))
 
-def _retry(group: ServiceClass) -> tuple[Retry, int]:
-    """Rule 2, and the time that all dispatches of a batch have together."""
-    if group.idempotency is Idempotency.IDEMPOTENT:
-        return Retry.HARMLESS, group.deadline
+
+def _retry_policy(service_class: ServiceClass) -> tuple[RetryPolicy, int]:
+    """When a query may be retried (rule 2), and the time that all its attempts have together."""
+    if service_class.idempotency is Idempotency.IDEMPOTENT:
+        return RetryPolicy.AFTER_ANY_FAILURE, service_class.deadline
     if (
-        group.idempotency is Idempotency.DEDUPLICATED
-        and group.deduplication_scope is DeduplicationScope.ALL
-        and group.deduplication_window > 0
+        service_class.idempotency is Idempotency.DEDUPLICATED
+        and service_class.deduplication_scope is DeduplicationScope.ALL
+        and service_class.deduplication_window > 0
     ):
-        return Retry.HARMLESS, min(group.deadline, group.deduplication_window)
-    return Retry.NEVER_RAN, group.deadline
+        deadline = min(service_class.deadline, service_class.deduplication_window)
+        return RetryPolicy.AFTER_ANY_FAILURE, deadline
+    return RetryPolicy.ONLY_IF_NEVER_RAN, service_class.deadline
+
+
+def _retry_budget(terms: AssignmentTerms, proxies: int) -> tuple[float, int]:
+    """The percentage of queries in flight that may be retries, and the retries that are always allowed."""
+    budget = terms.retry_budget
+    if not budget.window:
+        return DEFAULT_RETRY_PERCENT, DEFAULT_MIN_RETRIES
+    min_retries = int(budget.min_retries * terms.proxy_share.share / max(1, proxies))
+    return 100.0 * RETRY_BUDGET_SHARE * budget.retry_ratio, min_retries
 
 
-def _weight(c: EngineStatus) -> int:
-    return max(1, min(HEAVIEST, round(FULL * max(1.0, c.cores) * c.health * c.ramp_share * c.entry.weight)))
+def _endpoint_weight(engine: EngineStatus) -> int:
+    weight = (
+        WEIGHT_PER_CORE * max(1.0, engine.cores) * engine.health * engine.ramp_share * engine.entry.weight
+    )
+    return max(1, min(MAX_ENDPOINT_WEIGHT, round(weight)))
 
 
-def _parts(
+def _localities(
     engines: Sequence[EngineStatus],
     addresses: Mapping[int, str],
-    location: int | None,
-    leaving: Sequence[tuple[str, str, int, int]],
-) -> tuple[Part, ...]:
-    """By location: that of the proxy first, all others after it, together; with nothing of use there, from
-    0."""
-    places = dict[int, list[Endpoint]]()
-    for c in engines:
-        good = c.usable and c.entry.weight > 0.0
-        health = Health.HEALTHY if good else Health.UNHEALTHY
-        places.setdefault(c.entry.zone, []).append(
-            Endpoint(c.entry.name, addresses[c.entry.index], health, _weight(c))
+    zone: int | None,
+    draining: Sequence[DrainingEngine],
+) -> tuple[LocalityEndpoints, ...]:
+    """The endpoints by zone: the proxy's own zone first, all others together after it.
+
+    Where the proxy's own zone has no healthy endpoint, all zones have priority 0.
+    """
+    by_zone = dict[int, list[Endpoint]]()
+    for engine in engines:
+        usable = engine.usable and engine.entry.weight > 0.0
+        health = EndpointHealth.HEALTHY if usable else EndpointHealth.UNHEALTHY
+        by_zone.setdefault(engine.entry.zone, []).append(
+            Endpoint(engine.entry.name, addresses[engine.entry.index], health, _endpoint_weight(engine))
         )
-    for name, address, place, _ in leaving:
-        places.setdefault(place, []).append(Endpoint(name, address, Health.DRAINING, 1))
-
-    here = places.get(location, []) if location is not None else []
-    own = location if any(e.health is Health.HEALTHY for e in here) else None
-    found = []
-    for place in sorted(places, key=lambda p: (p != own, p)):
-        endpoints = tuple(sorted(places[place], key=lambda e: e.name))
-        weight = sum(e.weight for e in endpoints if e.health is Health.HEALTHY)
-        found.append(Part(place, 0 if own is None or place == own else 1, max(1, weight), endpoints))
-    return tuple(found)
-
-
-class Steady:
-    """Small changes wait and are handed on at a bounded rate; what must not wait never does: engines that
-    came, went, drain, turned sick or well, moved; limits that fall; drops; retries."""
-
-    def __init__(self, handed: Handed) -> None:
-        self._every, self._change = handed.changes_every, handed.change
-        self.plan: Plan | None = None
-        self._at = 0
-
-    def take(self, now: int, wanted: Plan) -> bool:
-        """Whether `plan` is another from now on."""
-        if wanted == self.plan:
-            return False
-        if self.plan is not None and not self._urgent(self.plan, wanted):
-            if now - self._at < self._every or not self._differs(self.plan, wanted):
-                return False
-        self.plan, self._at = wanted, now
-        return True
-
-    def due(self, wanted: Plan) -> int | None:
-        """When a change that waits may go."""
-        waits = self.plan is not None and wanted != self.plan and self._differs(self.plan, wanted)
-        return self._at + self._every if waits else None
-
-    def _urgent(self, old: Plan, new: Plan) -> bool:
-        return _standing(old) != _standing(new) or any(
-            b.most < a.most * (1.0 - self._change) or b.most_cold < a.most_cold or b.cold_share < a.cold_share
-            for a, b in zip(old, new, strict=True)
+    for leaving in draining:
+        by_zone.setdefault(leaving.zone, []).append(
+            Endpoint(leaving.name, leaving.address, EndpointHealth.DRAINING, 1)
         )
-
-    def _differs(self, old: Plan, new: Plan) -> bool:
-        pairs = [(a.most, b.most) for a, b in zip(old, new, strict=True)]
-        pairs += [(a.most_cold, b.most_cold) for a, b in zip(old, new, strict=True)]
-        pairs += [(a.cold_share, b.cold_share) for a, b in zip(old, new, strict=True)]
-        pairs += zip(_weights(old), _weights(new), strict=True)
-        return any(abs(a - b) > self._change * max(a, b) for a, b in pairs)
-
-
-def _standing(told: Plan) -> list[object]:
-    """All of a plan but figures that may wait. Drops go in steps of a twentieth."""
-    return [
-        (
-            g.name,
-            g.retry,
-            g.dispatches,
-            g.time_limit,
-            g.retries,
-            math.ceil(g.dropped / 50_000),
-            [
-                [(p.location, p.priority, e.name, e.address, e.health) for p in parts for e in p.endpoints]
-                for parts in (g.warm, g.cold)
-            ],
-        )
-        for g in told
-    ]
+    in_own_zone = by_zone.get(zone, []) if zone is not None else []
+    preferred = zone if any(one.health is EndpointHealth.HEALTHY for one in in_own_zone) else None
+    return tuple(
+        _locality(one, by_zone[one], 0 if preferred is None or one == preferred else 1)
+        for one in sorted(by_zone, key=lambda one: (one != preferred, one))
+    )
 
 
-def _weights(told: Plan) -> list[int]:
-    return [e.weight for g in told for parts in (g.warm, g.cold) for p in parts for e in p.endpoints]
+def _locality(zone: int, endpoints: Sequence[Endpoint], priority: int) -> LocalityEndpoints:
+    weight = sum(one.weight for one in endpoints if one.health is EndpointHealth.HEALTHY)
+    ordered = tuple(sorted(endpoints, key=lambda endpoint: endpoint.name))
+    return LocalityEndpoints(zone, priority, max(1, weight), ordered)
--- a/vanerelay/xds/config.py
+++ b/vanerelay/xds/config.py
@@ -6,13 +6,15 @@
 
 from vanerelay.grpc_wire.limits import Limits
 from vanerelay.operator_config import Block
-from vanerelay.xds.assignment import Handed
-from vanerelay.xds.proxy_count import Expected
+from vanerelay.xds.assignment import ProxyShareConfig
+from vanerelay.xds.proxy_count import ExpectedProxies
+
+MAX_PORT = 65_535
 
 
 @dataclass(frozen=True, slots=True)
-class Tls:
-    """Files in PEM: our certificate and key; who signs those of proxies (empty: none is asked for)."""
+class TlsConfig:
+    """PEM files: our certificate and key, and who signs those of proxies (empty: none is demanded)."""
 
     certificate: str
     key: str
@@ -21,39 +23,48 @@
 
 @dataclass(frozen=True, slots=True)
 class XdsConfig:
-    """`listen`: host and port for proxies; `nodes`: patterns of the node ids that may connect; `listener`:
-    the name that gRPC clients resolve; `bind`: where a proxy that listens itself is to do so; `most`:
-    connections."""
+    """The control service's configuration.
+
+    Attributes:
+        listen: Host and port for proxies.
+        node_patterns: Patterns of the node ids that may connect.
+        listener_name: The name that gRPC clients resolve.
+        bind: Host and port for proxies that listen themselves; empty for none.
+        max_connections: Proxies connected at once.
+    """
 
     listen: str
-    nodes: tuple[str, ...]
-    listener: str
+    node_patterns: tuple[str, ...]
+    listener_name: str
     bind: str
-    most: int
-    handed: Handed
-    expected: Expected
+    max_connections: int
+    proxy_share: ProxyShareConfig
+    expected: ExpectedProxies
     limits: Limits
-    tls: Tls | None
+    tls: TlsConfig | None
 
 
 def read_config(block: Block) -> XdsConfig:
-    """Raises BadOptions with the line of what is wrong."""
-    handed, limits, tls = block.only("handed"), block.only("limits"), block.only("tls")
-    found = XdsConfig(
+    """Reads the block.
+
+    Raises BadOptions with the line of what is wrong.
+    """
+    share, limits, tls = block.only("handed"), block.only("limits"), block.only("tls")
+    config = XdsConfig(
         listen=_address(block, "listen", ""),
-        nodes=tuple(block.take("nodes", list[str], ["*"])),
-        listener=block.take("listener", str, "vanerelay"),
+        node_patterns=tuple(block.take("nodes", list[str], ["*"])),
+        listener_name=block.take("listener", str, "vanerelay"),
         bind=_address(block, "bind", "none"),
-        most=block.take("most", int, 1000),
-        handed=handed.fill(Handed) if handed else Handed(),
-        expected=Expected(block.take("proxies", int, 1)),
+        max_connections=block.take("most", int, 1000),
+        proxy_share=share.fill(ProxyShareConfig) if share else ProxyShareConfig(),
+        expected=ExpectedProxies(block.take("proxies", int, 1)),
         limits=limits.fill(Limits) if limits else Limits(),
-        tls=tls.fill(Tls) if tls else None,
+        tls=tls.fill(TlsConfig) if tls else None,
     )
-    for one in (block, handed, limits, tls):
-        if one is not None:
-            one.done()
-    return found
+    for read in (block, share, limits, tls):
+        if read is not None:
+            read.done()
+    return config
 
 
 def _address(block: Block, name: str, default: str) -> str:
@@ -61,6 +72,6 @@
     host, _, port = text.rpartition(":")
     if text == "none":
         return ""
-    if not host or not port.isdecimal() or not 0 <= int(port) < 65_536:
+    if not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
         raise block.wrong(f'{name}: {text!r}, expected host and port, such as "127.0.0.1:18000"', name)
     return text
--- a/vanerelay/xds/extension.py
+++ b/vanerelay/xds/extension.py
@@ -1,4 +1,4 @@
-"""The control service as a part of the served program."""
+"""The control service as an extension of the served program."""
 
 from __future__ import annotations
 
@@ -10,41 +10,53 @@
 from vanerelay.engine_list import EngineListChange
 from vanerelay.extension import Extension, ExtensionHost, StartupError
 from vanerelay.membership.extension import MembershipExtension
-from vanerelay.xds.assignment import Terms
+from vanerelay.xds.assignment import AssignmentTerms
 from vanerelay.xds.config import XdsConfig
 from vanerelay.xds.service import ControlService
 
+CONTROL_REQUEST = "proxies"
+"""The request of the control socket that lists the proxies' streams."""
 
-class XdsExtension(Extension):
-    """`members`: whose console answers for proxies as well, where there is one."""
 
-    def __init__(self, host: ExtensionHost, parts: XdsConfig, members: MembershipExtension | None) -> None:
-        self._host, self._parts, self._members = host, parts, members
+class XdsExtension(Extension):
+    """Starts and stops the control service; the control socket, if there is one, answers for proxies too."""
+
+    def __init__(
+        self, host: ExtensionHost, config: XdsConfig, membership: MembershipExtension | None
+    ) -> None:
+        self._host = host
+        self._config = config
+        self._membership = membership
         self._service: ControlService | None = None
 
     def open(self) -> None:
+        """Opens the listener. Raises StartupError."""
         host, profile = self._host, self._host.settings
-        told = Terms(
+        terms = AssignmentTerms(
             tuple(settings.service_groups(profile)),
             settings.allowances(profile),
             settings.ration_terms(profile),
             settings.cold_start(profile).overload_multiple,
+            self._config.proxy_share,
         )
-        self._service = ControlService(host.reactor, host.clock, self._parts, host, told, list(host.zones))
-        if self._members is not None:
-            self._members.membership.more["proxies"] = self._service.answer
+        self._service = ControlService(host.reactor, host.clock, self._config, host, terms, list(host.zones))
+        if self._membership is not None:
+            self._membership.membership.more[CONTROL_REQUEST] = self._service.list_streams
         try:
             self._service.start()
-        except (CannotListenError, OSError) as fault:
-            raise StartupError(f"the control service: {fault}") from None
+        except (CannotListenError, OSError) as error:
+            raise StartupError(f"the control service: {error}") from None
 
     def engines_changed(self, change: EngineListChange) -> None:
+        """Makes assignments anew."""
         if self._service is not None:
-            self._service.listed(change)
+            self._service.engines_changed(change)
 
-    def settings_conflict(self, profile: dict[str, Any]) -> str | None:
+    def settings_conflict(self, settings: dict[str, Any]) -> str | None:
+        """Always a conflict: proxies were handed limits by the settings of the start."""
         return "proxies are served by the settings of the start"
 
     def stop(self) -> None:
+        """Ends all streams."""
         if self._service is not None:
             self._service.stop()
--- a/vanerelay/xds/tls.py
+++ b/vanerelay/xds/tls.py
@@ -1,10 +1,9 @@
-"""TLS of the listener, from files in PEM."""
+"""TLS of the proxies' listener, from PEM files."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from OpenSSL import SSL
 from twisted.internet.ssl import (
     Certificate,
     CertificateOptions,
@@ -12,27 +11,32 @@
     trustRootFromCertificates,
 )
 
-from vanerelay.xds.config import Tls
+from vanerelay.xds.config import TlsConfig
 
 
-def options(tls: Tls) -> Any:
-    """What a listener is opened with. Raises OSError, or SSL.Error for files that hold no certificate."""
-    with open(tls.certificate, encoding="ascii") as one, open(tls.key, encoding="ascii") as other:
-        own: Any = PrivateCertificate.loadPEM(  # type: ignore[no-untyped-call]
-            (one.read() + other.read()).encode()
-        )
+def tls_options(config: TlsConfig) -> CertificateOptions:
+    """The context factory that the listener is opened with.
+
+    Raises:
+        OSError: A file cannot be read.
+        OpenSSL.SSL.Error: A file holds no certificate or no key.
+    """
+    with (
+        open(config.certificate, encoding="ascii") as certificate_file,
+        open(config.key, encoding="ascii") as key_file,
+    ):
+        pem = (certificate_file.read() + key_file.read()).encode()
+    # Twisted's stubs leave the certificate's attributes untyped.
+    certificate: Any = PrivateCertificate.loadPEM(pem)  # type: ignore[no-untyped-call]
     trusted = None
-    if tls.proxies_ca:
-        with open(tls.proxies_ca, encoding="ascii") as file:
+    if config.proxies_ca:
+        with open(config.proxies_ca, encoding="ascii") as ca_file:
             trusted = trustRootFromCertificates(  # type: ignore[no-untyped-call]
-                [Certificate.loadPEM(file.read().encode())]
+                [Certificate.loadPEM(ca_file.read().encode())]
             )
     return CertificateOptions(
-        privateKey=own.privateKey.original,
-        certificate=own.original,
+        privateKey=certificate.privateKey.original,
+        certificate=certificate.original,
         trustRoot=trusted,
         acceptableProtocols=[b"h2"],
     )
-
-
-__all__ = ["SSL", "options"]
