--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -1,6 +1,8 @@
-"""Hinted reads measured: against the source, any copy and the freshest; moments of fault on real processes,
-news in fleets of any size, seeded schedules, what a hint costs.
-`python -m bench.freshness modes|moments|news|schedules|cost`."""
+"""Hinted reads measured: against the source, any replica and the freshest; scenarios with faults; the cost.
+
+Also how old shard updates are in fleets of any size, and seeded schedules of the pure modules:
+`python -m bench.freshness modes|moments|news|schedules|cost`.
+"""
 
 from __future__ import annotations
 
@@ -10,24 +12,26 @@
 import sys
 import time
 from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
+from dataclasses import dataclass, field
 from types import SimpleNamespace
-from typing import Any
 
 from bench import plays
 from tests.histories import deeds, reads
 from vanerelay.extension import QueryInfo
 from vanerelay.freshness import dissemination, messages
-from vanerelay.freshness.config import FreshnessConfig, Watch
-from vanerelay.freshness.read_constraints import Leading
-from vanerelay.freshness.replication_positions import Point, Positions, Told
-from vanerelay.freshness.shard_updates import Shard
-from vanerelay.interface import MILLISECOND, SECOND
+from vanerelay.freshness.config import FreshnessConfig, WatchConfig
+from vanerelay.freshness.constraint_router import ConstraintRouter
+from vanerelay.freshness.replication_positions import Position, ReplicaState, ReplicationPositions
+from vanerelay.freshness.shard_updates import ShardState
+from vanerelay.interface import MILLISECOND, SECOND, EngineState
 from vanerelay.lab import staleness_simulation
 
-SITE = (plays.SCRIPTS / "fresh-site.hcl").read_text()
-SIDE_BY_SIDE = 3
-ASKED = "stale<=1s else=wait"
-OFF = re.compile(r"^freshness \{.*?^\}\n", re.MULTILINE | re.DOTALL)
+BASE_SCENARIO = (plays.SCRIPTS / "fresh-site.hcl").read_text()
+PARALLEL_SCENARIOS = 3
+HINT = "stale<=1s else=wait"
+FRESHNESS_BLOCK = re.compile(r"^freshness \{.*?^\}\n", re.MULTILINE | re.DOTALL)
+ENGINES, TABLE_GROUPS = 80, 200
+POLL_INTERVAL, UPDATE_INTERVAL = 500 * MILLISECOND, 200 * MILLISECOND
 LAGS = ("0ms", "500ms", "2s", "10s", "30s")
 ENGINE_FAULTS = [
     ("e2 sticks", 'engines = "e2"\n  do = "stick"'),
@@ -39,9 +43,9 @@
 ]
 
 
-def site(mode: str, lag: str) -> str:
-    """Loads go to the source by its place; reads by the hint, to the source by its place, or to any."""
-    text = SITE.replace('locations = ["east"]', 'locations = ["src"]').replace(
+def scenario(mode: str, lag: str) -> str:
+    """Loads go to the source by its zone; reads by the hint, to the source by its zone, or to any."""
+    text = BASE_SCENARIO.replace('locations = ["east"]', 'locations = ["src"]').replace(
         'length = "10s"', 'length = "20s"'
     )
     text = re.sub(r'group "(session|own)" \{.*?\n\}\n', "", text, flags=re.DOTALL)
@@ -52,19 +56,19 @@
     text = text.replace('lag       = "150ms"', f'lag       = "{lag}"').replace("served = 0.9", "served = 0.0")
     text = text.replace('since  = "3s"', 'since  = "5s"')
     if mode in ("any", "source"):
-        text = OFF.sub("", text)
+        text = FRESHNESS_BLOCK.sub("", text)
     if mode == "source":
-        text = text.replace(f'hint   = "{ASKED}"', f'hint   = "{ASKED}"\n  locations = ["src"]')
+        text = text.replace(f'hint   = "{HINT}"', f'hint   = "{HINT}"\n  locations = ["src"]')
     if mode == "freshest":
-        text = text.replace(ASKED, "stale<=0s else=freshest")
+        text = text.replace(HINT, "stale<=0s else=freshest")
     return text
 
 
 def modes() -> None:
-    """By lag: utility of the reads, how many were older than a second, what became of them."""
+    """Prints by lag: the value of the reads, how many were older than a second, what became of them."""
     cells = [(lag, mode) for lag in LAGS for mode in ("hints", "any", "source", "freshest")]
-    with ThreadPoolExecutor(SIDE_BY_SIDE) as pool:
-        found = list(pool.map(lambda cell: plays.play(site(cell[1], cell[0]), 1), cells))
+    with ThreadPoolExecutor(PARALLEL_SCENARIOS) as pool:
+        found = list(pool.map(lambda cell: plays.play(scenario(cell[1], cell[0]), 1), cells))
     print("lag    mode       read  utility  older than 1 s  pushed back  asked/s of an engine")
     for (lag, mode), done in zip(cells, found, strict=True):
         rows = [dict(row, hint="stale<=1s") if row.get("hint") else row for row in done.rows]
@@ -77,149 +81,210 @@
         )
 
 
-def moment(seed: int, managers: int, hints: bool) -> plays.Played:
-    text = SITE.replace(
+def moment(seed: int, gateways: int, hints: bool) -> plays.Played:
+    """Runs one scenario with faults drawn from a seed."""
+    text = BASE_SCENARIO.replace(
         'count     = 6\n  locations = ["east", "west", "north"]\n  options',
-        f'count     = {managers}\n  locations = ["east", "west", "north"]\n  options',
+        f'count     = {gateways}\n  locations = ["east", "west", "north"]\n  options',
     )
     text = text.replace('length = "10s"', 'length = "18s"').replace("served = 0.9", "served = 0.0")
     if not hints:
-        text = OFF.sub("", text).replace('locations = ["east"]', 'locations = ["src"]')
+        text = FRESHNESS_BLOCK.sub("", text).replace('locations = ["east"]', 'locations = ["src"]')
         text = text.replace("load   = true", 'load   = true\n  locations = ["src"]')
-    return plays.play(text + plays.faults(seed, managers, ENGINE_FAULTS), seed)
+    return plays.play(text + plays.faults(seed, gateways, ENGINE_FAULTS), seed)
 
 
-def moments(count: int, managers: int = 12, first: int = 0, hints: int = 1) -> None:
-    """Each a play of real processes with five faults; `hints` 0: the same without the block."""
-    began, bad, read, old = time.monotonic(), 0, 0, 0
-    with ThreadPoolExecutor(SIDE_BY_SIDE) as pool:
+def moments(count: int, gateways: int = 12, first: int = 0, hints: int = 1) -> None:
+    """Runs scenarios of real processes with five faults each; `hints` 0: the same without the block."""
+    began, failed, hinted_reads, stale_runs = time.monotonic(), 0, 0, 0
+    with ThreadPoolExecutor(PARALLEL_SCENARIOS) as pool:
         seeds = range(first, first + count)
         for seed, done in zip(
-            seeds, pool.map(lambda seed: moment(seed, managers, bool(hints)), seeds), strict=True
+            seeds, pool.map(lambda seed: moment(seed, gateways, bool(hints)), seeds), strict=True
         ):
-            wrong = reads.wrong(done.rows)
-            read += sum(
+            violations = reads.wrong(done.rows)
+            hinted_reads += sum(
                 row["op"] == "query" and row["result"] == "returned" and bool(row["hint"])
                 for row in done.rows
             )
-            old += bool(wrong)
-            found = [*(wrong if hints else ()), *deeds.wrong(done.rows)]
+            stale_runs += bool(violations)
+            found = [*(violations if hints else ()), *deeds.wrong(done.rows)]
             if found or done.findings:
-                bad += 1
+                failed += 1
                 print(f"seed {seed}: {found[:3]} {done.findings[:3]}", flush=True)
     print(
-        f"{count} moments, {managers} processes, hints {'on' if hints else 'off'}, "
-        f"{time.monotonic() - began:.0f} s: {bad} wrong, {read} hinted reads judged, "
-        f"{old} plays with a read that breaks its hint"
+        f"{count} moments, {gateways} processes, hints {'on' if hints else 'off'}, "
+        f"{time.monotonic() - began:.0f} s: {failed} wrong, {hinted_reads} hinted reads judged, "
+        f"{stale_runs} plays with a read that breaks its hint"
     )
 
 
-def news() -> None:
-    """One shard of 80 engines with 200 table groups each, watched every 500 ms, heard every 200 ms: by
-    managers, how old news are, and who asks whom. Pure parts, one clock; a question takes a millisecond."""
-    print("managers  questions/s of an engine  news/s at the most asked  kB/s there  age p50 ms  p99 ms")
-    for managers in (3, 12, 50, 200):
-        chance = random.Random(1)
-        order = [f"m{number}" for number in range(managers)]
-        shards = {name: Shard(Positions()) for name in order}
-        shards[order[0]].begin(1, order[0])
-        engines = [f"e{number}" for number in range(80)]
-        numbers = {engine: [0] * 200 for engine in engines}
-        due = sorted((chance.randrange(200 * MILLISECOND), name) for name in order[1:])
-        asked, bytes_, ages, questions, watch_at = (
-            dict.fromkeys(order, 0),
-            dict.fromkeys(order, 0),
-            list[int](),
-            0,
-            0,
-        )
-        span = 20 * SECOND
-        while due and due[0][0] < span:
+@dataclass
+class SimulatedFleet:
+    """A watcher of one shard and gateways that fetch its updates; pure modules, one clock.
+
+    Attributes:
+        requests: Requests that each gateway answered, by name.
+        sent_bytes: What it sent, by name.
+        ages: How old reports were at gateways, in the second half.
+        polls: Polls of engines.
+    """
+
+    gateways: int
+    requests: dict[str, int] = field(default_factory=dict)
+    sent_bytes: dict[str, int] = field(default_factory=dict)
+    ages: list[int] = field(default_factory=list)
+    polls: int = 0
+
+    def __post_init__(self) -> None:
+        self.chance = random.Random(1)
+        self.order = [f"m{number}" for number in range(self.gateways)]
+        self.watcher = self.order[0]
+        self.shards = {name: ShardState(ReplicationPositions()) for name in self.order}
+        self.shards[self.watcher].take_over(1, self.watcher)
+        self.numbers = {f"e{number}": [0] * TABLE_GROUPS for number in range(ENGINES)}
+        self.requests = dict.fromkeys(self.order, 0)
+        self.sent_bytes = dict.fromkeys(self.order, 0)
+
+    def run(self, duration: int) -> None:
+        """Polls engines and fetches updates for a while."""
+        due = sorted((self.chance.randrange(UPDATE_INTERVAL), name) for name in self.order[1:])
+        poll_at = 0
+        while due and due[0][0] < duration:
             at, name = due.pop(0)
-            while watch_at <= at:
-                for place, engine in enumerate(engines):
-                    numbers[engine][chance.randrange(200)] += 1
-                    rows = {
-                        group: Told(Point(1, number), not place)
-                        for group, number in enumerate(numbers[engine])
-                    }
-                    shards[order[0]].saw(engine, watch_at - 20 * MILLISECOND, rows)
-                    questions += 1
-                watch_at += 500 * MILLISECOND
-            whom = dissemination.source(name, order, order[0], 0)
-            assert whom is not None
-            body = messages.encode(messages.news(shards[whom].give(at, *shards[name].wants(at))))
-            given = messages.given(messages.decode(body, messages.News) or messages.News())
-            assert given is not None
-            shards[name].hear(at - 10, given, 0.02)
-            asked[whom] += 1
-            bytes_[whom] += len(body)
-            if at > span // 2:
-                ages += [at - told for told in shards[name].asked.values()]
-            due.append((at + 200 * MILLISECOND, name))
+            while poll_at <= at:
+                self.poll_engines(poll_at)
+                poll_at += POLL_INTERVAL
+            self.fetch(at, name)
+            if at > duration // 2:
+                self.ages += [at - polled_at for polled_at in self.shards[name].polled_at.values()]
+            due.append((at + UPDATE_INTERVAL, name))
             due.sort()
-        top = max(order, key=lambda name: asked[name])
-        ages.sort()
+
+    def poll_engines(self, at: int) -> None:
+        """Each engine has had one load since the last poll, and reports."""
+        for place, (engine, numbers) in enumerate(self.numbers.items()):
+            numbers[self.chance.randrange(TABLE_GROUPS)] += 1
+            states = {
+                group: ReplicaState(Position(1, number), is_source=not place)
+                for group, number in enumerate(numbers)
+            }
+            self.shards[self.watcher].engine_polled(engine, at - 20 * MILLISECOND, states)
+            self.polls += 1
+
+    def fetch(self, at: int, name: str) -> None:
+        """A gateway fetches what is new; the request takes a millisecond."""
+        source = dissemination.update_source(name, self.order, self.watcher, 0)
+        assert source is not None
+        update = self.shards[source].update_for(at, self.shards[name].next_request(at))
+        body = messages.encode(messages.shard_update_message(update))
+        message = messages.decode(body, messages.ShardUpdateMessage)
+        assert message is not None
+        received = messages.shard_update(message)
+        assert received is not None
+        self.shards[name].apply(at - MILLISECOND, received, 0.02)
+        self.requests[source] += 1
+        self.sent_bytes[source] += len(body)
+
+
+def news() -> None:
+    """Prints by number of gateways: how old reports are, and who is asked how often.
+
+    One shard of 80 engines with 200 table groups each, polled every 500 ms, updates fetched every 200 ms.
+    """
+    print("managers  questions/s of an engine  news/s at the most asked  kB/s there  age p50 ms  p99 ms")
+    duration_s = 20
+    for gateways in (3, 12, 50, 200):
+        fleet = SimulatedFleet(gateways)
+        fleet.run(duration_s * SECOND)
+        busiest = max(fleet.order, key=lambda name: fleet.requests[name])
+        ages = sorted(fleet.ages)
         print(
-            f"{managers:8}  {questions / 80 / 20:24.2f}  {asked[top] / 20:23.1f}"
-            f"  {bytes_[top] / 20 / 1000:10.1f}  {ages[len(ages) // 2] / 10:10.0f}"
+            f"{gateways:8}  {fleet.polls / ENGINES / duration_s:24.2f}"
+            f"  {fleet.requests[busiest] / duration_s:23.1f}"
+            f"  {fleet.sent_bytes[busiest] / duration_s / 1000:10.1f}  {ages[len(ages) // 2] / 10:10.0f}"
             f"  {ages[len(ages) * 99 // 100] / 10:6.0f}"
         )
 
 
-def some(first: int) -> tuple[int, int, Any]:
-    found, read, world = staleness_simulation.schedules(range(first, first + 100))
-    return found, read, (world.seed, world.wrong) if world is not None else None
+def hundred_schedules(first: int) -> staleness_simulation.Result:
+    """Runs a hundred schedules from a seed on."""
+    return staleness_simulation.run_schedules(range(first, first + 100))
 
 
 def schedules(count: int) -> None:
-    began, bad, read = time.monotonic(), 0, 0
+    """Runs seeded schedules of the pure modules and prints what they found."""
+    began, violated, reads_judged = time.monotonic(), 0, 0
     with ProcessPoolExecutor(6) as pool:
-        for found, judged, world in pool.map(some, range(10_000, 10_000 + count, 100)):
-            bad, read = bad + found, read + judged
-            if world is not None:
-                print(world)
-    print(f"{count} schedules in {time.monotonic() - began:.0f} s: {bad} wrong, {read} reads judged")
+        for result in pool.map(hundred_schedules, range(10_000, 10_000 + count, 100)):
+            violated, reads_judged = violated + result.violated, reads_judged + result.reads
+            if result.shortest is not None:
+                print((result.shortest.seed, result.shortest.violations))
+    duration_s = time.monotonic() - began
+    print(f"{count} schedules in {duration_s:.0f} s: {violated} wrong, {reads_judged} reads judged")
 
 
-def cost() -> None:
-    """What leading costs a batch, in microseconds: the median of 20 rounds of 2,000."""
-    positions = Positions()
+class UnheldQuery:
+    """A query that is not there: what its constraint decides goes nowhere."""
+
+    def restrict_to(self, engines: frozenset[int] | None) -> None:
+        """Its engines are named."""
+
+    def reject(self, retry_after: int) -> None:
+        """It is rejected."""
+
+
+def make_router() -> ConstraintRouter:
+    """A router over 8 engines with 100 table groups each, without a program around it."""
+    positions = ReplicationPositions()
     for engine in range(8):
         for group in range(100):
-            positions.change(f"e{engine}", group, Told(Point(1, 5), engine == 0))
-        positions.asked(f"e{engine}", 1000)
-    entries = [SimpleNamespace(entry=SimpleNamespace(engine=n, name=f"e{n}"), sound=True) for n in range(8)]
-    freshness = SimpleNamespace(
-        parts=FreshnessConfig(Watch(("@ID@",))),
+            positions.update(f"e{engine}", group, ReplicaState(Position(1, 5), engine == 0))
+        positions.mark_polled(f"e{engine}", 1000)
+    statuses = [
+        SimpleNamespace(
+            entry=SimpleNamespace(index=index, name=f"e{index}", state=EngineState.UP), usable=True
+        )
+        for index in range(8)
+    ]
+    service = SimpleNamespace(
+        config=FreshnessConfig(WatchConfig(("@ID@",))),
         positions=positions,
         clock=lambda: 1000,
-        whole=True,
-        moved=None,
+        knows_all_shards=True,
+        records=None,
+        on_update=None,
     )
-    later = SimpleNamespace(callLater=lambda *_: SimpleNamespace(active=lambda: False))
-    leading = Leading(SimpleNamespace(reactor=later), freshness, random.Random(1))  # type: ignore[arg-type]
-    leading.there = lambda: {one.entry.name: one for one in entries}  # type: ignore[method-assign]
-    lead = SimpleNamespace(among=lambda engines: None, refuse=lambda wait: None)
+    reactor = SimpleNamespace(callLater=lambda *_: SimpleNamespace(active=lambda: False))
+    gateway = SimpleNamespace(engine_statuses=lambda: statuses)
+    host = SimpleNamespace(reactor=reactor, gateway=gateway)
+    return ConstraintRouter(host, service, random.Random(1))  # type: ignore[arg-type]
+
+
+def cost() -> None:
+    """Prints what a constraint costs a query, in microseconds: the median of 20 rounds of 2,000."""
+    router = make_router()
+    query = UnheldQuery()
     plain = "SELECT a, b, c FROM sales_7.orders WHERE d = 4 -- w=1"
     for what, statement in (
         ("a read without a hint", plain),
         ("a load", "INSERT INTO sales_7.orders SELECT a, b, c FROM staged"),
         ("a read with a hint", f"/*+ vanerelay stale<=5s else=wait */ {plain}"),
     ):
-        want, spans = QueryInfo("x", "g", statement, SECOND, SECOND), list[float]()
+        info, durations = QueryInfo("x", "g", statement, SECOND, SECOND), list[float]()
         for _ in range(20):
             began = time.perf_counter()
             for _ in range(2000):
-                guide = leading.guide(want)
-                if guide is not None:
-                    assert not isinstance(guide, str)
-                    guide.start(lead)
-                    guide.finished()
-            spans.append((time.perf_counter() - began) / 2000 * 1e6)
-        print(f"{what}: {statistics.median(spans):.1f} us")
+                constraint = router.constrain(info)
+                if constraint is not None:
+                    assert not isinstance(constraint, str)
+                    constraint.start(query)
+                    constraint.finished()
+            durations.append((time.perf_counter() - began) / 2000 * 1e6)
+        print(f"{what}: {statistics.median(durations):.1f} us")
 
 
 if __name__ == "__main__":
-    what, numbers = sys.argv[1], [int(word) for word in sys.argv[2:]]
-    {"modes": modes, "moments": moments, "news": news, "schedules": schedules, "cost": cost}[what](*numbers)  # type: ignore[operator]
+    command, numbers = sys.argv[1], [int(argument) for argument in sys.argv[2:]]
+    commands = {"modes": modes, "moments": moments, "news": news, "schedules": schedules, "cost": cost}
+    commands[command](*numbers)  # type: ignore[operator]
--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -21,7 +21,7 @@
 from vanerelay.fleet import rpc
 from vanerelay.fleet.service import Fleet
 from vanerelay.freshness import config as freshness_parts
-from vanerelay.freshness.service import Freshness
+from vanerelay.freshness.service import FreshnessService
 from vanerelay.leases import config as lease_parts
 from vanerelay.leases.service import Leases
 from vanerelay.leases.voter import LeaseTerms, Voters
@@ -102,10 +102,10 @@
 
 def freshness_kinds() -> set[str]:
     one = fleet()
-    watch = freshness_parts.Watch(("copies", "@ID@"))
+    watch = freshness_parts.WatchConfig(("copies", "@ID@"))
     leases = leases_of(one)
     before = set(one.links.handlers)
-    Freshness(FakeReactor(), one, leases, freshness_parts.FreshnessConfig(watch))
+    FreshnessService(FakeReactor(), one, leases, freshness_parts.FreshnessConfig(watch))
     return set(one.links.handlers) - before
 
 
--- a/vanerelay/freshness/__init__.py
+++ b/vanerelay/freshness/__init__.py
@@ -1,1 +1,1 @@
-"""Which copies may serve a read: hints in statements, positions of copies, pins of sessions."""
+"""Reads that state how fresh they have to be, and the watch of replicas that finds engines for them."""
--- a/vanerelay/freshness/config.py
+++ b/vanerelay/freshness/config.py
@@ -1,69 +1,99 @@
-"""The `freshness` block of the operators' file, into the arguments of each part."""
+"""The `freshness` block of the operators' file."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from vanerelay.config_field import config_field
 from vanerelay.interface import MILLISECOND, SECOND, Duration
 from vanerelay.leases.config import WORDS_MOST
 from vanerelay.operator_config import Block
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
-    """How engines are asked. `words`: the command, as of a chore, with @FROM@ for where to go on; `every`:
-    each engine once in so long, by one manager for all; `patience`: for an answer; `shards`: parts of the
-    engines, a task each; `at_once`: questions of one shard that are out; `hear`: how often managers ask for
-    news."""
-
-    words: tuple[str, ...]
-    every: Duration = SECOND // 2
-    patience: Duration = SECOND
+class WatchConfig:
+    """How engines are polled for the positions of their replicas.
+
+    Attributes:
+        command: The command, as of a maintenance task, with @FROM@ for where to go on.
+        poll_interval: Each engine is polled once in so long, by one gateway for all.
+        poll_timeout: How long an engine has to answer.
+        shards: Parts of the engines, a leased task each.
+        max_concurrent_polls: Polls of one shard that are in flight.
+        update_interval: How often gateways ask each other for updates.
+    """
+
+    command: tuple[str, ...] = config_field("words")
+    poll_interval: Duration = config_field("every", default=SECOND // 2)
+    poll_timeout: Duration = config_field("patience", default=SECOND)
     shards: int = 1
-    at_once: int = 16
-    hear: Duration = 200 * MILLISECOND
+    max_concurrent_polls: int = config_field("at_once", default=16)
+    update_interval: Duration = config_field("hear", default=200 * MILLISECOND)
 
 
 @dataclass(frozen=True, slots=True)
-class Sessions:
-    """`most`: that one manager remembers; `longest`: past its last read; `patience`: for those that
-    remember."""
+class SessionsConfig:
+    """What one gateway remembers of sessions.
 
-    most: int = 100_000
-    longest: Duration = 60 * SECOND
-    patience: Duration = 100 * MILLISECOND
+    Attributes:
+        max_sessions: Sessions, and ended loads, that are remembered.
+        max_lifetime: How long a session is remembered after its last read, at most.
+        timeout: How long other gateways have to answer what they remember.
+    """
+
+    max_sessions: int = config_field("most", default=100_000)
+    max_lifetime: Duration = config_field("longest", default=60 * SECOND)
+    timeout: Duration = config_field("patience", default=100 * MILLISECOND)
 
 
 @dataclass(frozen=True, slots=True)
 class FreshnessConfig:
-    """`at`: the word under which engines say in an answer what they read at, `to`: where a load ended; empty:
-    they do not. `lead_loads`: loads go to the source."""
+    """The whole block.
+
+    Attributes:
+        position_field: The field of an answer in which engines name the position they read at; empty: none.
+        load_end_field: The field in which they name the position at which a load ended; empty: none.
+        route_loads_to_source: Whether loads go to the source of the table group that they write.
+    """
 
-    watch: Watch
-    at: str = "at"
-    to: str = "to"
-    lead_loads: bool = True
-    sessions: Sessions = Sessions()
+    watch: WatchConfig
+    position_field: str = config_field("at", default="at")
+    load_end_field: str = config_field("to", default="to")
+    route_loads_to_source: bool = config_field("lead_loads", default=True)
+    sessions: SessionsConfig = SessionsConfig()
 
 
 def read_config(block: Block) -> FreshnessConfig:
-    """Raises BadOptions with the line of what is wrong."""
-    watch, sessions = block.only("watch"), block.only("sessions")
-    if watch is None:
+    """Reads the block.
+
+    Raises BadOptions with the line of what is wrong.
+    """
+    watch_block, sessions_block = block.only("watch"), block.only("sessions")
+    if watch_block is None:
         raise block.wrong("freshness: no watch, expected a watch block in it")
-    found = block.fill(
+    config = block.fill(
         FreshnessConfig,
-        watch=watch.fill(Watch),
-        sessions=sessions.fill(Sessions) if sessions is not None else Sessions(),
+        watch=watch_block.fill(WatchConfig),
+        sessions=sessions_block.fill(SessionsConfig) if sessions_block is not None else SessionsConfig(),
+    )
+    _check_watch(watch_block, config.watch)
+    if sessions_block is not None and min(config.sessions.max_sessions, config.sessions.timeout) <= 0:
+        raise sessions_block.wrong("most, patience: expected more than 0", "most")
+    for read in (block, watch_block, sessions_block):
+        if read is not None:
+            read.done()
+    return config
+
+
+def _check_watch(block: Block, watch: WatchConfig) -> None:
+    if not 0 < len(watch.command) <= WORDS_MOST or "@ID@" not in watch.command:
+        raise block.wrong("words: expected 1 to 16, @ID@ one of them, under which engines answer", "words")
+    positive = (
+        watch.poll_interval,
+        watch.poll_timeout,
+        watch.shards,
+        watch.max_concurrent_polls,
+        watch.update_interval,
     )
-    one = found.watch
-    if not 0 < len(one.words) <= WORDS_MOST or "@ID@" not in one.words:
-        raise watch.wrong("words: expected 1 to 16, @ID@ one of them, under which engines answer", "words")
-    if min(one.every, one.patience, one.shards, one.at_once, one.hear) <= 0:
-        raise watch.wrong("every, patience, shards, at_once, hear: expected more than 0", "every")
-    if sessions is not None and min(found.sessions.most, found.sessions.patience) <= 0:
-        raise sessions.wrong("most, patience: expected more than 0", "most")
-    for told in (block, watch, sessions):
-        if told is not None:
-            told.done()
-    return found
+    if min(positive) <= 0:
+        raise block.wrong("every, patience, shards, at_once, hear: expected more than 0", "every")
--- a/vanerelay/freshness/dissemination.py
+++ b/vanerelay/freshness/dissemination.py
@@ -1,7 +1,8 @@
-"""From whom a manager hears the news of a shard: so that one watcher is enough for a fleet of any size. Pure.
+"""From whom a gateway fetches the updates of a shard, so that one watcher is enough for any fleet. Pure.
 
-The first few by rendezvous, among whom the watcher is, ask it; all others ask their place's parent in a tree
-over the same order. Who does not answer is passed over upward."""
+The first few gateways by rendezvous hashing, the watcher among them, ask the watcher. Each other one asks its
+parent in a tree over the same order. A gateway that does not answer is passed over upward.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +10,25 @@
 
 from vanerelay.leases.assignment import RANKS
 
-FAN = 8  # that ask one
+FAN_OUT = 8
+"""Gateways that ask one parent: a tree of four levels serves over 500 gateways."""
 
 
-def source(own: str, order: Sequence[str], holder: str, failed: int) -> str | None:
-    """Whom to ask now. `order`: all that are there, by rendezvous for the shard's task; `holder`: who
-    watches, as far as known; `failed`: questions in a row that brought nothing."""
-    heads = [name for name in dict.fromkeys((holder, *order[:RANKS])) if name and name != own]
+def update_source(own: str, order: Sequence[str], holder: str, failures: int) -> str | None:
+    """The gateway to ask now; None where there is none.
+
+    Args:
+        own: The name of this gateway.
+        order: All live gateways, by rendezvous hashing for the shard's task.
+        holder: The shard's watcher, as far as known.
+        failures: Requests in a row that brought nothing.
+    """
+    candidates = [name for name in dict.fromkeys((holder, *order[:RANKS])) if name and name != own]
     place = order.index(own) if own in order else RANKS
     if place >= RANKS:
-        above = list[str]()
+        ancestors = list[str]()
         while place >= RANKS:
-            place = (place - RANKS) // FAN
-            above.append(order[place])
-        heads = list(dict.fromkeys((*above, *heads)))
-    return heads[failed % len(heads)] if heads else None
+            place = (place - RANKS) // FAN_OUT
+            ancestors.append(order[place])
+        candidates = list(dict.fromkeys((*ancestors, *candidates)))
+    return candidates[failures % len(candidates)] if candidates else None
--- a/vanerelay/freshness/hints.py
+++ b/vanerelay/freshness/hints.py
@@ -1,14 +1,15 @@
-"""What an application asks of a read, out of a comment of its statement. Pure.
+"""Reads a query's freshness hint out of a comment of its statement. Pure.
 
     /*+ vanerelay stale<=5s behind<=3 after=LOAD-REF at>=2:117 pin=closing-17 for=30s else=wait */
 
-A comment that begins so and can't be read is refused in one line, never passed over. The inside is read by
-lark; where comments begin and end is told by a small pattern, so that one in a string is none."""
+A comment that begins so and cannot be read is an error, never passed over. The inside is parsed by lark;
+a small pattern finds where comments begin and end, so that one within a string is none.
+"""
 
 from __future__ import annotations
 
 import re
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from enum import Enum
 from functools import lru_cache
 from typing import Any
@@ -16,45 +17,64 @@
 from lark import Lark, Token, Transformer, UnexpectedInput
 from lark.exceptions import VisitError
 
-from vanerelay.freshness.replication_positions import Point
+from vanerelay.freshness.replication_positions import Position
 from vanerelay.interface import SECOND, Duration
 
-SIGN, NAME = "/*+", "vanerelay"
-MOST = 256  # characters of a hint
-KEPT = 1000  # hints that are remembered as read: applications write the same ones
-UNITS = {"ms": SECOND // 1000, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
-COMMENTS = re.compile(r"""'(?:[^']|'')*(?:'|\Z)|"(?:[^"]|"")*(?:"|\Z)|--[^\n]*|/\*(.*?)(\*/|\Z)""", re.DOTALL)
+HINT_START = "/*+"
+HINT_NAME = "vanerelay"
+
+MAX_HINT_CHARACTERS = 256
+"""The longest hint: all of its items once, with the longest names."""
+
+MAX_CACHED_HINTS = 1000
+"""Parsed hints that are cached: applications write the same ones again."""
 
+_UNITS = {"ms": SECOND // 1000, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
+_STRINGS_AND_COMMENTS = re.compile(
+    r"""'(?:[^']|'')*(?:'|\Z)|"(?:[^"]|"")*(?:"|\Z)|--[^\n]*|/\*(.*?)(\*/|\Z)""", re.DOTALL
+)
 
-class Else(Enum):
-    """What is done where no copy is known to be fresh enough."""
 
-    WAIT = "wait"  # within the response goal, then as REFUSE
+class Fallback(Enum):
+    """What is done where no replica is known to be fresh enough; the values are the hint's words."""
+
+    WAIT = "wait"
+    """Wait within the latency objective, then as REJECT."""
     SOURCE = "source"
-    FRESHEST = "freshest"  # and the answer says how old it is
-    REFUSE = "refuse"  # at once, with a time to return
+    """Read from the source; the answer says how old it may be."""
+    FRESHEST = "freshest"
+    """Read from the freshest replica; the answer says how old it may be."""
+    REJECT = "refuse"
+    """Reject at once, with a time to retry after."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """`stale`: the read holds all loads that had ended so long before it came; `behind`: but the last few of
-    them; `after`: a load by its reference; `at`: a point that it holds; `pin`: a session that never goes
-    back, remembered `lasts` past its last read."""
+    """What a read demands.
+
+    Attributes:
+        max_staleness: The read holds all loads that had ended so long before it was received.
+        max_loads_behind: Except for the last few of them.
+        after_load: It holds the load with this reference.
+        min_position: It holds this position.
+        session: A session that never goes back.
+        session_lifetime: How long the session is remembered after its last read.
+    """
 
-    stale: Duration | None = None
-    behind: int = 0
-    after: str = ""
-    at: Point | None = None
-    pin: str = ""
-    lasts: Duration = 30 * SECOND
-    otherwise: Else = Else.WAIT
+    max_staleness: Duration | None = None
+    max_loads_behind: int = 0
+    after_load: str = ""
+    min_position: Position | None = None
+    session: str = ""
+    session_lifetime: Duration = 30 * SECOND
+    fallback: Fallback = Fallback.WAIT
 
 
-class BadHint(Exception):
-    """What is wrong, in one line."""
+class HintError(Exception):
+    """What is wrong with a hint, in one line."""
 
 
-GRAMMAR = r"""
+_GRAMMAR = r"""
 start: item+
 item: "stale" "<=" TIME -> stale
     | "behind" "<=" COUNT -> behind
@@ -70,87 +90,104 @@
 CHOICE: /(wait|source|freshest|refuse)(?![^\s])/
 %ignore /\s+/
 """
-KNOWN = "after=, at>=, behind<=, else=, for=, pin=, stale<="
+_EXPECTED = "after=, at>=, behind<=, else=, for=, pin=, stale<="
 
+_HINT_FIELDS = {
+    "stale": "max_staleness",
+    "behind": "max_loads_behind",
+    "after": "after_load",
+    "at": "min_position",
+    "pin": "session",
+    "lasts": "session_lifetime",
+    "otherwise": "fallback",
+}
+"""The fields of a Hint by the items of the grammar, whose names errors show to clients."""
 
-class _Read(Transformer[Token, dict[str, Any]]):
-    def start(self, items: list[tuple[str, Any]]) -> dict[str, Any]:
-        found = dict(items)
-        if len(found) < len(items):
-            named = [name for name, _ in items]
-            raise BadHint(f"{next(n for n in named if named.count(n) > 1)} is told twice")
-        return found
+_Item = tuple[str, Any]
 
-    def stale(self, told: list[Token]) -> tuple[str, Any]:
-        return "stale", _span(told[0])
 
-    def lasts(self, told: list[Token]) -> tuple[str, Any]:
-        return "lasts", _span(told[0])
+class _HintReader(Transformer[Token, dict[str, Any]]):
+    """Turns a parsed hint into values by item; each method is named for its item."""
 
-    def behind(self, told: list[Token]) -> tuple[str, Any]:
-        return "behind", int(told[0])
+    def start(self, items: list[_Item]) -> dict[str, Any]:
+        values = dict(items)
+        if len(values) < len(items):
+            names = [name for name, _ in items]
+            raise HintError(f"{next(name for name in names if names.count(name) > 1)} is told twice")
+        return values
 
-    def after(self, told: list[Token]) -> tuple[str, Any]:
-        return "after", str(told[0])
+    def stale(self, tokens: list[Token]) -> _Item:
+        return "stale", _parse_duration(tokens[0])
 
-    def at(self, told: list[Token]) -> tuple[str, Any]:
-        return "at", Point.read(told[0])
+    def lasts(self, tokens: list[Token]) -> _Item:
+        return "lasts", _parse_duration(tokens[0])
 
-    def pin(self, told: list[Token]) -> tuple[str, Any]:
-        return "pin", str(told[0])
+    def behind(self, tokens: list[Token]) -> _Item:
+        return "behind", int(tokens[0])
 
-    def otherwise(self, told: list[Token]) -> tuple[str, Any]:
-        return "otherwise", Else(told[0])
+    def after(self, tokens: list[Token]) -> _Item:
+        return "after", str(tokens[0])
 
+    def at(self, tokens: list[Token]) -> _Item:
+        return "at", Position.parse(tokens[0])
 
-def _span(text: str) -> Duration:
+    def pin(self, tokens: list[Token]) -> _Item:
+        return "pin", str(tokens[0])
+
+    def otherwise(self, tokens: list[Token]) -> _Item:
+        return "otherwise", Fallback(tokens[0])
+
+
+def _parse_duration(text: str) -> Duration:
     unit = text.lstrip("0123456789.")
-    return round(float(text[: -len(unit)]) * UNITS[unit])
+    return round(float(text[: -len(unit)]) * _UNITS[unit])
+
 
+_PARSER = Lark(_GRAMMAR, parser="lalr", lexer="contextual", transformer=None)
 
-_PARSER = Lark(GRAMMAR, parser="lalr", lexer="contextual", transformer=None)
 
+def find_hint(statement: str) -> str | None:
+    """The inside of a statement's hint; None where it has none.
 
-def find(statement: str) -> str | None:
-    """The inside of the hint; None where there is none. Raises BadHint where there are two, or no end."""
-    if SIGN not in statement or NAME not in statement:
+    Raises HintError where there are two, or one without an end.
+    """
+    if HINT_START not in statement or HINT_NAME not in statement:
         return None
     found = None
-    for comment in COMMENTS.finditer(statement):
+    for comment in _STRINGS_AND_COMMENTS.finditer(statement):
         inside, end = comment[1], comment[2]
-        if inside is None or not inside.startswith("+") or inside[1:].split(None, 1)[:1] != [NAME]:
+        if inside is None or not inside.startswith("+") or inside[1:].split(None, 1)[:1] != [HINT_NAME]:
             continue
         if found is not None:
-            raise BadHint("a second hint, expected one")
+            raise HintError("a second hint, expected one")
         if not end:
-            raise BadHint("the comment has no end, expected */")
-        found = inside[1:].strip()[len(NAME) :].strip()
+            raise HintError("the comment has no end, expected */")
+        found = inside[1:].strip()[len(HINT_NAME) :].strip()
     return found
 
 
-def read(statement: str) -> Hint | None:
-    """None where the statement has none. Raises BadHint."""
-    inside = find(statement)
+def read_hint(statement: str) -> Hint | None:
+    """A statement's hint; None where it has none. Raises HintError."""
+    inside = find_hint(statement)
     if inside is None:
         return None
-    if len(inside) > MOST:
-        raise BadHint(f"{len(inside)} characters, expected {MOST} at most")
-    return _parsed(inside)
+    if len(inside) > MAX_HINT_CHARACTERS:
+        raise HintError(f"{len(inside)} characters, expected {MAX_HINT_CHARACTERS} at most")
+    return _parse_hint(inside)
 
 
-@lru_cache(KEPT)
-def _parsed(inside: str) -> Hint:
+@lru_cache(MAX_CACHED_HINTS)
+def _parse_hint(inside: str) -> Hint:
     try:
-        told = _Read().transform(_PARSER.parse(inside))
-    except UnexpectedInput as fault:
-        at = max(0, fault.pos_in_stream or 0)
-        rest = inside[at:].split(None, 1)[:1]
-        raise BadHint(f"{rest[0][:32] if rest else 'its end'!r}, expected {KNOWN}") from None
-    except VisitError as fault:
-        raise fault.orig_exc from None
-    hint = replace(Hint(), **told)
-    if "lasts" in told and not hint.pin:
-        raise BadHint("for= without pin=, expected both")
-    if not told.keys() - {"lasts", "otherwise"}:
-        raise BadHint("nothing is asked, expected one of " + KNOWN)
+        values = _HintReader().transform(_PARSER.parse(inside))
+    except UnexpectedInput as error:
+        rest = inside[max(0, error.pos_in_stream or 0) :].split(None, 1)[:1]
+        raise HintError(f"{rest[0][:32] if rest else 'its end'!r}, expected {_EXPECTED}") from None
+    except VisitError as error:
+        raise error.orig_exc from None
+    hint = Hint(**{_HINT_FIELDS[name]: value for name, value in values.items()})
+    if "lasts" in values and not hint.session:
+        raise HintError("for= without pin=, expected both")
+    if not values.keys() - {"lasts", "otherwise"}:
+        raise HintError("nothing is asked, expected one of " + _EXPECTED)
     return hint
--- a/vanerelay/freshness/read_constraints.py
+++ b/vanerelay/freshness/read_constraints.py
@@ -1,350 +1,304 @@
-"""How reads with a hint, and loads, are led: who may serve this batch now. Thin: `eligible` and `pins`
-decide."""
+"""The constraint of a read with a hint: what it has to hold is fixed when it is received.
+
+Who may serve it is looked at anew for each attempt. A thin driver: `eligibility` and `session_affinity`
+decide.
+"""
 
 from __future__ import annotations
 
-import random
-from collections.abc import Mapping, Sequence
-from typing import Any
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum
+from typing import TYPE_CHECKING, Any
 
 import structlog
 from twisted.internet.defer import Deferred, DeferredList
 
-from vanerelay.extension import ConstrainedQuery, ExtensionHost, QueryConstraint, QueryInfo
-from vanerelay.freshness import eligibility, hints
-from vanerelay.freshness.eligibility import Choice
-from vanerelay.freshness.hints import BadHint, Hint
-from vanerelay.freshness.replication_positions import Point
-from vanerelay.freshness.service import Freshness
-from vanerelay.freshness.session_affinity import Known, Pin
-from vanerelay.interface import MILLISECOND, SECOND, EngineState, EngineStatus, Outcome
-from vanerelay.net.buffers import BLOCK
-from vanerelay.net.statements import named, writes
-
-LOOK = 100 * MILLISECOND  # between looks at how engines stand
-TRIES = 3  # at a session that others move at the same time
-AWAY = (Outcome.NO_CONNECTION, Outcome.RESET, Outcome.TIMED_OUT)  # of a session's copy: another is found
-
-log = structlog.get_logger()
+from vanerelay.extension import ConstrainedQuery, QueryInfo
+from vanerelay.freshness import eligibility
+from vanerelay.freshness.constraint import FreshnessConstraint
+from vanerelay.freshness.hints import Hint
+from vanerelay.freshness.replication_positions import Position
+from vanerelay.freshness.session_affinity import LoadEnd, SessionRecord, SessionState
+from vanerelay.interface import MILLISECOND, Outcome
 
+if TYPE_CHECKING:
+    from vanerelay.freshness.constraint_router import ConstraintRouter
+    from vanerelay.freshness.record_service import StoreResult
 
-class Leading:
-    """All batches that are led at one manager."""
-
-    def __init__(self, host: ExtensionHost, freshness: Freshness, chance: random.Random) -> None:
-        self.host, self.freshness, self._chance = host, freshness, chance
-        self.waiting, self.led = set[_Led](), set[_Led]()
-        self._there, self._names = dict[str, EngineStatus](), dict[int, str]()
-        self._looked = -LOOK
-        freshness.moved = self.moved
-
-    def guide(self, want: QueryInfo) -> QueryConstraint | str | None:
-        """Raises nothing: a hint that can't be read is told in one line."""
-        statement = want.statement
-        try:
-            hint = hints.read(statement)
-        except BadHint as fault:
-            return f"hint: {fault}"
-        if hint is None:
-            led = self.freshness.parts.to or self.freshness.parts.lead_loads
-            if not led or not writes(statement[:BLOCK].encode()):
-                return None
-            written, _ = named(statement[:BLOCK])
-            return Loading(self, want, written) if written else None
-        if len(statement) > BLOCK:
-            return f"hint: a statement of {len(statement)} characters, expected {BLOCK} at most with a hint"
-        written, read = named(statement)
-        if written:
-            return "hint: in a load, expected in a read"
-        groups = tuple(dict.fromkeys(read))
-        return Reading(self, want, hint, groups) if groups else "hint: the statement names no table group"
-
-    def moved(self) -> None:
-        """News have come: for those that nobody could serve so far."""
-        for one in list(self.waiting):
-            one.look()
-
-    def turn(self) -> None:
-        """For those that stand in the line: others may serve them as well by now."""
-        for one in list(self.led):
-            if not one.out:
-                one.look()
-
-    # How engines stand.
-
-    def there(self) -> Mapping[str, EngineStatus]:
-        """Engines that may be sent something, by name."""
-        now = self.freshness.clock()
-        if now - self._looked >= LOOK:
-            found = [one for one in self.host.gateway.engine_statuses() if one.entry.state is EngineState.UP]
-            self._there = {one.entry.name: one for one in found}
-            self._names |= {one.entry.index: one.entry.name for one in found}
-            if len(self._names) > 2 * len(found) + len(self.led):
-                self._names = {one.entry.index: one.entry.name for one in found}
-            self._looked = now
-        return self._there
-
-    def again(self) -> None:
-        """The list has changed."""
-        self._looked = -LOOK
-
-    def name(self, engine: int) -> str:
-        self.there()
-        return self._names.get(engine, "")
-
-    def draw(self, engines: Sequence[str]) -> str:
-        """A session's copy: by room, as sessions stay for a while."""
-        there = self.there()
-        weights = [
-            max(1e-3, there[name].health * there[name].ramp_share) * there[name].cores for name in engines
-        ]
-        return self._chance.choices(engines, weights)[0]
-
-    def sound(self, engine: str) -> bool:
-        return self.there()[engine].usable
-
-    @property
-    def soon(self) -> int:
-        """When news will have come."""
-        watch = self.freshness.parts.watch
-        return watch.every + watch.hear
+MAX_STORE_ATTEMPTS = 3
+"""Attempts to store a session that other gateways move at the same time."""
 
+LOST_OUTCOMES = frozenset({Outcome.NO_CONNECTION, Outcome.RESET, Outcome.TIMED_OUT})
+"""Outcomes after which a session leaves its engine."""
 
-class _Led(QueryConstraint):
-    """One batch; `out`: a dispatch of it has gone out."""
+POSITION_FIELD = "at"
+"""The field of the client's answer that names the position it was read at."""
 
-    def __init__(self, leading: Leading, want: QueryInfo) -> None:
-        self._leading, self._want = leading, want
-        self.came, self.out, self.ended = leading.freshness.clock(), False, False
-        self._timer: Any = None
-        self._among: frozenset[str] | None = None  # as the module was told last
+AGE_FIELD = "age"
+"""The field that says, in milliseconds, how old an answer that the hint allows may be."""
 
-    def start(self, lead: ConstrainedQuery) -> None:
-        self._lead = lead
-        self._leading.waiting.add(self)
-        wait = max(1, min(self._want.latency_objective, self._want.time_left)) / SECOND
-        self._timer = self._leading.host.reactor.callLater(wait, self._late)
+SESSION_FIELD = "pin"
+"""The field that says what became of the session."""
 
-    def look(self) -> None:
-        """Whether somebody may serve it now."""
+UNKNOWN_AGE = "unknown"
 
-    def _late(self) -> None:
-        """The goal is over, and nobody could serve it."""
-        if self in self._leading.waiting:
-            self._refuse()
-
-    def _refuse(self) -> None:
-        self._lead.reject(self._leading.soon)
-
-    def _go(self, engines: frozenset[str] | None) -> None:
-        if self.ended:
-            return
-        there, self._among = self._leading.there(), engines
-        self._leading.waiting.discard(self)
-        self._leading.led.add(self)
-        self._lead.restrict_to(
-            None
-            if engines is None
-            else frozenset(there[name].entry.index for name in engines if name in there)
-        )
+log = structlog.get_logger()
 
-    def attempt_sent(self, engine: int) -> None:
-        self.out = True
 
-    def finished(self) -> None:
-        self.ended = True
-        self._leading.waiting.discard(self)
-        self._leading.led.discard(self)
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+class SessionOutcome(Enum):
+    """What became of a read's session; the values go to clients."""
+
+    NEW = "new"
+    KEPT = "kept"
+    MOVED = "moved"
+    LOST = "lost"
+
+
+@dataclass(frozen=True, slots=True)
+class _SentState:
+    """What an engine was known to hold as an attempt went out to it.
+
+    Attributes:
+        position: Its replica's position.
+        satisfied: Whether it was chosen as one that holds what is required.
+        eligible: Whether it still was to be chosen.
+    """
+
+    position: Position | None
+    satisfied: bool
+    eligible: bool
+
+
+_NOT_SENT = _SentState(None, satisfied=True, eligible=False)
+
+
+@dataclass(frozen=True, slots=True)
+class _Answer:
+    """The answer that came last."""
+
+    engine: str = ""
+    position: Position | None = None
+    satisfied: bool = True
+
+
+class ReadConstraint(FreshnessConstraint):
+    """The constraint of a read with a hint."""
+
+    def __init__(
+        self, router: ConstraintRouter, info: QueryInfo, hint: Hint, table_groups: tuple[int, ...]
+    ) -> None:
+        super().__init__(router, info)
+        self._hint = hint
+        self._table_groups = table_groups
+        self._required = eligibility.requirement(hint, table_groups, self.received_at)
+        self._chosen_by = self._required  # the requirement by which engines were chosen last
+        self._satisfied = True  # whether those engines hold it, or stand in for ones that do
+        self._excluded = set[str]()  # engines that this query goes to no more
+        self._sent = dict[str, _SentState]()  # by engine
+        self._answer = _Answer()
+        self._lookups_done = False
+        self._session_name = f"{hint.session}/{table_groups[0]}"
+        self._session: SessionRecord | None = None
+        self._session_lost = False
+        self._session_outcome: SessionOutcome | None = None
+        self._storing_session = False
+        self._store_attempts = 0
+
+    # What the read depends on.
+
+    def start(self, query: ConstrainedQuery) -> None:
+        """The read is held until the load and the session that it names are looked up, and engines known."""
+        super().start(query)
+        hint, records = self._hint, self._router.service.records
+        lookups = list[Deferred[Any]]()
+        if hint.after_load:
+            lookups.append(records.lookup_load_end(hint.after_load).addCallback(self._load_found))
+        if hint.session:
+            session = records.lookup_session(self._session_name, hint.session_lifetime)
+            lookups.append(session.addCallback(self._session_found))
+        if all(lookup.called for lookup in lookups):
+            self._begin(None)
+        else:
+            DeferredList(lookups).addCallback(self._begin)
 
+    def _load_found(self, end: LoadEnd | None) -> None:
+        """Where the load ended; None: nobody says, and the source alone surely holds it."""
+        if end is None:
+            self._required = eligibility.requirement(
+                self._hint, self._table_groups, self.received_at, source_only=True
+            )
+        elif end.table_group in self._table_groups:
+            self._required = eligibility.after_load(self._required, end.table_group, end.position)
 
-class Loading(_Led):
-    """A load: it goes to the source of what it writes, and where it ended is remembered."""
+    def _session_found(self, state: SessionState) -> None:
+        self._session, self._session_lost = state.record, state.lost
 
-    def __init__(self, leading: Leading, want: QueryInfo, groups: Sequence[int]) -> None:
-        super().__init__(leading, want)
-        self._group = groups[0]
+    def _begin(self, _: object) -> None:
+        self._lookups_done = True
+        self.reconsider()
 
-    def start(self, lead: ConstrainedQuery) -> None:
-        super().start(lead)
-        self.look()
+    # Who may serve it.
 
-    def look(self) -> None:
-        freshness = self._leading.freshness
-        if not freshness.parts.lead_loads or freshness.whole and not freshness.positions.holders(self._group):
-            self._go(None)  # nobody tells of copies of this group
+    def reconsider(self) -> None:
+        """Chooses engines by what is known now."""
+        if not self._lookups_done or self._storing_session or self.is_finished:
             return
-        source = freshness.positions.source(self._group)
-        if source is not None and source in self._leading.there():
-            self._go(frozenset({source}))
-
-    def accepts_answer(self, engine: int, told: Mapping[str, str]) -> bool:
-        freshness = self._leading.freshness
-        point = Point.read(told.get(freshness.parts.to, "")) if freshness.parts.to else None
-        if point is not None:
-            freshness.ended(self._want.reference, self._group, point)
+        available = self._router.engines.available().keys() - self._excluded
+        if self._hint.session:
+            if not self._keep_session(available):
+                self._move_session(available)
+            return
+        choice = self._choose(self._required, available)
+        self._satisfied, self._chosen_by = choice.satisfied, self._required
+        self._apply(choice)
+
+    def _choose(self, required: eligibility.ReadRequirement, available: set[str]) -> eligibility.EngineChoice:
+        positions = self._router.service.positions
+        return eligibility.choose_engines(positions, required, self._hint.fallback, available)
+
+    def _apply(self, choice: eligibility.EngineChoice) -> None:
+        if choice.rejected:
+            self._reject()
+        elif choice.engines:
+            self._restrict_to(choice.engines)
+
+    def _keep_session(self, available: set[str]) -> bool:
+        """Reads at the session's engine, where that can serve the read."""
+        session = self._session
+        if session is None or self._session_lost or session.engine not in available:
+            return False
+        if not self._router.engines.is_usable(session.engine):
+            return False
+        required = eligibility.after_session(self._required, session.seen)
+        if not eligibility.satisfies(self._router.service.positions, session.engine, required):
+            return False
+        self._session_outcome = self._session_outcome or SessionOutcome.KEPT
+        self._satisfied, self._chosen_by = True, required
+        self._restrict_to(frozenset({session.engine}))
         return True
 
-
-class Reading(_Led):
-    """A read with a hint. What it has to hold is fixed when it comes; where it may go is looked at anew."""
-
-    def __init__(self, leading: Leading, want: QueryInfo, hint: Hint, groups: tuple[int, ...]) -> None:
-        super().__init__(leading, want)
-        self._hint, self._groups = hint, groups
-        self._needs = eligibility.needs(hint, groups, self.came)
-        self._session = f"{hint.pin}/{groups[0]}"
-        self._pin: Pin | None = None
-        self._lost, self._word, self._tries, self._putting = False, "", 0, False
-        self._away = set[str]()  # engines that this batch goes to no more
-        self._met = True
-        self._asked = self._needs  # by which those that may serve it were chosen
-        # What engines were known to hold as it was sent there, whether that stood for what is asked, and
-        # whether it was so still.
-        self._held = dict[str, tuple[Point | None, bool, bool]]()
-        self._engine, self._point = "", None  # type: str, Point | None
-        self._answered = True  # whether what was answered holds what is asked
-        self._known = False
-
-    def start(self, lead: ConstrainedQuery) -> None:
-        super().start(lead)
-        hint, freshness = self._hint, self._leading.freshness
-        asked = list[Deferred[Any]]()
-        if hint.after:
-            asked.append(freshness.load(hint.after).addCallback(self._loaded))
-        if hint.pin:
-            asked.append(freshness.session(self._session, hint.lasts).addCallback(self._found))
-        if all(one.called for one in asked):
-            self._begin(None)
-        else:
-            DeferredList(asked).addCallback(self._begin)
-
-    def _loaded(self, ended: tuple[int, Point] | None) -> None:
-        """Where the load that it follows has ended; None: nobody says, and the source alone surely has it."""
-        if ended is None:
-            self._needs = eligibility.needs(self._hint, self._groups, self.came, unknown=True)
-        elif ended[0] in self._groups:
-            self._needs = eligibility.follows(self._needs, *ended)
-
-    def _found(self, known: Known) -> None:
-        self._pin, self._lost = known.pin, known.lost
-
-    def _begin(self, _: Any) -> None:
-        self._known = True
-        self.look()
-
-    def look(self) -> None:
-        if not self._known or self._putting or self.ended:
+    def _move_session(self, available: set[str]) -> None:
+        """Begins the session at an engine, or moves it there, once the gateways that store it know."""
+        session = self._session
+        moves = session is not None or self._session_lost
+        required = eligibility.strict(self._required, self.received_at) if moves else self._required
+        choice = self._choose(required, available)
+        if not choice.engines or choice.rejected:
+            self._apply(choice)
             return
-        there = self._leading.there().keys() - self._away
-        if self._hint.pin:
-            self._look_at_session(there)
-            return
-        choice = eligibility.choose(
-            self._leading.freshness.positions, self._needs, self._hint.otherwise, there
+        usable = sorted(name for name in choice.engines if self._router.engines.is_usable(name))
+        engine = self._router.engines.draw(usable or sorted(choice.engines))
+        moved = SessionRecord(engine)
+        if session is not None:
+            moved = SessionRecord(engine, session.version + 1, session.seen)
+        outcome = self._move_outcome(choice.satisfied)
+        self._storing_session, self._chosen_by = True, required
+        if self.attempted:  # it goes on at once; its answer counts once the move is settled
+            self._satisfied, self._session_outcome = choice.satisfied, outcome
+            self._restrict_to(frozenset({engine}))
+        stored = self._router.service.records.store_session(
+            self._session_name, self._hint.session_lifetime, moved
         )
-        self._met, self._asked = choice.met, self._needs
-        self._take(choice, choice.engines)
-
-    def _take(self, choice: Choice, engines: frozenset[str]) -> None:
-        if choice.refused:
-            self._refuse()
-        elif engines:
-            self._go(engines)
-
-    def _look_at_session(self, there: set[str]) -> None:
-        """Its copy as long as that can serve it; else another, once keepers know."""
-        positions, pin = self._leading.freshness.positions, self._pin
-        if pin is not None and not self._lost and pin.engine in there and self._leading.sound(pin.engine):
-            floored = eligibility.floored(self._needs, pin.seen)
-            if eligibility.serves(positions, pin.engine, floored):
-                self._word, self._met, self._asked = self._word or "kept", True, floored
-                self._go(frozenset({pin.engine}))
-                return
-        moves = pin is not None or self._lost
-        asked = eligibility.strict(self._needs, self.came) if moves else self._needs
-        choice = eligibility.choose(positions, asked, self._hint.otherwise, there)
-        if not choice.engines or choice.refused:
-            self._take(choice, choice.engines)
-            return
-        sound = sorted(name for name in choice.engines if self._leading.sound(name))
-        engine = self._leading.draw(sound or sorted(choice.engines))
-        new = Pin(engine, pin.version + 1 if pin is not None else 1, pin.seen if pin is not None else None)
-        word = "lost" if self._lost or not choice.met else "moved" if pin is not None else "new"
-        self._putting, self._asked = True, asked
-        if self.out:  # it goes on at once; its answer counts once the move is settled
-            self._met, self._word = choice.met, word
-            self._go(frozenset({engine}))
-        put = self._leading.freshness.put_session(self._session, self._hint.lasts, new)
-        put.addCallback(self._put, new, word, choice.met)
-
-    def _put(self, told: tuple[bool, Pin | None], new: Pin, word: str, met: bool) -> None:
-        settled, other = told
-        self._putting, self._tries = False, self._tries + 1
-        if self.ended:
+        stored.addCallback(self._session_stored, moved, outcome, choice.satisfied)
+
+    def _move_outcome(self, satisfied: bool) -> SessionOutcome:
+        if self._session_lost or not satisfied:
+            return SessionOutcome.LOST
+        return SessionOutcome.MOVED if self._session is not None else SessionOutcome.NEW
+
+    def _session_stored(
+        self, result: StoreResult, record: SessionRecord, outcome: SessionOutcome, satisfied: bool
+    ) -> None:
+        self._storing_session = False
+        self._store_attempts += 1
+        if self.is_finished:
             return
-        if not settled and other is not None and self._tries < TRIES:
-            self._pin, self._lost = other, False
-            self.look()
+        retries = self._store_attempts < MAX_STORE_ATTEMPTS
+        if not result.settled and result.other is not None and retries:
+            self._session, self._session_lost = result.other, False
+            self.reconsider()
             return
-        self._pin, self._lost, self._met = new, False, met
-        self._word = word if settled else "lost"
-        self._go(frozenset({new.engine}))
+        self._session, self._session_lost, self._satisfied = record, False, satisfied
+        self._session_outcome = outcome if result.settled else SessionOutcome.LOST
+        self._restrict_to(frozenset({record.engine}))
+
+    # Attempts and answers.
 
     def attempt_sent(self, engine: int) -> None:
+        """Notes what the engine is known to hold."""
         super().attempt_sent(engine)
-        name = self._leading.name(engine)
-        positions = self._leading.freshness.positions
-        still = not self._met or eligibility.serves(positions, name, self._asked)
-        self._held[name] = positions.point(name, self._groups[0]), self._met, still
-
-    def accepts_answer(self, engine: int, told: Mapping[str, str]) -> bool:
-        """Whether the engine had what we took it to have, as it says itself: it may have gone back since."""
-        freshness, name = self._leading.freshness, self._leading.name(engine)
-        word = freshness.parts.at
-        known, met, still = self._held.get(name, (None, True, False))
-        if self._putting or name in self._away or not still:
-            self.look()
+        name = self._router.engines.name(engine)
+        positions = self._router.service.positions
+        eligible = not self._satisfied or eligibility.satisfies(positions, name, self._chosen_by)
+        position = positions.position(name, self._table_groups[0])
+        self._sent[name] = _SentState(position, self._satisfied, eligible)
+
+    def accepts_answer(self, engine: int, fields: Mapping[str, str]) -> bool:
+        """Whether the engine had what it was known to, by its own answer: it may have been restored since."""
+        name, position_field = self._router.engines.name(engine), self._position_field
+        sent = self._sent.get(name, _NOT_SENT)
+        if self._storing_session or name in self._excluded or not sent.eligible:
+            self.reconsider()
             return False
-        point = Point.read(told.get(word, "")) if word else None
-        self._engine, self._point, self._answered = name, point, met
-        seen = self._pin.seen if self._pin is not None else None
-        if word and met and not eligibility.held(point, known, self._needs, seen):
-            log.warning("a copy holds less than it had", engine=name, group=self._groups[0], at=str(point))
-            freshness.positions.doubt(name, self._groups[0], freshness.clock())
-            self._gone(name)
+        position = Position.parse(fields.get(position_field, "")) if position_field else None
+        self._answer = _Answer(name, position, sent.satisfied)
+        if position_field and sent.satisfied and not self._holds_required(position, sent):
+            self._distrust(name, position)
             return False
-        if self._pin is not None and point is not None:
-            seen = max(point, self._pin.seen) if self._pin.seen is not None else point
-            freshness.put_session(
-                self._session, self._hint.lasts, Pin(self._pin.engine, self._pin.version, seen)
-            )
+        if self._session is not None and position is not None:
+            self._store_seen(self._session, position)
         return True
 
+    @property
+    def _position_field(self) -> str:
+        return self._router.service.config.position_field
+
+    def _holds_required(self, position: Position | None, sent: _SentState) -> bool:
+        seen = self._session.seen if self._session is not None else None
+        return eligibility.answer_satisfies(position, sent.position, self._required, seen)
+
+    def _distrust(self, engine: str, position: Position | None) -> None:
+        service, group = self._router.service, self._table_groups[0]
+        log.warning(
+            "replica holds less than reported", engine=engine, table_group=group, position=str(position)
+        )
+        service.positions.distrust(engine, group, service.clock())
+        self._exclude(engine)
+
+    def _store_seen(self, session: SessionRecord, position: Position) -> None:
+        seen = max(position, session.seen) if session.seen is not None else position
+        record = SessionRecord(session.engine, session.version, seen)
+        self._router.service.records.store_session(self._session_name, self._hint.session_lifetime, record)
+
     def attempt_failed(self, engine: int, outcome: Outcome) -> None:
-        """Another dispatch may follow: among those that may serve it now, not as it came."""
-        if self._hint.pin and outcome in AWAY:
-            self._gone(self._leading.name(engine))
+        """A retry may follow: among the engines that may serve the read now, not as it was received."""
+        if self._hint.session and outcome in LOST_OUTCOMES:
+            self._exclude(self._router.engines.name(engine))
         else:
-            self.look()
+            self.reconsider()
 
-    def _gone(self, name: str) -> None:
-        """It goes elsewhere, where further dispatches are allowed."""
-        self._away.add(name)
-        self.look()
-        if self._among is not None and name in self._among:
-            self._go(self._among - {name})
+    def _exclude(self, engine: str) -> None:
+        """The query goes elsewhere, where retries are allowed."""
+        self._excluded.add(engine)
+        self.reconsider()
+        if self._restricted_to is not None and engine in self._restricted_to:
+            self._restrict_to(self._restricted_to - {engine})
 
     def answer_fields(self) -> dict[str, str]:
-        found = dict[str, str]()
-        if self._point is not None:
-            found["at"] = str(self._point)
-        if not self._answered:
-            freshness = self._leading.freshness
-            until = eligibility.bound(freshness.positions, self._engine, self._groups)
-            age = None if until is None else max(0, freshness.clock() - until) // MILLISECOND
-            found["age"] = "unknown" if age is None else str(age)
-        if self._word:
-            found["pin"] = self._word
-        return found
+        """What the client is told of the answer's freshness and session."""
+        fields = dict[str, str]()
+        if self._answer.position is not None:
+            fields[POSITION_FIELD] = str(self._answer.position)
+        if not self._answer.satisfied:
+            fields[AGE_FIELD] = self._answer_age()
+        if self._session_outcome is not None:
+            fields[SESSION_FIELD] = self._session_outcome.value
+        return fields
+
+    def _answer_age(self) -> str:
+        service = self._router.service
+        until = eligibility.complete_until(service.positions, self._answer.engine, self._table_groups)
+        if until is None:
+            return UNKNOWN_AGE
+        return str(max(0, service.clock() - until) // MILLISECOND)
--- a/vanerelay/freshness/session_affinity.py
+++ b/vanerelay/freshness/session_affinity.py
@@ -1,11 +1,14 @@
-"""Sessions that read from one copy and never go back in time, whichever manager they come by. Pure.
+"""Sessions that read from one replica and never go back in time, whichever gateway they come by. Pure.
 
-Three keepers for each session, the same for all managers: rendezvous over the managers that operators name,
-not over those that seem alive, so that two managers that see the fleet differently still meet at one of
-three. A session is known where two answer; what was put at two is found by whoever asks two.
+Three gateways store each session, the same for all gateways: rendezvous hashing over the gateways that
+operators name, not over those that seem alive, so that two gateways that see the fleet differently still
+meet at one of three. A session is known where two of them answer; what was stored at two is found by
+whoever asks two.
 
-A session keeps its copy, so it goes forward as the copy does. Another copy, or a session that nobody knows
-any more, first has to hold all there was when the read came: no less than anything it saw before."""
+A session keeps its replica, so it goes forward as the replica does. Another replica, or a session that
+nobody knows any more, first has to hold all there was when the read was received: no less than anything
+it saw before.
+"""
 
 from __future__ import annotations
 
@@ -13,129 +16,166 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
 
-from vanerelay.freshness.replication_positions import Point
+from vanerelay.freshness.replication_positions import Position
 from vanerelay.interface import Duration
 from vanerelay.leases.assignment import Candidate, ranked
 
-KEEPERS = 3
+COPIES = 3
+"""Gateways that store a session, or where a load ended: one may be lost."""
 
 
-def keepers(name: str, managers: Iterable[str]) -> tuple[str, ...]:
-    """Who remembers a session, or where a load ended; the first of them the owner, the others its
-    successors."""
-    return tuple(ranked(name, [Candidate(one) for one in managers])[:KEEPERS])
+def storing_gateways(name: str, gateways: Iterable[str]) -> tuple[str, ...]:
+    """The gateways that store a session, or where a load ended, by its name or reference."""
+    return tuple(ranked(name, [Candidate(one) for one in gateways])[:COPIES])
 
 
-def enough(asked: int) -> int:
-    """Of so many keepers: a majority."""
-    return asked // 2 + 1
+def majority(count: int) -> int:
+    """The least number that is more than half."""
+    return count // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
-class Pin:
-    """A session's copy, `version` of how often it has moved, and the highest point that it was seen at."""
+class SessionRecord:
+    """What is stored of a session.
+
+    Attributes:
+        engine: The engine whose replica it reads.
+        version: How often it has moved, from 1.
+        seen: The highest position that it has read at.
+    """
 
     engine: str
     version: int = 1
-    seen: Point | None = None
+    seen: Position | None = None
+
+    def same_placement(self, other: SessionRecord) -> bool:
+        """Whether both name the same engine as of the same move."""
+        return (self.engine, self.version) == (other.engine, other.version)
 
-    def merged(self, other: Pin) -> Pin:
-        """The later of two; what was seen is the higher, wherever it was told."""
+    def merged(self, other: SessionRecord) -> SessionRecord:
+        """The later of two, with the higher of what both have seen."""
         later = max(self, other, key=lambda one: (one.version, one.engine))
-        told = [one.seen for one in (self, other) if one.seen is not None]
-        return replace(later, seen=max(told, default=None))
+        positions = [one.seen for one in (self, other) if one.seen is not None]
+        return replace(later, seen=max(positions, default=None))
 
 
-@dataclass(slots=True)
-class Kept:
-    pin: Pin
-    until: int
+@dataclass(frozen=True, slots=True)
+class SessionLookup:
+    """What one gateway answers of a session; `certain`: whether it would surely know of one."""
+
+    record: SessionRecord | None
+    certain: bool
 
 
 @dataclass(slots=True)
-class Keeper:
-    """What one manager remembers for others. `since`: when it began to, as who has just started may have
-    forgotten; `most`: that are remembered, the longest unused goes; `longest`: for how long at most."""
+class _StoredSession:
+    record: SessionRecord
+    expires_at: int
 
-    since: int
-    most: int
-    longest: Duration
-    forgot: int = -1  # when one was let go of before its time
-    _kept: OrderedDict[str, Kept] = field(default_factory=OrderedDict)
+
+@dataclass(slots=True)
+class SessionStore:
+    """The sessions that one gateway stores for all.
+
+    Attributes:
+        started_at: When it began to: a gateway that has just started may have forgotten.
+        max_sessions: Sessions that are stored; above it the longest unused goes.
+        max_lifetime: How long a session is stored after its last read, at most.
+        evicted_at: When one was last dropped before its time.
+    """
+
+    started_at: int
+    max_sessions: int
+    max_lifetime: Duration
+    evicted_at: int = -1
+    _sessions: OrderedDict[str, _StoredSession] = field(default_factory=OrderedDict)
 
     def __len__(self) -> int:
-        return len(self._kept)
-
-    def ask(self, now: int, name: str, lasts: Duration) -> tuple[Pin | None, bool]:
-        """The session, remembered for so long from now, and whether we would surely know of one."""
-        kept = self._kept.get(name)
-        if kept is not None and kept.until > now:
-            kept.until = max(kept.until, now + min(lasts, self.longest))
-            self._kept.move_to_end(name)
-            return kept.pin, True
-        return None, now - max(self.since, self.forgot) > self.longest
-
-    def put(self, now: int, name: str, pin: Pin, lasts: Duration) -> Pin:
-        """What is remembered then: another's where that was first, or has moved since."""
-        kept = self._kept.get(name)
-        held = kept.pin if kept is not None and kept.until > now else None
-        found = pin
-        if held is not None and (held.version, held.engine) != (pin.version, pin.engine):
-            if pin.version > held.version:
-                found = held.merged(pin)
-            else:
-                found = replace(held, seen=held.merged(pin).seen)
-        elif held is not None:
-            found = held.merged(pin)
-        until = max(now + min(lasts, self.longest), kept.until if kept is not None else 0)
-        self._kept[name] = Kept(found, until)
-        self._kept.move_to_end(name)
-        while len(self._kept) > self.most:
-            _, oldest = self._kept.popitem(last=False)
-            if oldest.until > now:
-                self.forgot = now
-        return found
+        return len(self._sessions)
+
+    def lookup(self, now: int, name: str, lifetime: Duration) -> SessionLookup:
+        """The session, stored for its lifetime from now."""
+        stored = self._sessions.get(name)
+        if stored is not None and stored.expires_at > now:
+            stored.expires_at = max(stored.expires_at, now + min(lifetime, self.max_lifetime))
+            self._sessions.move_to_end(name)
+            return SessionLookup(stored.record, certain=True)
+        remembers_since = max(self.started_at, self.evicted_at)
+        return SessionLookup(None, certain=now - remembers_since > self.max_lifetime)
+
+    def store(self, now: int, name: str, record: SessionRecord, lifetime: Duration) -> SessionRecord:
+        """Stores a session; returns what is stored then: another record if that was first or moved since."""
+        stored = self._sessions.get(name)
+        current = stored.record if stored is not None and stored.expires_at > now else None
+        result = _resolve(current, record)
+        expires_at = max(
+            now + min(lifetime, self.max_lifetime), stored.expires_at if stored is not None else 0
+        )
+        self._sessions[name] = _StoredSession(result, expires_at)
+        self._sessions.move_to_end(name)
+        while len(self._sessions) > self.max_sessions:
+            _, oldest = self._sessions.popitem(last=False)
+            if oldest.expires_at > now:
+                self.evicted_at = now
+        return result
+
+
+def _resolve(current: SessionRecord | None, offered: SessionRecord) -> SessionRecord:
+    """What is stored once a record is offered beside the current one."""
+    if current is None:
+        return offered
+    if current.same_placement(offered) or offered.version > current.version:
+        return current.merged(offered)
+    return replace(current, seen=current.merged(offered).seen)
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """What a session is, as enough keepers say: `pin` None: none so far; `lost`: nobody can tell."""
+class SessionState:
+    """What a session is, as enough gateways say; `lost`: nobody can tell."""
 
-    pin: Pin | None
+    record: SessionRecord | None
     lost: bool
 
 
-def known(asked: int, answers: Sequence[tuple[Pin | None, bool]]) -> Known:
-    """`answers`: of keepers that answered in time, out of `asked`."""
-    told = [pin for pin, _ in answers if pin is not None]
-    found = told[0] if told else None
-    for one in told[1:]:
-        assert found is not None
-        found = found.merged(one)
-    sure = sum(1 for pin, surely in answers if surely or pin is not None)
-    if len(answers) < enough(asked):
-        return Known(found, True)
-    return Known(found, found is None and sure < enough(asked))
+def combine_lookups(asked: int, lookups: Sequence[SessionLookup]) -> SessionState:
+    """The session, by the gateways that answered in time, of so many that were asked."""
+    record: SessionRecord | None = None
+    for lookup in lookups:
+        if lookup.record is not None:
+            record = lookup.record if record is None else record.merged(lookup.record)
+    if len(lookups) < majority(asked):
+        return SessionState(record, lost=True)
+    certain = sum(1 for lookup in lookups if lookup.certain or lookup.record is not None)
+    return SessionState(record, lost=record is None and certain < majority(asked))
+
+
+def is_settled(asked: int, wanted: SessionRecord, stored: Iterable[SessionRecord]) -> bool:
+    """Whether a majority of the gateways stores the session as wanted."""
+    return sum(1 for record in stored if record.same_placement(wanted)) >= majority(asked)
 
 
-def settled(asked: int, wanted: Pin, answers: Iterable[Pin]) -> bool:
-    """Whether a majority of keepers remembers the pin as wanted."""
-    same = [one for one in answers if (one.engine, one.version) == (wanted.engine, wanted.version)]
-    return len(same) >= enough(asked)
+@dataclass(frozen=True, slots=True)
+class LoadEnd:
+    """Where a load of a table group ended."""
+
+    table_group: int
+    position: Position
 
 
 @dataclass(slots=True)
-class Loads:
+class LoadEnds:
     """Where loads ended, by their references; bounded, the oldest goes."""
 
-    most: int
-    _ended: OrderedDict[str, tuple[int, Point]] = field(default_factory=OrderedDict)
+    max_loads: int
+    _ends: OrderedDict[str, LoadEnd] = field(default_factory=OrderedDict)
 
-    def put(self, ref: str, group: int, point: Point) -> None:
-        self._ended[ref] = group, point
-        self._ended.move_to_end(ref)
-        while len(self._ended) > self.most:
-            self._ended.popitem(last=False)
+    def store(self, reference: str, end: LoadEnd) -> None:
+        """A load has ended."""
+        self._ends[reference] = end
+        self._ends.move_to_end(reference)
+        while len(self._ends) > self.max_loads:
+            self._ends.popitem(last=False)
 
-    def get(self, ref: str) -> tuple[int, Point] | None:
-        return self._ended.get(ref)
+    def lookup(self, reference: str) -> LoadEnd | None:
+        """Where a load ended; None where that is not known."""
+        return self._ends.get(reference)
--- a/vanerelay/warming/extension.py
+++ b/vanerelay/warming/extension.py
@@ -45,7 +45,7 @@
         self._host.reactor.callWhenRunning(self._hands.turn)
 
     def _holders(self, group: int) -> Sequence[str]:
-        return self._freshness.freshness.positions.holders(group) if self._freshness is not None else ()
+        return self._freshness.service.positions.replicas(group) if self._freshness is not None else ()
 
     def engine_ran(self, ran: EngineRun) -> None:
         name = self._names.get(ran.engine)
