--- a/vanerelay/freshness/dissemination.py
+++ b/vanerelay/freshness/dissemination.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence
 
-from vanerelay.leases.assignment import RANKS
+from vanerelay.leases.assignment import WATCHERS_PER_TASK
 
 FAN_OUT = 8
 """Gateways that ask one parent: a tree of four levels serves over 500 gateways."""
@@ -23,12 +23,14 @@
         holder: The shard's watcher, as far as known.
         failures: Requests in a row that brought nothing.
     """
-    candidates = [name for name in dict.fromkeys((holder, *order[:RANKS])) if name and name != own]
-    place = order.index(own) if own in order else RANKS
-    if place >= RANKS:
+    candidates = [
+        name for name in dict.fromkeys((holder, *order[:WATCHERS_PER_TASK])) if name and name != own
+    ]
+    place = order.index(own) if own in order else WATCHERS_PER_TASK
+    if place >= WATCHERS_PER_TASK:
         ancestors = list[str]()
-        while place >= RANKS:
-            place = (place - RANKS) // FAN_OUT
+        while place >= WATCHERS_PER_TASK:
+            place = (place - WATCHERS_PER_TASK) // FAN_OUT
             ancestors.append(order[place])
         candidates = list(dict.fromkeys((*ancestors, *candidates)))
     return candidates[failures % len(candidates)] if candidates else None
--- a/vanerelay/freshness/extension.py
+++ b/vanerelay/freshness/extension.py
@@ -67,7 +67,7 @@
         for number, shard in enumerate(self.service.shards):
             watcher = ShardWatcher(self.service.name, shard, self.service.notify)
             self._runners.append(MaintenanceRunner(host, leases, task, number, watcher, may_be_polled))
-        self.service.leases_of_shards = [runner.hold for runner in self._runners]
+        self.service.leases_of_shards = [runner.holder for runner in self._runners]
         self._opened = True
 
     def loop_starting(self) -> None:
--- a/vanerelay/freshness/service.py
+++ b/vanerelay/freshness/service.py
@@ -46,7 +46,7 @@
         self.config = config
         self.name = fleet.name
         self.clock = leases.clock
-        self._max_drift = leases.parts.terms.drift
+        self._max_drift = leases.config.terms.clock_drift
         self.positions = ReplicationPositions()
         self.shards = [ShardState(self.positions) for _ in range(config.watch.shards)]
         self.leases_of_shards = list[LeaseHolder]()
@@ -86,7 +86,7 @@
         now = self.clock()
         for shard, lease in zip(self.shards, self.leases_of_shards, strict=True):
             for engine in engines:
-                if lease.may(now) and engine in shard.polled_at:
+                if lease.may_act(now) and engine in shard.polled_at:
                     shard.engine_gone(engine, now)
 
     # Updates.
@@ -97,7 +97,7 @@
         self._rank_gateways()
         now = self.clock()
         for number, lease in enumerate(self.leases_of_shards):
-            if not lease.may(now):
+            if not lease.may_act(now):
                 self._fetch(number)
             self._log_staleness(number, now)
 
--- a/vanerelay/freshness/shard_watcher.py
+++ b/vanerelay/freshness/shard_watcher.py
@@ -44,14 +44,14 @@
         self._partial = dict[str, _PartialReport]()  # by engine
         self._malformed = set[str]()  # engines whose last report could not be read, as was logged
 
-    def began(self, hold: LeaseHolder) -> None:
+    def acquired(self, holder: LeaseHolder) -> None:
         """The shard is ours."""
         self._partial.clear()
-        self._shard.take_over(hold.number, self._gateway)
+        self._shard.take_over(holder.token, self._gateway)
         self._on_change()
 
-    def heard(self, engine: str, at: int, end: AttemptEnd) -> str | None:
-        """An answer to a poll of time `at`; where the report goes on, if it does."""
+    def replied(self, engine: str, started_at: int, end: AttemptEnd) -> str | None:
+        """An answer to a poll of time `started_at`; where the report goes on, if it does."""
         states = None
         if end.cause is EndCause.OK:
             states = messages.parse_replica_rows(end.rows, MAX_ROWS_PER_ENGINE)
@@ -62,13 +62,13 @@
                 log.warning("malformed replica report", engine=engine)
             return None
         self._malformed.discard(engine)
-        if partial is not None and partial.polled_at == at:
+        if partial is not None and partial.polled_at == started_at:
             states = partial.states | states
         cursor = end.fields.get(CURSOR_FIELD, "")
         is_cursor = cursor.isdecimal() and 0 < len(cursor) <= MAX_CURSOR_DIGITS
         if is_cursor and len(states) < MAX_ROWS_PER_ENGINE:
-            self._partial[engine] = _PartialReport(at, states)
+            self._partial[engine] = _PartialReport(started_at, states)
             return cursor
-        self._shard.engine_polled(engine, at, states)
+        self._shard.engine_polled(engine, started_at, states)
         self._on_change()
         return None
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -22,8 +22,9 @@
 from vanerelay.estimation import stable_hash
 from vanerelay.extension import DiscoveryAnswerListener, Extension, ExtensionHost, ListListener, StartupError
 from vanerelay.interface import SECOND
+from vanerelay.net.accepting_port import is_transient
 from vanerelay.net.buffers import Pool
-from vanerelay.net.client_connection import ClientListener
+from vanerelay.net.client_listener import ClientListener
 from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.engine_connection import ConnectionSettings
 from vanerelay.net.engine_pool import EnginePool
@@ -31,9 +32,9 @@
 from vanerelay.net.extensions import guarded
 from vanerelay.net.gateway_service import GatewayService
 from vanerelay.net.held_queries import InternalQuery
-from vanerelay.net.listener import passes
 from vanerelay.net.peer_gossip import PeerGossip
-from vanerelay.policy.gateway import Gateway, Health
+from vanerelay.policy.gateway import Gateway
+from vanerelay.policy.outlier_detection import MIN_SILENCE, OVERDUE_FACTOR
 
 Join = Callable[[ExtensionHost], list[Extension]]
 
@@ -112,7 +113,7 @@
         pool = Pool()
         descriptors = int(told["limits"].get("sockets") or 1024)
         clients = max(1, descriptors // CLIENT_SHARE)
-        patience_s = Health.QUIET * Health.PATIENCE / SECOND
+        patience_s = MIN_SILENCE * OVERDUE_FACTOR / SECOND
         connections = ConnectionSettings(
             most_attempts=int(limits.get("multiplex") or 1),
             may_cancel=allowed.may_cancel,
@@ -137,7 +138,7 @@
             profile = part.initial_settings(profile)
         self.settings = profile
         self.service.join(self._parts)
-        self.service.open_gateway(self.seed, profile)
+        self.service.apply_settings(self.seed, profile)
         changed: ListListener = self.service.listed
         answered: DiscoveryAnswerListener | None = None
         for part in self._parts:
@@ -159,7 +160,7 @@
             self.service,
             pool,
             clients,
-            lambda: self.clients.number + engines.connections() + OWN < descriptors,
+            lambda: self.clients.descriptor_count + engines.connections() + OWN < descriptors,
             self.events,
         )
         self._engines, self._drained = engines, Deferred[None]()
@@ -202,7 +203,7 @@
         for number in (signal.SIGHUP, *TO_END):  # the interpreter takes handlers down, but not this
             signal.signal(number, signal.SIG_IGN)
         self.events.write_counts()
-        log.info("ended", broken=self.service.guard.told())
+        log.info("ended", broken=self.service.guard.violations())
         if self._wrong is not None:
             raise StartupError(self._wrong)
 
@@ -242,7 +243,7 @@
             self.reactor.callLater(LISTEN_AGAIN_S, self._listen_again, host, port)
 
     def _listen_again(self, host: str, port: int) -> None:
-        if self.service.ending:
+        if self.service.draining:
             return
         try:
             self._listen(host, port)
@@ -251,7 +252,7 @@
             self._terminate()
 
     def _may_listen_again(self, fault: CannotListenError) -> bool:
-        if not passes(fault) or self.reactor.seconds() >= self._listen_until:
+        if not is_transient(fault) or self.reactor.seconds() >= self._listen_until:
             return False
         log.warning("cannot listen yet", why=str(fault))
         return True
@@ -296,7 +297,9 @@
         # overload. With few it costs little, and a long day that never stands idle needs it: what a
         # connection leaves behind are cycles.
         short = gc.get_count()[0] > LITTLE and self._memory_short()
-        if gc.get_count()[0] > LITTLE and (self.service.open < FEW and not self._listing() or short):
+        if gc.get_count()[0] > LITTLE and (
+            self.service.queries.open_count < FEW and not self._listing() or short
+        ):
             if short and self._parts:
                 gc.unfreeze()  # what a large list was frozen with may have become garbage
             gc.collect()
@@ -320,7 +323,7 @@
     ) -> InternalQuery | None:
         self._owns += 1
         name = f"{stable_hash(self.name, self._owns):016x}"
-        return self.service.own(name, service_class, statement, engine, memory, max_duration)
+        return self.service.submit_internal(name, service_class, statement, engine, memory, max_duration)
 
     def apply_settings(self, settings: dict[str, Any]) -> str | None:
         try:
@@ -341,7 +344,7 @@
             why = why or part.settings_conflict(profile)
         if why is not None:
             return why
-        self.service.open_gateway(self.seed, profile)
+        self.service.apply_settings(self.seed, profile)
         self.settings = profile
         told: dict[str, Any] = {}
         for part in self._parts:
@@ -359,27 +362,35 @@
 
     def _drain(self) -> Deferred[None]:
         """SIGTERM: what was taken is answered, and connections may come for as long as the page says."""
-        log.info("draining", open=self.service.open)
-        self.service.ending = True
+        log.info("draining", open=self.service.queries.open_count)
+        self.service.draining = True
         self.reactor.callLater(CONNECTIONS_S, self._no_connections)
         self.reactor.callLater(REQUESTS_S, self._no_requests)
-        self.clients.each(lambda client: client.last())
+        self.clients.each(lambda client: client.stop_requests())
         for part in self._parts:
             guarded(part.draining)
         return self._drained
 
     def _no_connections(self) -> None:
-        log.info("no new connections from now on", clients=self.clients.number, open=self.service.open)
+        log.info(
+            "no new connections from now on",
+            clients=self.clients.descriptor_count,
+            open=self.service.queries.open_count,
+        )
         self.clients.stop_listening()
-        self.clients.each(lambda client: client.last())
+        self.clients.each(lambda client: client.stop_requests())
 
     def _no_requests(self) -> None:
-        log.info("no new queries from now on", clients=self.clients.number, open=self.service.open)
+        log.info(
+            "no new queries from now on",
+            clients=self.clients.descriptor_count,
+            open=self.service.queries.open_count,
+        )
         self.reactor.callLater(0, self._await_answers)
         self.clients.each(lambda client: client.end_when_answered())
 
     def _await_answers(self) -> None:
-        if self.clients.number:
+        if self.clients.descriptor_count:
             self.reactor.callLater(0.01, self._await_answers)
             return
         self.roster.stop()
--- a/vanerelay/xds/extension.py
+++ b/vanerelay/xds/extension.py
@@ -9,14 +9,12 @@
 from vanerelay import settings
 from vanerelay.engine_list import EngineListChange
 from vanerelay.extension import Extension, ExtensionHost, StartupError
+from vanerelay.membership.control_protocol import Operation
 from vanerelay.membership.extension import MembershipExtension
 from vanerelay.xds.assignment import AssignmentTerms
 from vanerelay.xds.config import XdsConfig
 from vanerelay.xds.service import ControlService
 
-CONTROL_REQUEST = "proxies"
-"""The request of the control socket that lists the proxies' streams."""
-
 
 class XdsExtension(Extension):
     """Starts and stops the control service; the control socket, if there is one, answers for proxies too."""
@@ -41,7 +39,7 @@
         )
         self._service = ControlService(host.reactor, host.clock, self._config, host, terms, list(host.zones))
         if self._membership is not None:
-            self._membership.membership.more[CONTROL_REQUEST] = self._service.list_streams
+            self._membership.membership.set_control_handler(Operation.PROXIES, self._service.list_streams)
         try:
             self._service.start()
         except (CannotListenError, OSError) as error:
--- a/vanerelay/xds/service.py
+++ b/vanerelay/xds/service.py
@@ -23,7 +23,7 @@
 from vanerelay.grpc_wire.status import Code, Status
 from vanerelay.interface import MILLISECOND, SECOND, EngineState
 from vanerelay.membership.control_protocol import Request
-from vanerelay.membership.control_socket import Answer
+from vanerelay.membership.control_socket import Reply
 from vanerelay.net.rate_limited_log import RateLimitedLog
 from vanerelay.xds import load_stream
 from vanerelay.xds.assignment import Assignment, AssignmentTerms, DrainingEngine, GatewayState, assign
@@ -154,7 +154,7 @@
         """The load of a proxy goes into the gateway's decisions."""
         now, gateway = self._clock.now(), self._host.gateway
         view = self._views.get(stream.zone)
-        query_work = [gateway.pace.weight(row, 0) for row in range(len(self._terms.service_classes))]
+        query_work = [gateway.typical_work(row) for row in range(len(self._terms.service_classes))]
         completions = self._loads.report(now, stream, reports, view.weights if view else {}, query_work)
         engines = {address: engine for engine, address in self._host.engine_addresses().items()}
         for address, running in self._loads.running(now).items():
@@ -249,11 +249,11 @@
 
     # Operators' requests.
 
-    def list_streams(self, request: Request) -> Answer:
+    def list_streams(self, request: Request) -> Reply:
         """A row for each stream."""
         now = self._clock.now()
-        return Answer(
-            (self._stream_row(now, stream) for stream in list(self._streams)[: request.most]),
+        return Reply(
+            (self._stream_row(now, stream) for stream in list(self._streams)[: request.limit]),
             proxies=self._proxies.count(now),
             streams=len(self._streams),
         )
