--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -81,13 +81,13 @@
         "freshness.load-put": freshness.LoadStoreRequest("00c0ffee", 4, 2, 117),
         "freshness.load-told": freshness.LoadReply(4, 2, 117),
         "freshness.load-told.least": freshness.LoadReply(),
-        "warming.ask": warming.Ask(12),
-        "warming.slice": warming.SliceTold(12, 900, b"\x01\x02", b"\x03", [4, 5]),
-        "warming.told": warming.Told(
-            [warming.SliceTold(12, 900, b"\x01\x02", b"\x03", [4, 5])], 13, [(4, "e1", 2500)]
+        "warming.ask": warming.PopularityRequest(12),
+        "warming.slice": warming.SliceMessage(12, 900, b"\x01\x02", b"\x03", [4, 5]),
+        "warming.told": warming.PopularityReply(
+            [warming.SliceMessage(12, 900, b"\x01\x02", b"\x03", [4, 5])], 13, [(4, "e1", 2500)]
         ),
-        "warming.do": warming.Do("warm/east", 7, 3, "m1", 50000, [(4, "e1"), (5, "e2")]),
-        "warming.done": warming.Done(2, 8),
+        "warming.do": warming.PrefetchRequest("warm/east", 7, 3, "m1", 50000, [(4, "e1"), (5, "e2")]),
+        "warming.done": warming.PrefetchReply(2, 8),
         "rollout.order": rollout.Order(7, "change", "settings", b'{"a":1}', 3),
         "rollout.order.least": rollout.Order(7, "change"),
         "rollout.taken": rollout.Taken(7, False, True, "no room"),
--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -27,7 +27,7 @@
 from vanerelay.leases.voter import LeaseTerms, Voters
 from vanerelay.rollout.agent import ClassTotals, RolloutAgent
 from vanerelay.rollout.agent_store import AgentStore
-from vanerelay.warming import extension as warming_join
+from vanerelay.warming import extension as warming_extension
 
 GOLDEN = json.loads((ROOT / "tests/data/messages.json").read_text())
 MSGPACK = message_samples.msgpack_samples()
@@ -122,8 +122,8 @@
     host, joined = MagicMock(), MagicMock()
     joined.fleet.links.handlers = handlers = {}
     host.settings, host.zones = {"classes": [{"name": "warm"}]}, {}
-    parts = warming_join.WarmingConfig("warm", "SELECT @GROUP@")
-    warming_join.WarmingExtension(host, parts, joined, MagicMock(), None).open()
+    parts = warming_extension.WarmingConfig("warm", "SELECT @GROUP@")
+    warming_extension.WarmingExtension(host, parts, joined, MagicMock(), None).open()
     return set(handlers)
 
 
--- a/vanerelay/warming/__init__.py
+++ b/vanerelay/warming/__init__.py
@@ -1,1 +1,1 @@
-"""What will be asked for, and which engines of a location read it before it is."""
+"""Cache warming: foretells which table groups will be read, and has engines read them before."""
--- a/vanerelay/warming/config.py
+++ b/vanerelay/warming/config.py
@@ -1,67 +1,98 @@
-"""The `warming` block of the operators' file, into the arguments of each part."""
+"""The `warming` block of the operators' file."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from vanerelay.config_field import config_field
 from vanerelay.interface import MILLISECOND, SECOND, Duration
 from vanerelay.operator_config import Block
 
 
 @dataclass(frozen=True, slots=True)
-class Publisher:
-    """An owner of table groups that come out at certain times: those from `first` to `last`."""
+class PublisherConfig:
+    """An owner of table groups that are published alike: those from the first to the last number."""
 
     name: str
-    first: int
-    last: int
+    first_group: int = config_field("first")
+    last_group: int = config_field("last")
 
 
 @dataclass(frozen=True, slots=True)
 class WarmingConfig:
-    """`group`: the service group by whose terms orders go out, `statement` what reads a table group, with
-    @GROUP@ in the place of its number, `memory` (MB) what it takes; `keeps`: table groups that an engine
-    keeps warm; `budget`: core seconds a second that all orders of one location may take, `saves`: for how
-    long they are saved up; `reading`: core time that one takes, until it is known; `price`: of a core second
-    that would stand idle, in parts of one that somebody waits for; `span`: of a slice; `horizon`: for how
-    long ahead is planned; `period`: of what comes again; `at_once`: orders that are out at one manager,
-    `lasts`: for how long one may take; `most`: table groups that are followed at a location; `history`: for
-    the laboratory."""
-
-    group: str
-    statement: str
+    """The whole block.
+
+    Attributes:
+        service_class: The class under whose terms prefetches run.
+        statement: What reads a table group, with @GROUP@ in the place of its number.
+        memory: What a prefetch takes, in MB.
+        cache_capacity: Table groups that an engine keeps warm.
+        budget: Core seconds a second that all prefetches of one zone may take.
+        budget_window: For how long the budget is saved up.
+        default_read_cost: Core time that a prefetch takes, until it is known.
+        idle_price: The price of an idle core second, in parts of one that somebody waits for.
+        slice_duration: The time over which reads are counted together.
+        horizon: How far ahead is planned.
+        period: The period with which demand recurs.
+        max_concurrent: Prefetches of one gateway in flight.
+        max_duration: How long a prefetch may take.
+        check_interval: How often a gateway looks whether prefetches may go out.
+        max_groups: Table groups that are followed in a zone.
+        history: A file for the laboratory.
+        publishers: Owners of table groups.
+    """
+
+    service_class: str = config_field("group")
+    statement: str = config_field("statement")
     memory: float = 100.0
-    keeps: int = 100
+    cache_capacity: int = config_field("keeps", default=100)
     budget: float = 1.0
-    saves: Duration = 10 * SECOND
-    reading: Duration = SECOND // 2
-    price: float = 0.1
-    span: Duration = SECOND
+    budget_window: Duration = config_field("saves", default=10 * SECOND)
+    default_read_cost: Duration = config_field("reading", default=SECOND // 2)
+    idle_price: float = config_field("price", default=0.1)
+    slice_duration: Duration = config_field("span", default=SECOND)
     horizon: Duration = 30 * SECOND
     period: Duration = 7 * 24 * 3600 * SECOND
-    at_once: int = 4
-    lasts: Duration = 5 * SECOND
-    look: Duration = 50 * MILLISECOND
-    most: int = 2000
+    max_concurrent: int = config_field("at_once", default=4)
+    max_duration: Duration = config_field("lasts", default=5 * SECOND)
+    check_interval: Duration = config_field("look", default=50 * MILLISECOND)
+    max_groups: int = config_field("most", default=2000)
     history: str = ""
-    publishers: tuple[Publisher, ...] = ()
+    publishers: tuple[PublisherConfig, ...] = ()
 
-    def publisher(self, group: int) -> str:
-        return next((one.name for one in self.publishers if one.first <= group <= one.last), "")
+    def publisher_of(self, table_group: int) -> str:
+        """The name of a table group's publisher; empty where none is stated."""
+        owners = (one.name for one in self.publishers if one.first_group <= table_group <= one.last_group)
+        return next(owners, "")
 
 
 def read_config(block: Block) -> WarmingConfig:
-    """Raises BadOptions with the line of what is wrong."""
-    publishers = block.all("publisher")
-    found = block.fill(
-        WarmingConfig, publishers=tuple(one.fill(Publisher, name=one.label) for one in publishers)
-    )
-    if "@GROUP@" not in found.statement:
+    """Reads the block.
+
+    Raises BadOptions with the line of what is wrong.
+    """
+    publisher_blocks = block.all("publisher")
+    publishers = tuple(one.fill(PublisherConfig, name=one.label) for one in publisher_blocks)
+    config = block.fill(WarmingConfig, publishers=publishers)
+    _check(block, config)
+    for read in (block, *publisher_blocks):
+        read.done()
+    return config
+
+
+def _check(block: Block, config: WarmingConfig) -> None:
+    if "@GROUP@" not in config.statement:
         raise block.wrong("statement: expected one with @GROUP@, the number of a table group", "statement")
-    if min(found.keeps, found.span, found.horizon, found.at_once, found.lasts, found.look, found.most) <= 0:
+    positive = (
+        config.cache_capacity,
+        config.slice_duration,
+        config.horizon,
+        config.max_concurrent,
+        config.max_duration,
+        config.check_interval,
+        config.max_groups,
+    )
+    if min(positive) <= 0:
         raise block.wrong("keeps, span, horizon, at_once, lasts, look, most: expected more than 0", "keeps")
-    if found.budget <= 0 or not 0 <= found.price < 1:
+    if config.budget <= 0 or not 0 <= config.idle_price < 1:
         raise block.wrong("budget: expected more than 0, and a price under 1", "budget")
-    for one in (block, *publishers):
-        one.done()
-    return found
--- a/vanerelay/warming/executor.py
+++ b/vanerelay/warming/executor.py
@@ -1,111 +1,152 @@
-"""Orders of planners, carried out by one manager as batches of its own. Thin: the module decides on each,
-`Gate` on whose orders count."""
+"""Prefetches that planners order, carried out by one gateway as queries of its own.
+
+A thin driver: the decisions judge each query as any other, `FencingGate` whose orders count.
+"""
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
 from typing import Any
 
 from vanerelay.extension import ExtensionHost, InternalQuery
 from vanerelay.history import History
-from vanerelay.interface import EngineState
+from vanerelay.interface import SECOND, AnswerStatus, EngineState
 from vanerelay.leases.fencing import FencingGate
-from vanerelay.net import frames
 from vanerelay.warming.config import WarmingConfig
-from vanerelay.warming.messages import Do, Done
+from vanerelay.warming.messages import PrefetchReply, PrefetchRequest
+
+MAX_WAITING = 400
+"""Prefetches that wait to be carried out: two plans."""
+
+MAX_RESULTS = 400
+"""Results that are kept until a planner asks for them."""
+
+
+@dataclass(frozen=True, slots=True)
+class PrefetchResult:
+    """What a prefetch took at its engine, in ticks of core time."""
+
+    table_group: int
+    engine: str
+    work: int
 
-MOST = 400  # orders that wait
-TOLD = 400  # of what they took, until it is asked for
 
+@dataclass(frozen=True, slots=True)
+class _WaitingPrefetch:
+    expires_at: int
+    request: PrefetchRequest
+    table_group: int
+    engine: str
 
-class Hands:
-    """`read`: what orders took, until a planner asks."""
 
-    def __init__(self, host: ExtensionHost, parts: WarmingConfig, clock: Any) -> None:
-        self._host, self._parts, self._clock = host, parts, clock
-        self._gate, self._waiting = FencingGate(), deque[tuple[int, Do, int, str]]()  # until when
-        self._out = dict[InternalQuery, tuple[int, int, str]]()  # until when; table group, engine
-        self.read = deque[tuple[int, str, int]](maxlen=TOLD)
-        self.history = History(host.name, parts.history)
+class PrefetchExecutor:
+    """Carries out prefetches, a few at a time, while no query of a client waits.
+
+    Attributes:
+        results: What prefetches took, until a planner asks.
+        is_stopped: Whether nothing more is carried out.
+    """
+
+    def __init__(self, host: ExtensionHost, config: WarmingConfig, clock: Callable[[], int]) -> None:
+        self._host = host
+        self._config = config
+        self._clock = clock
+        self._gate = FencingGate()
+        self._waiting = deque[_WaitingPrefetch]()
+        self._running = dict[InternalQuery, int]()  # until when
+        self._history = History(host.name, config.history)
         self._timer: Any = None
-        self.stopped = False
+        self.results = deque[PrefetchResult](maxlen=MAX_RESULTS)
+        self.is_stopped = False
+
+    def accept(self, request: PrefetchRequest) -> PrefetchReply:
+        """Takes an order; refuses that of a deposed planner, a late and a repeated one."""
+        begun = self._history.now()
+        refusal = self._gate.refusal(request.task, request.token, request.serial, request.holder)
+        self._record_order(request, begun, refused=refusal is not None)
+        if refusal is not None:
+            return PrefetchReply(newer_token=self._gate.highest_token(request.task))
+        if request.token > self._gate.highest_token(request.task):
+            # Nothing more of the deposed planner is begun.
+            self._waiting = deque(one for one in self._waiting if one.request.task != request.task)
+        self._gate.accept(request.task, request.token, request.serial, request.holder)
+        expires_at, accepted = self._clock() + request.valid_for, 0
+        for table_group, engine in request.prefetches:
+            if len(self._waiting) < MAX_WAITING:
+                self._waiting.append(_WaitingPrefetch(expires_at, request, table_group, engine))
+                accepted += 1
+        return PrefetchReply(accepted)
 
-    def take(self, do: Do) -> Done:
-        """Orders of who was followed are refused, late and doubled ones as well."""
-        begun = self.history.now()
-        why = self._gate.refusal(do.task, do.number, do.serial, do.holder)
+    def _record_order(self, request: PrefetchRequest, begun: int, refused: bool) -> None:
         row: dict[str, Any] = {
-            "task": do.task,
-            "number": do.number,
-            "serial": do.serial,
-            "holder": do.holder,
-            "result": "refused" if why is not None else "ok",
+            "task": request.task,
+            "number": request.token,
+            "serial": request.serial,
+            "holder": request.holder,
+            "result": "refused" if refused else "ok",
         }
-        self.history.add("order", begun, **row)
-        if why is not None:
-            return Done(later=self._gate.highest_token(do.task))
-        if do.number > self._gate.highest_token(
-            do.task
-        ):  # of whoever is followed now nothing is begun any more
-            self._waiting = deque(one for one in self._waiting if one[1].task != do.task)
-        self._gate.accept(do.task, do.number, do.serial, do.holder)
-        until, taken = self._clock() + do.lasts, 0
-        for group, engine in do.orders:
-            if len(self._waiting) < MOST:
-                self._waiting.append((until, do, group, engine))
-                taken += 1
-        return Done(taken)
-
-    def turn(self) -> None:
-        """Gives way at once where batches wait in the line; else begins what is due."""
-        self._timer = self._host.reactor.callLater(self._parts.look / 10_000, self.turn)
+        self._history.add("order", begun, **row)
+
+    def run(self) -> None:
+        """Looks now and from now on, at short intervals, what may go out."""
+        self._timer = self._host.reactor.callLater(self._config.check_interval / SECOND, self.run)
         now = self._clock()
-        while self._waiting and self._waiting[0][0] <= now:
+        while self._waiting and self._waiting[0].expires_at <= now:
             self._waiting.popleft()
-        busy = self._host.gateway.queue_wait() > 0
-        for own, (until, _, _) in list(self._out.items()):
-            if busy or until <= now:
-                own.cancel()
-        if busy or not self._waiting or len(self._out) >= self._parts.at_once:
+        clients_wait = self._host.gateway.queue_wait() > 0
+        for query, expires_at in list(self._running.items()):
+            if clients_wait or expires_at <= now:
+                query.cancel()
+        if not clients_wait:
+            self._start_waiting()
+
+    def _start_waiting(self) -> None:
+        if not self._waiting or len(self._running) >= self._config.max_concurrent:
             return
-        there = {
+        engines = {
             one.entry.name: one.entry.index
             for one in self._host.gateway.engine_statuses()
             if one.entry.state is EngineState.UP and one.usable
         }
-        while self._waiting and len(self._out) < self._parts.at_once:
-            until, do, group, engine = self._waiting.popleft()
-            if engine in there:
-                self._begin(until, do, group, engine, there[engine])
-
-    def _begin(self, until: int, do: Do, group: int, name: str, engine: int) -> None:
-        parts, begun = self._parts, self.history.now()
-        statement = parts.statement.replace("@GROUP@", str(group))
-        lasts = min(parts.lasts, until - self._clock())
-        own = self._host.submit_internal(parts.group, statement, engine, parts.memory, lasts)
-        if own is None:
+        while self._waiting and len(self._running) < self._config.max_concurrent:
+            prefetch = self._waiting.popleft()
+            if prefetch.engine in engines:
+                self._start(prefetch, engines[prefetch.engine])
+
+    def _start(self, prefetch: _WaitingPrefetch, engine: int) -> None:
+        config, begun = self._config, self._history.now()
+        statement = config.statement.replace("@GROUP@", str(prefetch.table_group))
+        max_duration = min(config.max_duration, prefetch.expires_at - self._clock())
+        query = self._host.submit_internal(
+            config.service_class, statement, engine, config.memory, max_duration
+        )
+        if query is None:
             return
+        self._running[query] = prefetch.expires_at
+        query.done.addCallback(partial(self._ended, query, prefetch, begun))
 
-        def ended(code: int) -> None:
-            self._out.pop(own, None)
-            result = "ok" if code == frames.COMPLETED else "not done"
-            self.history.add(
-                "warm",
-                begun,
-                task=do.task,
-                number=do.number,
-                serial=do.serial,
-                group=group,
-                engine=name,
-                result=result,
-            )
-
-        self._out[own] = until, group, name
-        own.done.addCallback(ended)
+    def _ended(
+        self, query: InternalQuery, prefetch: _WaitingPrefetch, begun: int, status: AnswerStatus
+    ) -> None:
+        self._running.pop(query, None)
+        self._history.add(
+            "warm",
+            begun,
+            task=prefetch.request.task,
+            number=prefetch.request.token,
+            serial=prefetch.request.serial,
+            group=prefetch.table_group,
+            engine=prefetch.engine,
+            result="ok" if status == AnswerStatus.COMPLETED else "not done",
+        )
 
     def stop(self) -> None:
-        self.stopped = True
+        """Carries out nothing more and cancels what runs."""
+        self.is_stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        for own in list(self._out):
-            own.cancel()
+        for query in list(self._running):
+            query.cancel()
--- a/vanerelay/warming/extension.py
+++ b/vanerelay/warming/extension.py
@@ -1,4 +1,7 @@
-"""Warming as a part of the served program: every manager tells and carries out, one a location plans."""
+"""Cache warming as an extension of the served program.
+
+Every gateway counts reads and carries out prefetches; one gateway plans for each zone.
+"""
 
 from __future__ import annotations
 
@@ -12,79 +15,111 @@
 from vanerelay.leases.extension import LeasesExtension
 from vanerelay.warming import messages
 from vanerelay.warming.config import WarmingConfig
-from vanerelay.warming.executor import Hands
-from vanerelay.warming.planner import Planner
-from vanerelay.warming.popularity import Tally
+from vanerelay.warming.executor import PrefetchExecutor, PrefetchResult
+from vanerelay.warming.planner import PrefetchPlanner
+from vanerelay.warming.popularity import PopularityCounter
+
+MAX_RESULTS_IN_LARGE_REPLY = 100
+"""Results of prefetches in a reply that had to be shortened to fit into a message."""
 
 
 class WarmingExtension(Extension):
+    """Counts reads, carries out prefetches, and takes part in the leases of the zones' planners."""
+
     def __init__(
         self,
         host: ExtensionHost,
-        parts: WarmingConfig,
+        config: WarmingConfig,
         fleet: FleetExtension,
         leases: LeasesExtension,
         freshness: FreshnessExtension | None,
     ) -> None:
-        self._host, self._parts, self._fleet, self._leases = host, parts, fleet, leases
-        self._freshness, self._planners = freshness, list[Planner]()
-        self._names = dict[int, str]()
+        self._host = host
+        self._config = config
+        self._fleet = fleet
+        self._leases = leases
+        self._freshness = freshness
+        self._planners = list[PrefetchPlanner]()
+        self._engine_names = dict[int, str]()
 
     def open(self) -> None:
-        host, parts, leases = self._host, self._parts, self._leases.leases
-        if parts.group not in [one["name"] for one in host.settings["classes"]]:
-            raise StartupError(f"warming: no service group {parts.group} in the settings, expected one")
-        self._tally, self._hands = Tally(parts.span), Hands(host, parts, leases.clock)
-        for location in host.zones:
-            chance = random.Random(f"{host.seed}/warming/{location}")
-            one = Planner(host, self._fleet.fleet, leases, parts, location, chance, self._holders)
-            self._planners.append(one)
-        self._fleet.fleet.links.handlers |= {"warm-told": self._told, "warm-do": self._ordered}
+        """Takes part in the planners' leases. Raises StartupError."""
+        host, config, leases = self._host, self._config, self._leases.leases
+        if config.service_class not in [one["name"] for one in host.settings["classes"]]:
+            raise StartupError(
+                f"warming: no service group {config.service_class} in the settings, expected one"
+            )
+        self._counter = PopularityCounter(config.slice_duration)
+        self._executor = PrefetchExecutor(host, config, leases.clock)
+        for zone in host.zones:
+            chance = random.Random(f"{host.seed}/warming/{zone}")
+            planner = PrefetchPlanner(
+                host, self._fleet.fleet, leases, config, zone, chance, self._replicas_of
+            )
+            self._planners.append(planner)
+        self._fleet.fleet.links.handlers |= {
+            messages.POPULARITY_KIND: self._popularity_requested,
+            messages.PREFETCH_KIND: self._prefetch_requested,
+        }
 
     def loop_starting(self) -> None:
-        self._host.reactor.callWhenRunning(self._hands.turn)
+        """Begins to carry out prefetches once the event loop runs."""
+        self._host.reactor.callWhenRunning(self._executor.run)
 
-    def _holders(self, group: int) -> Sequence[str]:
-        return self._freshness.service.positions.replicas(group) if self._freshness is not None else ()
+    def _replicas_of(self, table_group: int) -> Sequence[str]:
+        if self._freshness is None:
+            return ()
+        return self._freshness.service.positions.replicas(table_group)
 
-    def engine_ran(self, ran: EngineRun) -> None:
-        name = self._names.get(ran.engine)
-        if name is None:
-            self._names = {one.entry.index: one.entry.name for one in self._host.gateway.engine_statuses()}
-            name = self._names.get(ran.engine)
-        if name is None or not ran.table_group:
+    def engine_ran(self, run: EngineRun) -> None:
+        """Counts a read or load of a client, or keeps the result of a prefetch."""
+        engine = self._engine_name(run.engine)
+        if engine is None or not run.table_group:
             return
         now = self._leases.leases.clock()
-        if ran.writes:
-            self._tally.wrote(now, ran.table_group)
-        elif ran.internal:
-            self._hands.read.append((ran.table_group, name, ran.work))
+        if run.writes:
+            self._counter.load_completed(now, run.table_group)
+        elif run.internal:
+            self._executor.results.append(PrefetchResult(run.table_group, engine, run.work))
         else:
-            self._tally.read(now, ran.table_group, name, ran.work)
+            self._counter.read_completed(now, run.table_group, engine, run.work)
+
+    def _engine_name(self, engine: int) -> str | None:
+        if engine not in self._engine_names:
+            statuses = self._host.gateway.engine_statuses()
+            self._engine_names = {one.entry.index: one.entry.name for one in statuses}
+        return self._engine_names.get(engine)
+
+    def _popularity_requested(self, body: bytes) -> bytes:
+        request = messages.decode(body, messages.PopularityRequest)
+        if request is None:
+            raise RequestRefusedError("unreadable")
+        now = self._leases.leases.clock()
+        slices = messages.slice_messages(self._counter.slices_since(now, request.from_slice))
+        results = [(one.table_group, one.engine, one.work) for one in self._executor.results]
+        self._executor.results.clear()
+        current_slice = self._counter.current_slice
+        reply = messages.encode(messages.PopularityReply(slices, current_slice, results))
+        while len(reply) > messages.MAX_MESSAGE_BYTES and slices:
+            slices = slices[1:]  # the oldest is left out
+            fewer = results[:MAX_RESULTS_IN_LARGE_REPLY]
+            reply = messages.encode(messages.PopularityReply(slices, current_slice, fewer))
+        return reply
 
-    def _told(self, body: bytes) -> bytes:
-        ask = messages.decode(body, messages.Ask)
-        if ask is None:
+    def _prefetch_requested(self, body: bytes) -> bytes:
+        request = messages.decode(body, messages.PrefetchRequest)
+        if request is None:
             raise RequestRefusedError("unreadable")
-        found = messages.slices(self._tally.since(self._leases.leases.clock(), ask.since))
-        read = list(self._hands.read)
-        self._hands.read.clear()
-        told = messages.encode(messages.Told(found, self._tally.next, read))
-        while len(told) > messages.MAX_MESSAGE_BYTES and found:
-            found = found[1:]  # the oldest are not told
-            told = messages.encode(messages.Told(found, self._tally.next, read[:100]))
-        return told
-
-    def _ordered(self, body: bytes) -> bytes:
-        do = messages.decode(body, messages.Do)
-        if do is None or self._hands.stopped:
-            raise RequestRefusedError("unreadable" if do is None else "ending")
-        return messages.encode(self._hands.take(do))
+        if self._executor.is_stopped:
+            raise RequestRefusedError("ending")
+        return messages.encode(self._executor.accept(request))
 
     def draining(self) -> None:
-        self._hands.stop()
+        """Carries out no more prefetches."""
+        self._executor.stop()
 
     def stop(self) -> None:
-        for one in self._planners:
-            one.stop()
-        self._hands.stop()
+        """Plans no more."""
+        for planner in self._planners:
+            planner.stop()
+        self._executor.stop()
--- a/vanerelay/warming/gain_experiment.py
+++ b/vanerelay/warming/gain_experiment.py
@@ -1,9 +1,11 @@
-"""Whether warming gains anything: what was ordered against what was left undone by draw. Pure.
+"""Whether prefetches gain anything: what was ordered against what was held out by draw. Pure.
 
-Both were worth ordering and differ in nothing but the draw. Of each it is seen, once its time is over, how
-many core seconds of reading the reads there spent beyond what warm ones take. The difference of the means is
-what an order spares; it is held in a confidence sequence that may be looked at at any time. Where it is not
-shown to spare what it costs, the budget shrinks by itself, to small trials; where it is, it grows back."""
+Both were worth ordering and differ in nothing but the draw. Of each it is observed, until its time is
+over, how many core seconds the reads there spent beyond what reads of cached table groups take. The
+difference of the means is what a prefetch spares; it is held in a confidence sequence that may be looked
+at at any time. Where prefetches are not shown to spare what they cost, the budget shrinks by itself, to
+small trials; where they are, it grows back.
+"""
 
 from __future__ import annotations
 
@@ -12,64 +14,108 @@
 
 from vanerelay.confidence import RunningVariance, half_width
 
-FEW = 12  # outcomes of each side before anything is said
-CHANCE = 0.05
-TELLING = 60.0
-LEAST, MOST = 0.05, 1.0  # parts of the budget
-SURE = 3.0  # times fewer are left undone once warming is shown to gain
-GROWS, SHRINKS = 1.5, 0.5
-LOOKS = 10  # outcomes between two changes of the budget
-KEPT = 400  # outcomes after which those before count no more: demand changes
+MIN_OUTCOMES = 12
+"""Outcomes of each side before anything is concluded."""
+
+ERROR_PROBABILITY = 0.05
+"""The probability that the confidence sequence is ever wrong."""
+
+TIGHTEST_AT = 60.0
+"""Outcomes of each side at which the confidence sequence is tightest."""
+
+MIN_BUDGET_SHARE, MAX_BUDGET_SHARE = 0.05, 1.0
+"""The budget is never given up: small trials show when demand can be foreseen again."""
+
+INITIAL_BUDGET_SHARE = 0.5
+
+HOLDOUT_SHARE = 0.15
+"""The part of plans that is held out."""
+
+PROVEN_HOLDOUT_FACTOR = 3.0
+"""How many times less is held out once a gain is proven."""
+
+BUDGET_GROWTH, BUDGET_SHRINKAGE = 1.5, 0.5
+"""By which factors the budget changes."""
+
+OUTCOMES_PER_CHANGE = 10
+"""Outcomes between two changes of the budget."""
+
+MAX_OUTCOMES = 400
+"""Outcomes after which earlier ones lose half of their weight: demand changes."""
+
+
+@dataclass(frozen=True, slots=True)
+class GainEstimate:
+    """Core seconds that a prefetch spares, and how far that may be off."""
+
+    mean: float
+    half_width: float
 
 
 @dataclass(slots=True)
-class Trust:
-    """`aside`: the part of plans that is left undone; `price`: of a core second that would stand idle."""
-
-    price: float
-    aside: float = 0.15
-    part: float = 0.5  # of the budget
-    shown: bool = False
-    _done: RunningVariance = field(default_factory=RunningVariance)
-    _left: RunningVariance = field(default_factory=RunningVariance)
-    _cost: RunningVariance = field(default_factory=RunningVariance)
-    _since: int = 0
-
-    def outcome(self, done: bool, wasted: float, cost: float) -> None:
-        """Core seconds that reads of one spent on reading until its time was over, and what an order of it
-        costs."""
-        (self._done if done else self._left).add(wasted)
-        self._cost.add(cost)
-        self._since += 1
-        if self._since >= LOOKS and min(self._done.number, self._left.number) >= FEW:
-            self._since = 0
-            self._look()
-        if self._done.number + self._left.number >= KEPT:
-            for name in ("_done", "_left", "_cost"):
-                one: RunningVariance = getattr(self, name)
-                setattr(self, name, RunningVariance.of(one.number // 2, one.mean, one.variance))
+class GainExperiment:
+    """The experiment of one zone.
+
+    Attributes:
+        idle_price: The price of an idle core second, in parts of one that somebody waits for.
+        budget_share: The part of the budget that may be spent.
+        gain_proven: Whether prefetches are shown to spare more than they cost.
+    """
+
+    idle_price: float
+    budget_share: float = INITIAL_BUDGET_SHARE
+    gain_proven: bool = False
+    _prefetched: RunningVariance = field(default_factory=RunningVariance)
+    _held_out: RunningVariance = field(default_factory=RunningVariance)
+    _costs: RunningVariance = field(default_factory=RunningVariance)
+    _since_change: int = 0
+
+    def record(self, prefetched: bool, read_cost: float, prefetch_cost: float) -> None:
+        """An outcome is known.
+
+        Args:
+            prefetched: Whether it was ordered, or held out.
+            read_cost: Core seconds that reads there spent beyond those of cached table groups.
+            prefetch_cost: What ordering it costs.
+        """
+        (self._prefetched if prefetched else self._held_out).add(read_cost)
+        self._costs.add(prefetch_cost)
+        self._since_change += 1
+        fewest = min(self._prefetched.number, self._held_out.number)
+        if self._since_change >= OUTCOMES_PER_CHANGE and fewest >= MIN_OUTCOMES:
+            self._since_change = 0
+            self._adjust_budget()
+        if self._prefetched.number + self._held_out.number >= MAX_OUTCOMES:
+            self._prefetched = _halved(self._prefetched)
+            self._held_out = _halved(self._held_out)
+            self._costs = _halved(self._costs)
 
     @property
-    def undone(self) -> float:
-        """The part of plans that is left undone now."""
-        return self.aside / SURE if self.shown else self.aside
+    def holdout_share(self) -> float:
+        """The part of plans that is held out now."""
+        return HOLDOUT_SHARE / PROVEN_HOLDOUT_FACTOR if self.gain_proven else HOLDOUT_SHARE
 
     @property
-    def gain(self) -> tuple[float, float]:
-        """Core seconds that an order spares, and how far that may be off."""
-        if min(self._done.number, self._left.number) < 2:
-            return 0.0, math.inf
-        off = math.hypot(
-            half_width(self._done.number, self._done.variance, CHANCE / 2, TELLING),
-            half_width(self._left.number, self._left.variance, CHANCE / 2, TELLING),
-        )
-        return self._left.mean - self._done.mean, off
-
-    def _look(self) -> None:
-        gain, off = self.gain
-        cost = self.price * self._cost.mean
-        self.shown = gain - off > cost
-        if self.shown:
-            self.part = min(MOST, self.part * GROWS)
-        elif gain < cost or gain + off < cost:
-            self.part = max(LEAST, self.part * SHRINKS)
+    def gain(self) -> GainEstimate:
+        """What a prefetch spares."""
+        if min(self._prefetched.number, self._held_out.number) < 2:
+            return GainEstimate(0.0, math.inf)
+        off = math.hypot(_half_width(self._prefetched), _half_width(self._held_out))
+        return GainEstimate(self._held_out.mean - self._prefetched.mean, off)
+
+    def _adjust_budget(self) -> None:
+        gain = self.gain
+        cost = self.idle_price * self._costs.mean
+        self.gain_proven = gain.mean - gain.half_width > cost
+        if self.gain_proven:
+            self.budget_share = min(MAX_BUDGET_SHARE, self.budget_share * BUDGET_GROWTH)
+        elif gain.mean < cost or gain.mean + gain.half_width < cost:
+            self.budget_share = max(MIN_BUDGET_SHARE, self.budget_share * BUDGET_SHRINKAGE)
+
+
+def _half_width(outcomes: RunningVariance) -> float:
+    return half_width(outcomes.number, outcomes.variance, ERROR_PROBABILITY / 2, TIGHTEST_AT)
+
+
+def _halved(outcomes: RunningVariance) -> RunningVariance:
+    return RunningVariance.of(outcomes.number // 2, outcomes.mean, outcomes.variance)
--- a/vanerelay/warming/plan.py
+++ b/vanerelay/warming/plan.py
@@ -1,8 +1,9 @@
-"""Which wishes are carried out now, within a stated budget of work. Pure.
+"""Which prefetches are carried out now, within a stated budget of work. Pure.
 
-The best worth for its cost first; engines that have just come with nothing warm before the others; no engine
-gets more than its room. A drawn part is left undone, so that what warming gains can be measured
-(`trust.py`)."""
+The best value for its cost first; engines that have just come with nothing cached before the others; no
+engine gets more than its idle cores. A drawn part is held out, so that what prefetches gain can be
+measured (`gain_experiment.py`).
+"""
 
 from __future__ import annotations
 
@@ -10,73 +11,103 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from vanerelay.warming.prefetch_value import Place, Wish
+from vanerelay.warming.popularity import GroupAtEngine
+from vanerelay.warming.prefetch_value import EngineCapacity, PrefetchCandidate
 
-FRESH = 1.5  # times the worth of a wish for an engine with nothing warm
-MOST = 200  # orders at once
-STEP, HALF, HIGHEST = 0.1, 0.3, 0.4  # of the bar, by a second, towards that part of the savings
-ROOM_S = 2.0  # seconds over which an engine's free cores are counted
+COLD_ENGINE_FACTOR = 1.5
+"""How many times the value of a prefetch counts at an engine with nothing cached."""
+
+MAX_PREFETCHES = 200
+"""Prefetches in one plan: more would not be done before the next."""
+
+IDLE_WINDOW_S = 2.0
+"""Seconds over which an engine's idle cores are counted."""
+
+THRESHOLD_STEP = 0.1
+"""How much the threshold moves in a second for each part of the savings that is missing."""
+
+TARGET_FILL = 0.3
+"""The part of the savings towards which the threshold is moved."""
+
+MAX_THRESHOLD = 0.4
+"""The highest threshold: what a publication's prefetches are worth is well above it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """`done`: what is ordered; `left`: what would have been, and is not, to compare."""
+class PrefetchPlan:
+    """What is ordered, and what would have been and is held out, to compare."""
 
-    done: tuple[Wish, ...] = ()
-    left: tuple[Wish, ...] = ()
+    ordered: tuple[PrefetchCandidate, ...] = ()
+    held_out: tuple[PrefetchCandidate, ...] = ()
 
 
-def plan(
-    wishes: Iterable[Wish],
-    places: Mapping[str, Place],
+def make_plan(
+    candidates: Iterable[PrefetchCandidate],
+    engines: Mapping[str, EngineCapacity],
     budget: float,
-    aside: float,
+    holdout_share: float,
     chance: random.Random,
-    compared: Collection[tuple[int, str]] = (),
-    bar: float = 0.0,
-) -> Plan:
-    """`budget`: core seconds that all orders of this time may take; `aside`:
-    the part that is left undone; `compared`: what was left undone and is still looked at."""
-    room = {name: one.room * one.cores * ROOM_S for name, one in places.items()}
-    done, left = list[Wish](), list[Wish]()
-    ranked = sorted(
-        wishes, key=lambda one: -(one.worth / one.cost) * (FRESH if places[one.engine].fresh else 1.0)
-    )
-    for wish in ranked:
-        if len(done) >= MOST:
+    observed: Collection[GroupAtEngine] = (),
+    threshold: float = 0.0,
+) -> PrefetchPlan:
+    """Chooses among candidates.
+
+    Args:
+        candidates: Prefetches that are worth more than they cost.
+        engines: The engines, by name.
+        budget: Core seconds that all prefetches of this plan may take.
+        holdout_share: The part that is held out.
+        chance: Draws what is held out.
+        observed: What was held out before and is still observed.
+        threshold: The least value for its cost.
+    """
+    idle = {name: one.idle_share * one.cores * IDLE_WINDOW_S for name, one in engines.items()}
+    ordered, held_out = list[PrefetchCandidate](), list[PrefetchCandidate]()
+    for candidate in sorted(candidates, key=lambda one: -_priority(one, engines)):
+        if len(ordered) >= MAX_PREFETCHES:
             break
-        if (wish.group, wish.engine) in compared or wish.worth < bar * wish.cost:
+        if candidate.key in observed or candidate.value < threshold * candidate.cost:
             continue
-        if wish.cost > budget or wish.cost > room.get(wish.engine, 0.0):
+        if candidate.cost > budget or candidate.cost > idle.get(candidate.engine, 0.0):
             continue
-        room[wish.engine] -= wish.cost
-        budget -= wish.cost
-        (left if chance.random() < aside else done).append(wish)
-    return Plan(tuple(done), tuple(left))
+        idle[candidate.engine] -= candidate.cost
+        budget -= candidate.cost
+        (held_out if chance.random() < holdout_share else ordered).append(candidate)
+    return PrefetchPlan(tuple(ordered), tuple(held_out))
+
+
+def _priority(candidate: PrefetchCandidate, engines: Mapping[str, EngineCapacity]) -> float:
+    factor = COLD_ENGINE_FACTOR if engines[candidate.engine].is_cold else 1.0
+    return (candidate.value / candidate.cost) * factor
 
 
 @dataclass(slots=True)
-class Budget:
-    """Core seconds that may be spent, at a steady pace, with a little saved up for what comes at once.
-
-    `bar`: worth for its cost that a wish must have now: the emptier the savings the higher, so that poor
-    wishes do not use up what better ones, a publication's, will want in a moment."""
-
-    pace: float  # core seconds a second
-    saves: float  # seconds' worth that is saved at most
-    bar: float = 0.0
-    _left: float = 0.0
-    _at: float | None = None
-
-    def left(self, now: float, part: float) -> float:
-        """`part`: of the pace that is trusted."""
-        since = now - self._at if self._at is not None else 0.0
-        self._at = now
-        most = self.saves * self.pace * part
-        self._left = min(self._left + since * self.pace * part, most)
-        full = self._left / most if most > 0 else 0.0
-        self.bar = min(HIGHEST, max(0.0, self.bar + STEP * (HALF - full) * since))
-        return self._left
+class PrefetchBudget:
+    """Core seconds that may be spent, at a steady rate, with a little saved up for what comes at once.
+
+    Attributes:
+        rate: Core seconds a second. window: Seconds' worth that is saved at most. threshold: The value
+        for its cost that a prefetch must have now: the emptier the savings the higher, so
+            that poor prefetches do not use up what better ones, a publication's, will want in a moment.
+    """
+
+    rate: float
+    window: float
+    threshold: float = 0.0
+    _saved: float = 0.0
+    _updated_at: float | None = None
+
+    def available(self, now: float, share: float) -> float:
+        """What may be spent now; `share` is the part of the rate that the gain experiment allows."""
+        elapsed = now - self._updated_at if self._updated_at is not None else 0.0
+        self._updated_at = now
+        limit = self.window * self.rate * share
+        self._saved = min(self._saved + elapsed * self.rate * share, limit)
+        fill = self._saved / limit if limit > 0 else 0.0
+        change = THRESHOLD_STEP * (TARGET_FILL - fill) * elapsed
+        self.threshold = min(MAX_THRESHOLD, max(0.0, self.threshold + change))
+        return self._saved
 
     def spend(self, cost: float) -> None:
-        self._left -= cost
+        """A prefetch was ordered."""
+        self._saved -= cost
--- a/vanerelay/warming/planner.py
+++ b/vanerelay/warming/planner.py
@@ -1,11 +1,13 @@
-"""The planner of one location, at whoever holds its lease: asks what was read, foretells, orders. Thin:
-`forecast`, `worth`, `plan` and `trust` decide."""
+"""The planner of one zone, at the holder of its lease: asks what was read, plans, orders.
+
+A thin driver: `zone_model` and what it is made of decide.
+"""
 
 from __future__ import annotations
 
 import random
 from collections import defaultdict
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Sequence
 from functools import partial
 from typing import Any
 
@@ -20,204 +22,175 @@
 from vanerelay.leases.service import Leases
 from vanerelay.warming import messages
 from vanerelay.warming.config import WarmingConfig
-from vanerelay.warming.forecast import Forecasts
-from vanerelay.warming.gain_experiment import Trust
-from vanerelay.warming.plan import Budget, Plan, plan
-from vanerelay.warming.popularity import Key, Seen, Slice, merged
-from vanerelay.warming.prefetch_value import Believed, Place, Wish, wishes
-
-PATIENCE_S = 0.5  # for an answer of a manager
-LEARNS = 0.1  # of what an order took, each
-JUDGED = 50  # forecasts in a horizon that are looked at once they are over
-OUTCOMES = 2000  # that wait to be looked at
-LOUD = 60  # spans between two lines of the log
+from vanerelay.warming.popularity import PopularitySlice, merge_slices
+from vanerelay.warming.prefetch_value import EngineCapacity, PrefetchCandidate
+from vanerelay.warming.zone_model import ZoneModel
+
+TIMEOUT_S = 0.5
+"""How long a gateway has to answer: within a slice."""
+
+SLICES_PER_LOG = 60
+"""Slices between two lines of the log."""
+
+MAX_LOGGED_HALF_WIDTH = 1e6
+"""What is logged in place of an infinite half width."""
 
 log = structlog.get_logger()
 
 
-class Planner:
-    """`holders`: engines that have copies of a table group, where that is known."""
+class PrefetchPlanner:
+    """The planner of one zone."""
 
     def __init__(
         self,
         host: ExtensionHost,
         fleet: Fleet,
         leases: Leases,
-        parts: WarmingConfig,
-        location: str,
+        config: WarmingConfig,
+        zone: str,
         chance: random.Random,
-        holders: Callable[[int], Sequence[str]],
+        replicas_of: Callable[[int], Sequence[str]],
     ) -> None:
-        self._host, self._fleet, self._leases, self._parts = host, fleet, leases, parts
-        self._location, self._chance, self._holders = location, chance, holders
-        self._hold = leases.add_task(f"warm/{location}", self._began, self._ended)
+        """`replicas_of` tells the engines that hold a table group, where that is known."""
+        self._host = host
+        self._fleet = fleet
+        self._leases = leases
+        self._config = config
+        self._zone = zone
+        self._chance = chance
+        self._replicas_of = replicas_of
+        self._lease = leases.add_task(f"warm/{zone}", self._acquired, self._lost)
         self._timer: Any = None
-        self._fresh()
-
-    def _fresh(self) -> None:
-        parts = self._parts
-        self._forecasts = Forecasts(parts.most, parts.period / SECOND)
-        self._trust = Trust(parts.price)
-        self._budget = Budget(parts.budget, parts.saves / SECOND)
-        self._believed, self._places = dict[str, Believed](), dict[str, Place]()
-        self._heard = dict[str, int]()  # by manager: slices heard
-        self._slices = list[Slice]()
-        self._reading, self._base = dict[int, float](), dict[int, float]()
-        self._spent = defaultdict[Key, float](float)
-        self._open = list[tuple[float, bool, Wish]]()
-        self._turns = 0
-
-    def _began(self, hold: LeaseHolder) -> None:
-        """What managers still remember is asked for: a planner that was lost takes its knowledge along."""
-        self._fresh()
+        self._reset()
+
+    def _reset(self) -> None:
+        self._model = ZoneModel(self._config)
+        self._next_slices = dict[str, int]()  # by gateway: the first slice that was not received
+        self._slices = list[PopularitySlice]()
+        self._rounds = 0
+
+    def _acquired(self, holder: LeaseHolder) -> None:
+        """Begins with what gateways still keep: a deposed planner takes its knowledge along."""
+        self._reset()
         self.stop()
-        self._turn()
+        self._run()
 
-    def _ended(self, hold: LeaseHolder) -> None:
+    def _lost(self, holder: LeaseHolder) -> None:
         self.stop()
 
     def stop(self) -> None:
+        """Plans no more."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
 
-    def _turn(self) -> None:
-        self._timer = self._host.reactor.callLater(self._parts.span / SECOND, self._turn)
-        if not self._hold.may_act(self._leases.clock()):
+    def _run(self) -> None:
+        slice_s = self._config.slice_duration / SECOND
+        self._timer = self._host.reactor.callLater(slice_s, self._run)
+        if not self._lease.may_act(self._leases.clock()):
             return
-        self._turns += 1
-        self._look()
-        alive = [one.name for one in self._fleet.alive.members.values() if one.standing is MemberState.ALIVE]
-        for name in alive:
-            body = messages.encode(messages.Ask(self._heard.get(name, 0)))
-            asked = self._fleet.ask(name, "warm-told", body, PATIENCE_S)
-            asked.addCallback(partial(self._told, name)).addErrback(lambda _: None)
+        self._rounds += 1
+        self._model.set_engines(self._usable_engines())
+        gateways = [
+            member.name
+            for member in self._fleet.alive.members.values()
+            if member.standing is MemberState.ALIVE
+        ]
+        for name in gateways:
+            self._ask_popularity(name)
         slices, self._slices = self._slices, []
-        self._learn(*merged(slices))
-        if self._places:
-            self._order(alive)
-        if self._turns % LOUD == 0:
-            gain, off = self._trust.gain
-            log.info(
-                "warming",
-                location=self._location,
-                part=round(self._trust.part, 2),
-                gain=round(gain, 3),
-                off=round(min(off, 1e6), 3),
-                judged=self._forecasts.judged,
-                right=self._forecasts.right,
-            )
-
-    def _look(self) -> None:
-        """The location's engines as they stand now."""
-        spare = self._host.gateway.idle_shares()
-        found = dict[str, Place]()
-        location = self._host.zones.get(self._location)
-        for one in self._host.gateway.engine_statuses():
-            entry = one.entry
-            serves = entry.state is EngineState.UP and one.usable and entry.weight > 0
-            if serves and entry.zone == location:
-                room = spare.get(entry.index, 0.0)
-                found[entry.name] = Place(entry.name, one.cores, room, self._parts.keeps, not one.warmed_up)
-                if entry.name not in self._believed or not one.warmed_up and entry.name not in self._places:
-                    self._believed[entry.name] = Believed(self._parts.keeps)
-        self._places = found
-        self._believed = {name: one for name, one in self._believed.items() if name in found}
-
-    def _told(self, name: str, body: bytes) -> None:
-        told = messages.decode(body, messages.Told)
-        if told is None:
+        self._model.learn(self._now(), merge_slices(slices))
+        if self._model.engines:
+            self._plan(gateways)
+        if self._rounds % SLICES_PER_LOG == 0:
+            self._log()
+
+    def _now(self) -> float:
+        """The time in seconds."""
+        return self._leases.clock() / SECOND
+
+    def _log(self) -> None:
+        experiment, calibration = self._model.experiment, self._model.forecaster.calibration
+        gain = experiment.gain
+        log.info(
+            "prefetching",
+            zone=self._zone,
+            budget_share=round(experiment.budget_share, 2),
+            gain=round(gain.mean, 3),
+            half_width=round(min(gain.half_width, MAX_LOGGED_HALF_WIDTH), 3),
+            judged=calibration.judged,
+            right=calibration.right,
+        )
+
+    def _usable_engines(self) -> list[EngineCapacity]:
+        """The zone's engines that may be sent prefetches."""
+        idle_shares = self._host.gateway.idle_shares()
+        zone = self._host.zones.get(self._zone)
+        engines = list[EngineCapacity]()
+        for status in self._host.gateway.engine_statuses():
+            entry = status.entry
+            usable = entry.state is EngineState.UP and status.usable and entry.weight > 0
+            if usable and entry.zone == zone:
+                idle_share = idle_shares.get(entry.index, 0.0)
+                capacity = self._config.cache_capacity
+                is_cold = not status.warmed_up
+                engines.append(EngineCapacity(entry.name, status.cores, idle_share, capacity, is_cold))
+        return engines
+
+    # Popularity.
+
+    def _ask_popularity(self, gateway: str) -> None:
+        request = messages.PopularityRequest(self._next_slices.get(gateway, 0))
+        sent = self._fleet.ask(gateway, messages.POPULARITY_KIND, messages.encode(request), TIMEOUT_S)
+        sent.addCallback(partial(self._popularity_received, gateway)).addErrback(lambda _: None)
+
+    def _popularity_received(self, gateway: str, body: bytes) -> None:
+        reply = messages.decode(body, messages.PopularityReply)
+        if reply is None:
             return
-        if told.next < self._heard.get(name, 0):
-            self._heard[name] = 0  # it has started anew
+        next_slice = self._next_slices.get(gateway, 0)
+        if reply.current_slice < next_slice:
+            self._next_slices[gateway] = 0  # the gateway has started anew
         else:
-            new = [one for one in told.slices if one.number >= self._heard.get(name, 0)]
-            self._heard[name] = told.next
-            self._slices += [messages.slice_(one) for one in new]
-        for group, _, work in told.read:
-            cost = work / SECOND
-            # One that found it warm says nothing: what it takes is the most that was seen of late.
-            self._reading[group] = max(cost, self._reading.get(group, cost) * (1.0 - LEARNS))
-
-    def _learn(self, seen: Mapping[Key, Seen], loads: set[int]) -> None:
-        now = self._leases.clock() / SECOND
-        for group in loads:
-            self._forecasts.published(now, group, self._parts.publisher(group))
-            for one in self._believed.values():
-                one.old(group)
-        counts = defaultdict[int, int](int)
-        for (group, engine), told in seen.items():
-            if engine not in self._believed:
-                continue
-            counts[group] += told.reads
-            self._believed[engine].read(now, group)
-            each = told.work / told.reads / SECOND
-            base = min(each, self._base.get(group, each) * 1.01)
-            self._base[group] = base
-            self._spent[group, engine] += max(0.0, told.work / SECOND - told.reads * base)
-        self._forecasts.update(now, counts)
-        if self._turns % max(1, self._parts.horizon // self._parts.span // JUDGED) == 0:
-            self._forecasts.within(self._parts.horizon / SECOND)
-        if len(self._base) > 2 * self._parts.most:
-            self._base = {group: one for group, one in self._base.items() if group in self._forecasts.rows}
-            self._reading = {g: one for g, one in self._reading.items() if g in self._forecasts.rows}
-        while self._open and self._open[0][0] <= now:
-            _, done, wish = self._open.pop(0)
-            self._trust.outcome(done, self._spent.pop((wish.group, wish.engine), 0.0), wish.cost)
-        watched = {(wish.group, wish.engine) for _, _, wish in self._open}
-        self._spent = defaultdict(float, {key: one for key, one in self._spent.items() if key in watched})
-
-    def _order(self, alive: Sequence[str]) -> None:
-        parts, now = self._parts, self._leases.clock() / SECOND
-        groups = list(self._forecasts.rows)
-        holders = {group: told for group in groups if (told := self._holders(group))}
-        places = list(self._places.values())
-        wanted = wishes(
-            now,
-            self._forecasts,
-            places,
-            self._believed,
-            self._reading,
-            parts.reading / SECOND,
-            parts.price,
-            parts.horizon / SECOND,
-            groups,
-            holders,
-        )
-        left = self._budget.left(now, self._trust.part)
-        compared = {(wish.group, wish.engine) for _, done, wish in self._open if not done}
-        made = plan(wanted, self._places, left, self._trust.undone, self._chance, compared, self._budget.bar)
-        by = defaultdict[str, list[Wish]](list)
-        for wish in made.done:
-            by[ranked(f"warm {wish.engine}", [Candidate(name) for name in alive])[0]].append(wish)
-        for name, some in by.items():
-            self._send(name, some, now)
-        self._open_outcomes(made, now)
-
-    def _send(self, name: str, some: list[Wish], now: float) -> None:
-        deed = self._hold.begin(self._leases.clock(), round(PATIENCE_S * SECOND))
-        if deed is None:
+            new = [one for one in reply.slices if one.number >= next_slice]
+            self._next_slices[gateway] = reply.current_slice
+            self._slices += [messages.popularity_slice(one) for one in new]
+        for group, _, work in reply.prefetches:
+            self._model.prefetch_completed(group, work / SECOND)
+
+    # Orders.
+
+    def _plan(self, gateways: Sequence[str]) -> None:
+        now = self._now()
+        plan = self._model.plan(now, self._chance, self._replicas_of)
+        by_gateway = defaultdict[str, list[PrefetchCandidate]](list)
+        for candidate in plan.ordered:
+            candidates = [Candidate(name) for name in gateways]
+            by_gateway[ranked(f"warm {candidate.engine}", candidates)[0]].append(candidate)
+        for gateway, prefetches in by_gateway.items():
+            self._order(gateway, prefetches, now)
+        self._model.observe(now, plan)
+
+    def _order(self, gateway: str, prefetches: list[PrefetchCandidate], now: float) -> None:
+        operation = self._lease.begin(self._leases.clock(), round(TIMEOUT_S * SECOND))
+        if operation is None:
             return
-        for wish in some:
-            self._budget.spend(wish.cost)
-            if wish.engine in self._believed:
-                self._believed[wish.engine].read(now, wish.group)
-        orders = [(wish.group, wish.engine) for wish in some]
-        left = max(0, deed.expires_at - self._leases.clock())
-        lasts = min(self._parts.lasts, left)
-        do = messages.Do(deed.task, deed.token, deed.serial, deed.holder, lasts, orders)
-        asked = self._fleet.ask(name, "warm-do", messages.encode(do), PATIENCE_S)
-        asked.addErrback(lambda _: None).addCallback(self._done, deed)
-
-    def _done(self, body: bytes | None, deed: LeasedOperation) -> None:
-        self._hold.end(deed)
-        told = messages.decode(body, messages.Done) if body is not None else None
-        if told is not None and told.later:
-            self._leases.report_newer_token(deed, told.later)
-
-    def _open_outcomes(self, made: Plan, now: float) -> None:
-        for done, some in ((True, made.done), (False, made.left)):
-            for wish in some:
-                if len(self._open) < OUTCOMES:
-                    self._spent.pop((wish.group, wish.engine), None)
-                    self._open.append((now + self._parts.horizon / SECOND, done, wish))
+        for candidate in prefetches:
+            self._model.ordered(now, candidate)
+        lease_left = max(0, operation.expires_at - self._leases.clock())
+        request = messages.PrefetchRequest(
+            operation.task,
+            operation.token,
+            operation.serial,
+            operation.holder,
+            min(self._config.max_duration, lease_left),
+            [candidate.key for candidate in prefetches],
+        )
+        sent = self._fleet.ask(gateway, messages.PREFETCH_KIND, messages.encode(request), TIMEOUT_S)
+        sent.addErrback(lambda _: None).addCallback(self._order_answered, operation)
+
+    def _order_answered(self, body: bytes | None, operation: LeasedOperation) -> None:
+        self._lease.end(operation)
+        reply = messages.decode(body, messages.PrefetchReply) if body is not None else None
+        if reply is not None and reply.newer_token:
+            self._leases.report_newer_token(operation, reply.newer_token)
--- a/vanerelay/warming/prefetch_value.py
+++ b/vanerelay/warming/prefetch_value.py
@@ -1,8 +1,10 @@
-"""What it is worth to read a table group at an engine before it is asked for. Pure.
+"""What it is worth to read a table group at an engine before it is demanded. Pure.
 
-A read that finds its table group warm spares the reading, once until it falls out or a load makes it
-useless: so what counts is the chance that it is read there at all in time, less what the reading costs where
-cores would stand idle, less what falls out of the cache for it."""
+A read that finds its table group cached spares its cost, once, until the group falls out of the cache or
+a load makes it useless. So what counts is the probability that it is read there at all in time, less the
+price of the prefetch on idle cores, less what falls out of the cache for it. Values and costs are in core
+seconds, times in seconds.
+"""
 
 from __future__ import annotations
 
@@ -14,114 +16,205 @@
 import numpy as np
 
 from vanerelay.estimation import stable_hash
-from vanerelay.warming.forecast import Floats, Forecasts
+from vanerelay.warming.decay_shapes import Floats
+from vanerelay.warming.forecast import DemandForecaster
 
-HOME = 16.0  # the most that the decisions lean to an engine for a table group (`decide.Picker`)
-AT_HOME = 3  # engines of a location that a table group is warmed at, at most
+MAX_AFFINITY = 16.0
+"""The most that the decisions prefer an engine for a table group (`policy/placement.py`)."""
+
+ENGINES_PER_GROUP = 3
+"""Engines of a zone at which a table group is prefetched, at most: those that the decisions prefer for it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """An engine that may be warmed. `room`: part of its cores that is free for it now; `keeps`: table groups
-    that it keeps warm; `fresh`: it has just come or come back, with nothing warm."""
+class EngineCapacity:
+    """An engine that may be warmed.
+
+    Attributes:
+        idle_share: The part of its cores that is free for prefetches now.
+        cache_capacity: Table groups that it keeps cached.
+        is_cold: Whether it has just come, or come back, with nothing cached.
+    """
 
     name: str
     cores: float
-    room: float
-    keeps: int
-    fresh: bool = False
+    idle_share: float
+    cache_capacity: int
+    is_cold: bool = False
 
 
 @dataclass(slots=True)
-class Believed:
-    """What an engine has warm, as far as is known: the last read last, as it is the last to fall out."""
-
-    keeps: int
-    groups: OrderedDict[int, float] = field(default_factory=OrderedDict)  # by when it was read last
+class CacheModel:
+    """What an engine has cached, as far as is known: least recently read first, as it falls out first."""
 
-    def read(self, now: float, group: int) -> None:
-        self.groups[group] = now
-        self.groups.move_to_end(group)
-        while len(self.groups) > self.keeps:
-            self.groups.popitem(last=False)
+    capacity: int
+    read_at: OrderedDict[int, float] = field(default_factory=OrderedDict)  # by table group
 
-    def old(self, group: int) -> None:
-        self.groups.pop(group, None)
-
-    @property
-    def next_out(self) -> int | None:
-        """What falls out for one more; None where there is room."""
-        return next(iter(self.groups)) if len(self.groups) >= self.keeps else None
+    def __contains__(self, table_group: int) -> bool:
+        return table_group in self.read_at
 
-    def stays(self, now: float) -> float:
-        """For how many seconds what is read now stays warm if it is not read again: as long as what falls out
-        next has stayed (the characteristic time of Che and others)."""
-        group = self.next_out
-        return now - self.groups[group] if group is not None else math.inf
+    def read(self, now: float, table_group: int) -> None:
+        """A table group is read there, and cached."""
+        self.read_at[table_group] = now
+        self.read_at.move_to_end(table_group)
+        while len(self.read_at) > self.capacity:
+            self.read_at.popitem(last=False)
 
+    def invalidate(self, table_group: int) -> None:
+        """A load made what is cached useless."""
+        self.read_at.pop(table_group, None)
 
-def shares(group: int, places: Sequence[Place]) -> Floats:
-    """What part of a group's reads comes to each engine, as the decisions draw among idle ones."""
-    lean = [min(HOME, 1.0 / max(1e-9, 1.0 - stable_hash(one.name, group) / 2**64)) for one in places]
-    weights = np.array([weight * one.cores for weight, one in zip(lean, places, strict=True)])
+    @property
+    def next_evicted(self) -> int | None:
+        """What falls out for one more; None where the cache is not full."""
+        return next(iter(self.read_at)) if len(self.read_at) >= self.capacity else None
+
+    def retention(self, now: float) -> float:
+        """How long what is read now stays cached if it is not read again.
+
+        As long as what falls out next has stayed: the characteristic time of Che and others.
+        """
+        group = self.next_evicted
+        return now - self.read_at[group] if group is not None else math.inf
+
+
+def read_shares(table_group: int, engines: Sequence[EngineCapacity]) -> Floats:
+    """The part of a table group's reads that comes to each engine, as the decisions choose when idle."""
+    affinities = [
+        min(MAX_AFFINITY, 1.0 / max(1e-9, 1.0 - stable_hash(one.name, table_group) / 2**64))
+        for one in engines
+    ]
+    weights = np.array([affinity * one.cores for affinity, one in zip(affinities, engines, strict=True)])
     return np.asarray(weights / weights.sum())
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """A table group at an engine: `worth` and `cost` in core seconds, `chance` that it is read there."""
+class PrefetchCandidate:
+    """A table group at an engine, and the probability that it is read there while it is cached."""
 
-    group: int
+    table_group: int
     engine: str
-    worth: float
+    value: float
     cost: float
-    chance: float
-
-
-def wishes(
-    now: float,
-    forecasts: Forecasts,
-    places: Sequence[Place],
-    believed: Mapping[str, Believed],
-    reading: Mapping[int, float],
-    usual: float,
-    price: float,
-    horizon: float,
-    groups: Sequence[int],
-    holders: Mapping[int, Sequence[str]] | None = None,
-) -> list[Wish]:
-    """All that is worth more than it costs, the best first. `reading`: core seconds that a table group takes
-    to read, `usual` where it is not known; `price`: of a second of cores that would stand idle, in parts of
-    one that somebody waits for; `holders`: engines that have a fresh copy, where that is known."""
-    found, asked, shared, at = list[Wish](), list[int](), list[float](), list[Place]()
-    spans = list[float]()
-    stays = {one.name: min(horizon, believed[one.name].stays(now)) for one in places}
-    for group in groups:
-        part, until = shares(group, places), forecasts.until_load(group)
-        for row in sorted(range(len(places)), key=lambda row: -part[row])[:AT_HOME]:
-            one = places[row]
-            if holders is not None and group in holders and one.name not in holders[group]:
+    read_probability: float
+
+    @property
+    def key(self) -> tuple[int, str]:
+        """What tells it from others."""
+        return self.table_group, self.engine
+
+
+@dataclass(frozen=True, slots=True)
+class ValueTerms:
+    """What values are worked out by.
+
+    Attributes:
+        default_read_cost: What a prefetch costs where that is not known.
+        idle_price: The price of an idle core second, in parts of one that somebody waits for.
+        horizon: How far ahead is planned.
+    """
+
+    default_read_cost: float
+    idle_price: float
+    horizon: float
+
+
+class PrefetchValuation:
+    """Values of prefetches at one moment.
+
+    Attributes:
+        read_costs: What table groups cost to read, where that is known.
+        replicas: The engines that hold a table group, where that is known.
+    """
+
+    def __init__(
+        self,
+        now: float,
+        forecaster: DemandForecaster,
+        engines: Sequence[EngineCapacity],
+        caches: Mapping[str, CacheModel],
+        terms: ValueTerms,
+        read_costs: Mapping[int, float],
+        replicas: Mapping[int, Sequence[str]],
+    ) -> None:
+        self._forecaster = forecaster
+        self._engines = engines
+        self._caches = caches
+        self._terms = terms
+        self._read_costs = read_costs
+        self._replicas = replicas
+        self._retention = {one.name: min(terms.horizon, caches[one.name].retention(now)) for one in engines}
+
+    def candidates(self, table_groups: Sequence[int]) -> list[PrefetchCandidate]:
+        """All prefetches that are worth more than they cost, the best first."""
+        placements = [one for group in table_groups for one in self._placements(group)]
+        if not placements:
+            return []
+        probabilities = self._forecaster.read_probability(
+            [one.table_group for one in placements],
+            np.array([one.share for one in placements]),
+            np.array([one.cached_for for one in placements]),
+        )
+        eviction_costs = self._eviction_costs()
+        valued = [
+            self._value(one, float(probability), eviction_costs.get(one.engine, 0.0))
+            for one, probability in zip(placements, probabilities, strict=True)
+        ]
+        worthwhile = [one for one in valued if one.value > 0.0]
+        return sorted(worthwhile, key=lambda one: (-one.value / one.cost, one.table_group, one.engine))
+
+    def _placements(self, table_group: int) -> list[_Placement]:
+        """The engines where a table group may be prefetched: preferred, holding it, without it cached."""
+        shares, until_load = (
+            read_shares(table_group, self._engines),
+            self._forecaster.time_until_load(table_group),
+        )
+        holders = self._replicas.get(table_group)
+        found = list[_Placement]()
+        preferred = sorted(range(len(self._engines)), key=lambda row: -shares[row])
+        for row in preferred[:ENGINES_PER_GROUP]:
+            name = self._engines[row].name
+            if holders is not None and name not in holders:
+                continue
+            if table_group not in self._caches[name]:
+                cached_for = min(self._retention[name], until_load)
+                found.append(_Placement(table_group, name, float(shares[row]), cached_for))
+        return found
+
+    def _eviction_costs(self) -> dict[str, float]:
+        """What is lost at each engine, on average, by what falls out for one more."""
+        costs = dict[str, float]()
+        for row, engine in enumerate(self._engines):
+            evicted = self._caches[engine.name].next_evicted
+            if evicted is None or evicted not in self._forecaster.groups:
                 continue
-            if group not in believed[one.name].groups:
-                asked.append(group)
-                shared.append(float(part[row]))
-                spans.append(min(stays[one.name], until))
-                at.append(one)
-    if not asked:
-        return []
-    chances = forecasts.used(asked, np.array(shared), np.array(spans))
-    lost = dict[str, float]()
-    for row, place in enumerate(places):
-        falls = believed[place.name].next_out
-        if falls is not None and falls in forecasts.rows:
-            own = shares(falls, places)[row]
-            again = forecasts.used([falls], np.array([own]), np.array([stays[place.name]]))[0]
-            lost[place.name] = float(again) * reading.get(falls, usual)
-    for group, place, chance in zip(asked, at, chances, strict=True):
-        cost = reading.get(group, usual)
-        # What is never read takes a place for as long as things stay, and all that fall out in that time
-        # do so a little earlier, together by one; what is read would have come in anyway.
-        worth = float(chance) * cost - price * cost - (1.0 - float(chance)) * lost.get(place.name, 0.0)
-        if worth > 0.0:
-            found.append(Wish(group, place.name, worth, cost, float(chance)))
-    return sorted(found, key=lambda wish: (-wish.worth / wish.cost, wish.group, wish.engine))
+            share = read_shares(evicted, self._engines)[row]
+            probability = self._forecaster.read_probability(
+                [evicted], np.array([share]), np.array([self._retention[engine.name]])
+            )[0]
+            costs[engine.name] = float(probability) * self._read_cost(evicted)
+        return costs
+
+    def _value(self, placement: _Placement, probability: float, eviction_cost: float) -> PrefetchCandidate:
+        """What a prefetch is worth.
+
+        What is never read takes a place in the cache for as long as things stay, and all that fall out in
+        that time do so a little earlier, together by one; what is read would have been cached anyway.
+        """
+        cost = self._read_cost(placement.table_group)
+        price = self._terms.idle_price * cost
+        value = probability * cost - price - (1.0 - probability) * eviction_cost
+        return PrefetchCandidate(placement.table_group, placement.engine, value, cost, probability)
+
+    def _read_cost(self, table_group: int) -> float:
+        return self._read_costs.get(table_group, self._terms.default_read_cost)
+
+
+@dataclass(frozen=True, slots=True)
+class _Placement:
+    """A table group at an engine: the share of its reads that comes there, how long it would stay cached."""
+
+    table_group: int
+    engine: str
+    share: float
+    cached_for: float
