--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.helpers import ROOT, SERVICES, Engine, Feed, Node, free_address, member, until
-from vanerelay.fleet import messages, release
+from vanerelay.fleet import lease_summary, messages, release
 from vanerelay.fleet.failure_detector import (
     FailureDetector,
     FailureDetectorConfig,
@@ -23,6 +23,7 @@
     view_differences,
 )
 from vanerelay.interface import SECOND
+from vanerelay.leases.messages import LeasesStatus, TaskStatus
 
 CONFIG = FailureDetectorConfig()
 
@@ -77,20 +78,20 @@
             if name in self.down or node.replaced:
                 continue
             target = node.next_probe_target(self.now)
-            if target is None or self.ping(name, target.name, target.standing is MemberState.GONE):
+            if target is None or self.ping(name, target.name, target.status is MemberState.GONE):
                 continue
-            if target.standing is not MemberState.GONE and not any(
+            if target.status is not MemberState.GONE and not any(
                 self.ping(name, one.name) and self.ping(one.name, target.name)
                 for one in node.indirect_probe_helpers(target.name)
             ):
                 node.probe_failed(target.name, self.now)
         self.now = until
 
-    def count_views(self, standing, names=None):
+    def count_views(self, status, names=None):
         """By name: how many of the other gateways see it in that state."""
         return {
             name: sum(
-                node.members[name].standing is standing
+                node.members[name].status is status
                 for other, node in self.nodes.items()
                 if other != name and other not in self.down and name in node.members
             )
@@ -198,7 +199,32 @@
     ping = messages.decode(later, messages.Ping)
     assert ping is not None and ping.own.name == "m1" and ping.gossip == []
     assert messages.decode(b"\xc1nonsense", messages.Ping) is None
-    assert messages.to_member(messages.Row("m1", 1, standing=9)) is None
+    assert messages.to_member(messages.Row("m1", 1, status=9)) is None
+
+
+def test_the_overview_of_leases_prints_as_in_earlier_releases():
+    """The lines were printed by the release before the code was renamed."""
+    voters, token = ["m1", "m2", "m3"], (7 << 32) + 3
+    held = TaskStatus("tidy", holds=True, token=token, remaining_ms=2500)
+    older = TaskStatus("tidy", holds=True, token=token - 1, remaining_ms=100)
+    first = LeasesStatus("m1", voters, memory="knows", era=7, tasks=[held, TaskStatus("warm")])
+    second = LeasesStatus("m2", voters, memory="blank", era=6, tasks=[older], reason="no quorum")
+    summary = lease_summary.summarize({"m1": first, "m2": second})
+    assert not summary.healthy  # a task without a holder, and one voter of three
+    assert list(summary.json_lines()) == [
+        '{"task": "tidy", "holder": "m1", "number": 30064771075, "left_ms": 2500}',
+        '{"task": "warm", "holder": "", "number": 0, "left_ms": 0}',
+        '{"voter": "m1", "memory": "knows", "era": 7, "why": ""}',
+        '{"voter": "m2", "memory": "blank", "era": 6, "why": "no quorum"}',
+        '{"voter": "m3", "memory": "no answer", "era": 0, "why": ""}',
+    ]
+    assert list(summary.text_lines()) == [
+        "tidy                 m1           7.3        2.5 s left",
+        "warm                 held by nobody",
+        "voter m1             knows      era 7",
+        "voter m2             blank      era 6  no quorum",
+        "voter m3             no answer  era 0",
+    ]
 
 
 @pytest.mark.processes
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -14,8 +14,8 @@
 from tests.helpers import World as DecisionsWorld
 from vanerelay.interface import SECOND, AnswerStatus, EngineState, Outcome, QueryArrival, RetryBudgetTerms
 from vanerelay.lab.warming_simulation import FORESEEABLE, DemandKind, Strategy, run_simulation
-from vanerelay.operator_config import BadOptions
-from vanerelay.operator_config import read as read_options
+from vanerelay.operator_config import OperatorConfigError
+from vanerelay.operator_config import read_file as read_options
 from vanerelay.warming import messages
 from vanerelay.warming.config import WarmingConfig, read_config
 from vanerelay.warming.decay_shapes import SHAPE_COUNT, shape_areas, uninformed_weights
@@ -323,17 +323,18 @@
 
 
 def test_an_internal_query_goes_to_its_engine_alone_and_earns_no_retries():
-    world = DecisionsWorld(engines=3, ration=RetryBudgetTerms(10 * SECOND, 0, 0.5))
+    world = DecisionsWorld(engines=3, retry_budget=RetryBudgetTerms(10 * SECOND, 0, 0.5))
     for number in range(20):
         fields = (70 + number, 0, 0, None, world.now + SECOND, 1000, 500.0, 7, False, frozenset({1}), True)
         query = world.gateway.submit(QueryArrival(*fields))
         assert (
-            world.did("send_attempt")[-1][:2] == (70 + number, 1) and world.gateway._engines.pool.running == 1
+            world.calls_of("send_attempt")[-1][:2] == (70 + number, 1)
+            and world.gateway._engines.pool.running == 1
         )
-        world.end(query, Outcome.COMPLETED)
+        world.end_attempt(query, Outcome.COMPLETED)
     assert world.gateway._engines.pool.running == 0
-    query = world.take()
-    world.end(query, Outcome.FAILED)
+    query = world.submit()
+    world.end_attempt(query, Outcome.FAILED)
     assert len(query.attempts) == 1, "one query of a client earns half a retry, ours none"
 
 
@@ -372,6 +373,6 @@
 @pytest.mark.parametrize("change", BAD)
 def test_errors_are_one_line(tmp_path, change):
     old, new = change.split("|")
-    with pytest.raises(BadOptions) as error:
+    with pytest.raises(OperatorConfigError) as error:
         filled(tmp_path, GOOD.replace(old, new))
     assert BAD[change] in str(error.value)
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.helpers import ALLOWED, GROUP, entry
+from tests.helpers import CAPABILITIES, SERVICE_CLASS, entry
 from vanerelay.interface import SECOND, DeduplicationScope, EngineStatus, Idempotency, RetryBudgetTerms
 from vanerelay.xds import resources
 from vanerelay.xds.assignment import (
@@ -50,8 +50,8 @@
     **service_class,
 ):
     terms = AssignmentTerms(
-        (dataclasses.replace(GROUP, **service_class),),
-        dataclasses.replace(ALLOWED, **(capabilities or {})),
+        (dataclasses.replace(SERVICE_CLASS, **service_class),),
+        dataclasses.replace(CAPABILITIES, **(capabilities or {})),
         retry_budget or RetryBudgetTerms(0, 0, 0.0),
         3.0,
         ProxyShareConfig(share),
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -90,9 +90,9 @@
         return {}
     options = _subsystem("vanerelay.operator_config", "requirements-xds.txt")
     try:
-        found: dict[str, Any] = options.subsystems(path)
+        found: dict[str, Any] = options.read_subsystems(path)
         return found
-    except options.BadOptions as fault:
+    except options.OperatorConfigError as fault:
         click.echo(f"vanerelay: options {fault}", err=True)
     except ModuleNotFoundError as fault:
         wanted = "expected what requirements-xds.txt pins"
@@ -178,10 +178,10 @@
 
     try:
         told = read(config)
-        why = settings_validation.doubtful(told["settings"])
+        why = settings_validation.find_doubt(told["settings"])
         if why is not None:
             raise StartupError(f"configuration {config}: {why}")
-        groups = settings.service_groups(told["settings"])
+        groups = settings.service_classes(told["settings"])
         changes = discovery_codec.parse(told["known"], {}, {})
     except (StartupError, KeyError, TypeError, ValueError, AttributeError) as fault:
         click.echo(f"vanerelay: {fault}", err=True)
--- a/vanerelay/freshness/config.py
+++ b/vanerelay/freshness/config.py
@@ -66,7 +66,7 @@
 def read_config(block: Block) -> FreshnessConfig:
     """Reads the block.
 
-    Raises BadOptions with the line of what is wrong.
+    Raises OperatorConfigError with the line of what is wrong.
     """
     watch_block, sessions_block = block.only("watch"), block.only("sessions")
     if watch_block is None:
--- a/vanerelay/freshness/record_service.py
+++ b/vanerelay/freshness/record_service.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred, succeed
 
 from vanerelay.fleet.rpc import RequestRefusedError
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.freshness import messages, session_affinity
 from vanerelay.freshness.config import SessionsConfig
 from vanerelay.freshness.session_affinity import (
@@ -46,15 +46,15 @@
 class RecordService:
     """Stores records for other gateways, and asks them for theirs."""
 
-    def __init__(self, fleet: Fleet, clock: Callable[[], int], config: SessionsConfig) -> None:
+    def __init__(self, fleet: FleetService, clock: Callable[[], int], config: SessionsConfig) -> None:
         self._fleet = fleet
         self._clock = clock
         self._timeout_s = config.timeout / SECOND
-        self._gateways = sorted({fleet.name, *(known.name for known in fleet.parts.known)})
+        self._gateways = sorted({fleet.name, *(known.name for known in fleet.config.seeds)})
         self._sessions = SessionStore(clock(), config.max_sessions, config.max_lifetime)
         self._load_ends = LoadEnds(config.max_sessions)
         self._own_load_ends = LoadEnds(config.max_sessions)  # of loads that this gateway answered
-        fleet.links.handlers |= {
+        fleet.rpc.handlers |= {
             messages.SESSION_LOOKUP_KIND: self._session_lookup_requested,
             messages.SESSION_STORE_KIND: self._session_store_requested,
             messages.LOAD_LOOKUP_KIND: self._load_lookup_requested,
@@ -128,7 +128,7 @@
             if name == self._fleet.name:
                 self._load_ends.store(reference, end)
             else:
-                sent = self._fleet.ask(name, messages.LOAD_STORE_KIND, body, self._timeout_s)
+                sent = self._fleet.call(name, messages.LOAD_STORE_KIND, body, self._timeout_s)
                 sent.addErrback(lambda _: None)
 
     def lookup_load_end(self, reference: str) -> Deferred[LoadEnd | None]:
@@ -162,7 +162,7 @@
             if name == self._fleet.name and own_handler is not None:
                 gathering.answered(own_handler(body), name)
             else:
-                sent = self._fleet.ask(name, kind, body, self._timeout_s)
+                sent = self._fleet.call(name, kind, body, self._timeout_s)
                 sent.addErrback(lambda _: None).addCallback(gathering.answered, name)
 
 
--- a/vanerelay/freshness/service.py
+++ b/vanerelay/freshness/service.py
@@ -9,7 +9,7 @@
 
 from vanerelay.fleet.failure_detector import MemberState
 from vanerelay.fleet.rpc import RequestRefusedError
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.freshness import dissemination, messages
 from vanerelay.freshness.config import FreshnessConfig
 from vanerelay.freshness.record_service import RecordService
@@ -40,7 +40,7 @@
         on_update: Called once positions may have changed.
     """
 
-    def __init__(self, reactor: Any, fleet: Fleet, leases: Leases, config: FreshnessConfig) -> None:
+    def __init__(self, reactor: Any, fleet: FleetService, leases: Leases, config: FreshnessConfig) -> None:
         self._reactor = reactor
         self._fleet = fleet
         self.config = config
@@ -61,7 +61,7 @@
         self._orders = list[list[str]]()  # live gateways by rendezvous hashing, for each shard
         self._live = list[str]()
         self._timer: Any = None
-        fleet.links.handlers |= {messages.SHARD_UPDATE_KIND: self._update_requested}
+        fleet.rpc.handlers |= {messages.SHARD_UPDATE_KIND: self._update_requested}
 
     def start(self) -> None:
         """Begins to fetch updates."""
@@ -104,8 +104,8 @@
     def _rank_gateways(self) -> None:
         live = sorted(
             member.name
-            for member in self._fleet.alive.members.values()
-            if member.standing is MemberState.ALIVE or member.name == self.name
+            for member in self._fleet.detector.members.values()
+            if member.status is MemberState.ALIVE or member.name == self.name
         )
         if live != self._live:
             self._live = live
@@ -134,7 +134,7 @@
         requested_at = self.clock()
         request = messages.shard_update_request(number, shard.next_request(requested_at))
         timeout_s = TIMEOUT_INTERVALS * self.config.watch.update_interval / SECOND
-        sent = self._fleet.ask(source, messages.SHARD_UPDATE_KIND, messages.encode(request), timeout_s)
+        sent = self._fleet.call(source, messages.SHARD_UPDATE_KIND, messages.encode(request), timeout_s)
         sent.addCallback(self._update_received, number, requested_at)
         sent.addErrback(self._update_failed, number)
 
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -12,7 +12,7 @@
 from vanerelay.interface import SECOND, Duration
 from vanerelay.leases.config import LeasesConfig as LeaseParts
 from vanerelay.leases.config import read_config as lease_parts
-from vanerelay.operator_config import BadOptions, Block, read
+from vanerelay.operator_config import Block, OperatorConfigError, read_file
 from vanerelay.rollout import settings_diff
 from vanerelay.rollout.canary_analysis import AnalysisTerms, Guard
 from vanerelay.rollout.stage_machine import NEW, NEW_STRICT, OLD, OLD_STRICT, Away, Plan, Stage, Worse
@@ -68,8 +68,8 @@
 
 
 def load(path: str) -> Loaded:
-    """Raises BadOptions with the line of what is wrong: everything is checked before anything moves."""
-    document = read(path)
+    """Raises OperatorConfigError with the line of what is wrong: everything is checked before anything moves."""
+    document = read_file(path)
     change_block, managers = document.only("change"), document.all("member")
     stages, guards = document.all("stage"), document.all("guard")
     if change_block is None or not managers or not stages:
@@ -126,7 +126,7 @@
     if not change.before:
         raise block.wrong("change: no before, expected the file with the settings of now")
     old, new = (_settings(block, folder, name, getattr(change, name)) for name in ("before", "settings"))
-    why = settings_validation.fixed(old, new)
+    why = settings_validation.find_restart_setting(old, new)
     if why is not None:
         raise block.wrong(f"settings: {why}", "settings")
     if release.settings(old) == release.settings(new):
@@ -141,7 +141,7 @@
     except (OSError, ValueError) as fault:
         raise block.wrong(f"{path}: {fault}", name) from None
     found = told.get("settings", told) if isinstance(told, dict) else told
-    why = settings_validation.wrong(found) or settings_validation.doubtful(found)
+    why = settings_validation.find_error(found) or settings_validation.find_doubt(found)
     if why is not None:
         raise block.wrong(f"{path}: {why}", name)
     return dict(found)
@@ -208,4 +208,4 @@
     return found
 
 
-__all__ = ["BadOptions", "Loaded", "Reached", "load"]
+__all__ = ["OperatorConfigError", "Loaded", "Reached", "load"]
--- a/vanerelay/warming/config.py
+++ b/vanerelay/warming/config.py
@@ -69,7 +69,7 @@
 def read_config(block: Block) -> WarmingConfig:
     """Reads the block.
 
-    Raises BadOptions with the line of what is wrong.
+    Raises OperatorConfigError with the line of what is wrong.
     """
     publisher_blocks = block.all("publisher")
     publishers = tuple(one.fill(PublisherConfig, name=one.label) for one in publisher_blocks)
--- a/vanerelay/warming/extension.py
+++ b/vanerelay/warming/extension.py
@@ -57,7 +57,7 @@
                 host, self._fleet.fleet, leases, config, zone, chance, self._replicas_of
             )
             self._planners.append(planner)
-        self._fleet.fleet.links.handlers |= {
+        self._fleet.fleet.rpc.handlers |= {
             messages.POPULARITY_KIND: self._popularity_requested,
             messages.PREFETCH_KIND: self._prefetch_requested,
         }
--- a/vanerelay/warming/planner.py
+++ b/vanerelay/warming/planner.py
@@ -15,7 +15,7 @@
 
 from vanerelay.extension import ExtensionHost
 from vanerelay.fleet.failure_detector import MemberState
-from vanerelay.fleet.service import Fleet
+from vanerelay.fleet.service import FleetService
 from vanerelay.interface import SECOND, EngineState
 from vanerelay.leases.assignment import Candidate, ranked
 from vanerelay.leases.fencing import LeasedOperation, LeaseHolder
@@ -44,7 +44,7 @@
     def __init__(
         self,
         host: ExtensionHost,
-        fleet: Fleet,
+        fleet: FleetService,
         leases: Leases,
         config: WarmingConfig,
         zone: str,
@@ -93,8 +93,8 @@
         self._model.set_engines(self._usable_engines())
         gateways = [
             member.name
-            for member in self._fleet.alive.members.values()
-            if member.standing is MemberState.ALIVE
+            for member in self._fleet.detector.members.values()
+            if member.status is MemberState.ALIVE
         ]
         for name in gateways:
             self._ask_popularity(name)
@@ -141,7 +141,7 @@
 
     def _ask_popularity(self, gateway: str) -> None:
         request = messages.PopularityRequest(self._next_slices.get(gateway, 0))
-        sent = self._fleet.ask(gateway, messages.POPULARITY_KIND, messages.encode(request), TIMEOUT_S)
+        sent = self._fleet.call(gateway, messages.POPULARITY_KIND, messages.encode(request), TIMEOUT_S)
         sent.addCallback(partial(self._popularity_received, gateway)).addErrback(lambda _: None)
 
     def _popularity_received(self, gateway: str, body: bytes) -> None:
@@ -186,7 +186,7 @@
             min(self._config.max_duration, lease_left),
             [candidate.key for candidate in prefetches],
         )
-        sent = self._fleet.ask(gateway, messages.PREFETCH_KIND, messages.encode(request), TIMEOUT_S)
+        sent = self._fleet.call(gateway, messages.PREFETCH_KIND, messages.encode(request), TIMEOUT_S)
         sent.addErrback(lambda _: None).addCallback(self._order_answered, operation)
 
     def _order_answered(self, body: bytes | None, operation: LeasedOperation) -> None:
--- a/vanerelay/xds/config.py
+++ b/vanerelay/xds/config.py
@@ -47,7 +47,7 @@
 def read_config(block: Block) -> XdsConfig:
     """Reads the block.
 
-    Raises BadOptions with the line of what is wrong.
+    Raises OperatorConfigError with the line of what is wrong.
     """
     share, limits, tls = block.only("handed"), block.only("limits"), block.only("tls")
     config = XdsConfig(
--- a/vanerelay/xds/extension.py
+++ b/vanerelay/xds/extension.py
@@ -31,10 +31,10 @@
         """Opens the listener. Raises StartupError."""
         host, profile = self._host, self._host.settings
         terms = AssignmentTerms(
-            tuple(settings.service_groups(profile)),
-            settings.allowances(profile),
-            settings.ration_terms(profile),
-            settings.cold_start(profile).overload_multiple,
+            tuple(settings.service_classes(profile)),
+            settings.capabilities(profile),
+            settings.retry_budget_terms(profile),
+            settings.slow_start_terms(profile).overload_multiple,
             self._config.proxy_share,
         )
         self._service = ControlService(host.reactor, host.clock, self._config, host, terms, list(host.zones))
