--- a/vanerelay/freshness/constraint.py
+++ b/vanerelay/freshness/constraint.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
+
+from twisted.internet.base import DelayedCall
 
 from vanerelay.extension import ConstrainedQuery, QueryConstraint, QueryInfo
 from vanerelay.interface import SECOND
@@ -28,7 +30,7 @@
         self.received_at = router.service.clock()
         self.attempted = False
         self.is_finished = False
-        self._timer: Any = None
+        self._timer: DelayedCall | None = None
         self._restricted_to: frozenset[str] | None = None  # the engines that were named last
 
     def start(self, query: ConstrainedQuery) -> None:
--- a/vanerelay/freshness/extension.py
+++ b/vanerelay/freshness/extension.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import random
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
+
+from twisted.internet.base import DelayedCall
 
 from vanerelay.extension import Extension, ExtensionHost, QueryConstraint, QueryInfo
 from vanerelay.fleet.extension import FleetExtension
@@ -48,7 +50,7 @@
         self._fleet = fleet
         self._leases = leases
         self._runners = list[MaintenanceRunner]()
-        self._timer: Any = None
+        self._timer: DelayedCall | None = None
         self._opened = False
 
     def open(self) -> None:
--- a/vanerelay/freshness/read_constraints.py
+++ b/vanerelay/freshness/read_constraints.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import structlog
 from twisted.internet.defer import Deferred, DeferredList
@@ -111,7 +111,7 @@
         """The read is held until the load and the session that it names are looked up, and engines known."""
         super().start(query)
         hint, records = self._hint, self._router.service.records
-        lookups = list[Deferred[Any]]()
+        lookups = list[Deferred[None]]()
         if hint.after_load:
             lookups.append(records.lookup_load_end(hint.after_load).addCallback(self._load_found))
         if hint.session:
--- a/vanerelay/freshness/service.py
+++ b/vanerelay/freshness/service.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 import structlog
+from twisted.internet.base import DelayedCall
 
 from vanerelay.fleet.failure_detector import MemberState
 from vanerelay.fleet.rpc import RequestRefusedError
@@ -60,7 +61,7 @@
         self._stale = set[int]()  # shards whose positions are stale, as was logged
         self._orders = list[list[str]]()  # live gateways by rendezvous hashing, for each shard
         self._live = list[str]()
-        self._timer: Any = None
+        self._timer: DelayedCall | None = None
         fleet.rpc.handlers |= {messages.SHARD_UPDATE_KIND: self._update_requested}
 
     def start(self) -> None:
--- a/vanerelay/grpc_wire/driver.py
+++ b/vanerelay/grpc_wire/driver.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 import structlog
+from twisted.internet.base import DelayedCall
 from twisted.internet.interfaces import IAddress, IPushProducer
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
@@ -56,8 +57,8 @@
         self._paused = False
         self._writing = False
         self._open = True
-        self._write_timer: Any = None
-        self._tick_timer: Any = None
+        self._write_timer: DelayedCall | None = None
+        self._tick_timer: DelayedCall | None = None
         self.session = make_session(self)
 
     def connectionMade(self) -> None:
@@ -71,7 +72,7 @@
         try:
             self.session.feed(self._clock.now(), data)
         except Exception:
-            log.exception("unexpected error on a gRPC connection")
+            log.exception("a gRPC connection met a fault")
             self.session.connection_lost("a fault")
         self._write()
 
--- a/vanerelay/warming/executor.py
+++ b/vanerelay/warming/executor.py
@@ -11,6 +11,8 @@
 from functools import partial
 from typing import Any
 
+from twisted.internet.base import DelayedCall
+
 from vanerelay.extension import ExtensionHost, InternalQuery
 from vanerelay.history import History
 from vanerelay.interface import SECOND, AnswerStatus, EngineState
@@ -58,7 +60,7 @@
         self._waiting = deque[_WaitingPrefetch]()
         self._running = dict[InternalQuery, int]()  # until when
         self._history = History(host.name, config.history)
-        self._timer: Any = None
+        self._timer: DelayedCall | None = None
         self.results = deque[PrefetchResult](maxlen=MAX_RESULTS)
         self.is_stopped = False
 
--- a/vanerelay/warming/planner.py
+++ b/vanerelay/warming/planner.py
@@ -9,9 +9,9 @@
 from collections import defaultdict
 from collections.abc import Callable, Sequence
 from functools import partial
-from typing import Any
 
 import structlog
+from twisted.internet.base import DelayedCall
 
 from vanerelay.extension import ExtensionHost
 from vanerelay.fleet.failure_detector import MemberState
@@ -60,7 +60,7 @@
         self._chance = chance
         self._replicas_of = replicas_of
         self._lease = leases.add_task(f"warm/{zone}", self._acquired, self._lost)
-        self._timer: Any = None
+        self._timer: DelayedCall | None = None
         self._reset()
 
     def _reset(self) -> None:
--- a/vanerelay/xds/service.py
+++ b/vanerelay/xds/service.py
@@ -14,6 +14,7 @@
 
 import structlog
 from envoy.config.core.v3 import base_pb2
+from twisted.internet.base import DelayedCall
 
 from vanerelay.clock import Clock
 from vanerelay.engine_list import EngineListChange
@@ -74,7 +75,7 @@
         self._draining: dict[str, DrainingEngine] = {}  # by name
         self._updates = UpdateQueue(reactor, self._send_updates)
         self._nonces = itertools.count(1)
-        self._refresh_timer: Any = None
+        self._refresh_timer: DelayedCall | None = None
         self._rejection_log = RateLimitedLog(reactor, "proxy rejected an update")
         self._server = GrpcServerFactory(
             reactor, clock, config.limits, config.max_connections, self._call_opened
