--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,7 +1,7 @@
 """Checks from outside what the decisions do: rules 1, 2, 3, 5, 6 and 7 of the users' protocol.
 
-They stand in section 10 of its page WIRE. The checker is the decisions' Transport, knows of them only what goes
-in and out, and shares no code with them.
+They stand in section 10 of its page WIRE. The checker is the decisions' Transport, knows of them only what
+goes in and out, and shares no code with them.
 """
 
 from __future__ import annotations
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -31,7 +31,7 @@
 from vanerelay.policy.slow_start import SlowStart
 
 O = Outcome  # noqa: E741
-BUSY = 13_000.0  # MB: over a share of a third, so that one query fills an engine
+BUSY = 13_000.0  # MB: over a slice of a third, so that one query fills an engine
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
         (100.0, 74, 0.5, False),  # threads may be overdrawn by part of a query
     ],
 )
-def test_reservations_hold_grants_and_threads_against_the_share(grant, threads, part, fits):
+def test_reservations_hold_grants_and_threads_against_the_slice(grant, threads, part, fits):
     reservations = Reservations(3000.0, 16)
     reservations.reserve(1000.0, 4)
     assert reservations.fits(grant, threads, part) is fits
@@ -176,10 +176,10 @@
         (200, 0.1, 60, 0.85 * 0.995 - 0.5),
     ],
 )
-def test_idle_capacity_is_lent_past_the_own_share(gateways, others, age, part):
+def test_idle_capacity_is_lent_past_the_slice(gateways, others, age, part):
     engine = World(engines=1, gateways=gateways).engine(0)
     engine.load_reported(1000 * SECOND, LoadReport(memory_granted=others), 1.0)
-    assert engine.own_share((1000 + age) * SECOND, 0.5, 1 / gateways) == pytest.approx(part)
+    assert engine.fillable_share((1000 + age) * SECOND, 0.5, 1 / gateways) == pytest.approx(part)
 
 
 @pytest.mark.parametrize(
@@ -194,7 +194,7 @@
         (1, True, (), 1500, 1),
     ],
 )
-def test_the_share_of_an_absent_gateway_is_divided_among_the_others(gateways, peers, heard, span, parts):
+def test_the_slice_of_an_absent_gateway_is_divided_among_the_others(gateways, peers, heard, span, parts):
     """Seen on sockets: a tenth was rejected while one restarted, with a third of each engine left to nobody.
     A peer never heard from counts as present: messages may be lost, and it starts when it starts."""
     world = World(gateways=gateways, capabilities={"may_gossip": peers})
@@ -202,16 +202,16 @@
         world.gateway.receive_from_peer(number, b"\0\0\0\1")
     for _ in range(span // 50):
         world.advance(500)
-    assert world.gateway._capacity.share == pytest.approx(1 / parts)
+    assert world.gateway._capacity.slice == pytest.approx(1 / parts)
     assert (len(world.calls_of("send_to_peers")) >= span // 250) == (peers and 1 < gateways < 9)
     for number in heard:
         world.gateway.receive_from_peer(number, b"\0\0\0\1")
     world.advance(3000)
-    assert world.gateway._capacity.share == pytest.approx(1 / gateways)
+    assert world.gateway._capacity.slice == pytest.approx(1 / gateways)
 
 
 @pytest.mark.parametrize(("theirs", "part"), [(0, 0.67), (100, 0.4), (200, 0.29), (10**9, 0.0)])
-def test_shares_follow_the_traffic_of_each_gateway(theirs, part):
+def test_slices_follow_the_traffic_of_each_gateway(theirs, part):
     """Seen on sockets: a fifth was rejected at the gateway with half of the traffic, beside two with room."""
     world = World(gateways=3, capabilities={"may_gossip": True})
     for _ in range(100):
@@ -219,14 +219,14 @@
         world.submit().client_left()
         for number, need in ((1, theirs), (2, 50)):
             world.gateway.receive_from_peer(number, need.to_bytes(4, "big"))
-    assert world.gateway._capacity.share == pytest.approx(part, abs=0.03)
+    assert world.gateway._capacity.slice == pytest.approx(part, abs=0.03)
 
 
 @pytest.mark.parametrize(
     ("gateways", "engines", "kept", "sent"),
     [(1, 40, 40, 40), (3, 7, 7, 7), (50, 12, 8, 2), (200, 40, 8, 2), (200, 1, 1, 1), (5, 0, 0, 0)],
 )
-def test_idle_engines_take_no_more_than_our_share_of_the_pool(gateways, engines, kept, sent):
+def test_idle_engines_take_no_more_than_our_slice_of_the_pool(gateways, engines, kept, sent):
     world = World(engines=engines, gateways=gateways)
     for _ in range(60):
         world.submit(memory=9000.0)
@@ -472,7 +472,7 @@
 
 @pytest.mark.parametrize(("sick", "outcome"), [(0, O.FAILED), (1, O.FAILED), (0, O.RESET)])
 def test_errors_common_to_all_engines_are_not_held_against_them(sick, outcome):
-    """Seen on sockets: queries of bad clients fail wherever they go, and the share of every engine that was
+    """Seen on sockets: queries of bad clients fail wherever they go, and the slice of every engine that was
     used shrank with its health. One that fails more than the others is found all the same."""
     world = World(engines=5)
     for count in range(400):
@@ -565,7 +565,7 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.5, 1.0, 4.0])
-def test_engine_weights_count_in_the_draw_and_in_the_share(weight):
+def test_engine_weights_count_in_the_draw_and_in_the_slice(weight):
     world = World(2)
     world.gateway.update_engines([entry(0, weight=weight), entry(1)], True)
     for _ in range(400):
@@ -574,7 +574,7 @@
     to = [engine for _, engine, _ in world.calls_of("send_attempt")]
     low, high = {0.0: (0, 0), 0.5: (90, 180), 1.0: (150, 250), 4.0: (280, 360)}[weight]
     assert low <= to.count(0) <= high and len(to) == 400
-    # Filled with queries that stay, no more of it is taken than our share.
+    # Filled with queries that stay, no more of it is taken than our slice.
     full = World(2)
     full.gateway.update_engines([entry(0, weight=weight), entry(1, weight=0.0)], True)
     for _ in range(60):
@@ -690,7 +690,7 @@
 
 
 @pytest.mark.parametrize(("outcome", "again"), [(O.REJECTED, 1), (O.NOT_SENT, 2)])
-def test_an_engine_that_rejects_takes_none_past_our_share_for_a_while(outcome, again):
+def test_an_engine_that_rejects_takes_none_past_our_slice_for_a_while(outcome, again):
     """Seen with 32 gateways under settings of our own: full engines were tried again at once by every one."""
     world = World(engines=1, gateways=200, latency_objective=8 * SECOND)
     query = world.submit(memory=10.0)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -76,7 +76,7 @@
     engine = World(engines=1, gateways=50).engine(0)
     for slowdown in slowdowns:
         engine.health.run_observed(slowdown, 1.0)
-    assert engine.own_share(1000 * SECOND, 1.0, 0.02, 0.5) == pytest.approx(lent, abs=0.01)
+    assert engine.fillable_share(1000 * SECOND, 1.0, 0.02, 0.5) == pytest.approx(lent, abs=0.01)
     for beat in range(40):
         engine.health.review(beat * SECOND // 4, 0.0, usual)
     assert engine.health.level == pytest.approx(level, abs=0.01)
--- a/vanerelay/fleet/release.py
+++ b/vanerelay/fleet/release.py
@@ -16,7 +16,7 @@
     "policy/attempt.py",
     "policy/attempt_supervisor.py",
     "policy/attempt_timeout.py",
-    "policy/capacity_share.py",
+    "policy/capacity_slice.py",
     "policy/engine.py",
     "policy/engine_monitor.py",
     "policy/engine_registry.py",
--- a/vanerelay/policy/capacity_share.py
+++ b/vanerelay/policy/capacity_slice.py
@@ -1,7 +1,7 @@
-"""This gateway's share of every engine beside the other gateways', and what it borrows of theirs.
+"""This gateway's slice of every engine beside the other gateways', and what it borrows of theirs.
 
-Where few gateways may gossip, each tells how many queries came to it, and shares follow the traffic.
-Elsewhere each has an even share, and borrows where its own queries run unhindered.
+Where few gateways may gossip, each tells how many queries came to it, and slices follow the traffic.
+Elsewhere each has an even slice, and borrows where its own queries run unhindered.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 """Time between two messages to the peers."""
 
 PEER_TIMEOUT = SECOND
-"""A peer that was silent for so long is away, and its share is divided among the others."""
+"""A peer that was silent for so long is away, and its slice is divided among the others."""
 
 DEMAND_SPAN = 10 * SECOND
 """Span of the queries that make a gateway's demand."""
@@ -42,12 +42,12 @@
     queries: float
 
 
-class CapacityShare:
-    """Our share of each engine.
+class CapacitySlice:
+    """Our slice of each engine.
 
     Attributes:
-        share: The part of each engine that is ours and our proxies'.
-        unproxied: The part of our share, and of our budgets for engines that warm up, not left to proxies.
+        slice: The part of each engine that is ours and our proxies'.
+        unproxied: The part of our slice, and of our budgets for engines that warm up, not left to proxies.
         borrowable: The part of an engine that we would borrow for the work that comes.
     """
 
@@ -57,14 +57,14 @@
         self._started_at = now
         self._offered = SlidingSums(OFFERED_SPAN, 1)
         self._demands = {position.index: Demand(NEVER, 0.0)}
-        self.share = 1.0 / position.gateway_count
+        self.slice = 1.0 / position.gateway_count
         self.unproxied = 1.0
         self.borrowable = 0.0
 
     @property
-    def own_share(self) -> float:
+    def own_slice(self) -> float:
         """The part of each engine that our own queries may fill."""
-        return self.share * self.unproxied
+        return self.slice * self.unproxied
 
     def work_offered(self, now: int, work: float) -> None:
         """A query came in."""
@@ -81,7 +81,7 @@
         return self._gossips and now - self._demands[self._position.index].told_at >= GOSSIP_INTERVAL
 
     def gossip(self, now: int, recent_queries: float, is_stalled: bool) -> bytes:
-        """Sets our share by the demands known; the message for the peers.
+        """Sets our slice by the demands known; the message for the peers.
 
         Peers never heard of count like ourselves. Where we stood still ourselves, none counts as away.
         """
@@ -94,7 +94,7 @@
             if is_stalled or now - demand.told_at <= PEER_TIMEOUT
         ]
         unheard = self._position.gateway_count - len(self._demands)
-        self.share = own / (sum(present) + own * unheard)
+        self.slice = own / (sum(present) + own * unheard)
         return int(own).to_bytes(DEMAND_BYTES, "big")
 
     def peer_told(self, now: int, gateway: int, message: bytes) -> None:
--- a/vanerelay/policy/engine.py
+++ b/vanerelay/policy/engine.py
@@ -13,7 +13,7 @@
 """A moment before all others."""
 
 LENT_SHARE = 0.85
-"""Most of the other gateways' shares that is lent where reports show that nobody holds it."""
+"""Most of the other gateways' slices that is lent where reports show that nobody holds it."""
 
 PROXY_REPORT_LIFETIME = 10 * SECOND
 """How long a proxy's report holds."""
@@ -98,21 +98,21 @@
         """The part that nobody holds, as far as it was reported."""
         return max(0.0, 1.0 - self.reported_share - self.reservations.used_share())
 
-    def own_share(self, now: int, usual: float, share: float, borrowable: float = 0.0) -> float:
-        """The part that our queries may fill: our share, or what others leave of theirs.
+    def fillable_share(self, now: int, usual: float, own_slice: float, borrowable: float = 0.0) -> float:
+        """The part that our queries may fill: our slice, or what others leave of theirs.
 
         Args:
             now: The present moment.
             usual: The usual of what others hold of an engine.
-            share: Our share of every engine.
+            own_slice: Our slice of every engine.
             borrowable: What we would borrow for our traffic where queries run about as fast as alone.
         """
-        unheld = LENT_SHARE * (1.0 - share) - self.held_by_others(now, usual)
+        unheld = LENT_SHARE * (1.0 - own_slice) - self.held_by_others(now, usual)
         lent = max(unheld, borrowable * self.health.spare_capacity())
-        return self.capacity_factor(now) * min(1.0, self.entry.weight) * max(share, lent)
+        return self.capacity_factor(now) * min(1.0, self.entry.weight) * max(own_slice, lent)
 
-    def status(self, now: int, share: float) -> EngineStatus:
-        """How the engine is seen, where `share` of each engine is ours and our proxies'."""
+    def status(self, now: int, our_slice: float) -> EngineStatus:
+        """How the engine is seen, where `our_slice` of each engine is ours and our proxies'."""
         return EngineStatus(
             entry=self.entry,
             health=self.health.level,
@@ -120,7 +120,7 @@
             warmed_up=self.slow_start.is_warmed_up(now),
             ramped_here=self.slow_start.is_sender,
             ramp_share=self.slow_start.ramp_share(now),
-            capacity_share=self.health.level * min(1.0, self.entry.weight) * share,
+            capacity_share=self.health.level * min(1.0, self.entry.weight) * our_slice,
             memory=self.reservations.memory,
             cores=self.reservations.cores,
         )
--- a/vanerelay/policy/fitting.py
+++ b/vanerelay/policy/fitting.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from vanerelay.interface import SECOND
-from vanerelay.policy.capacity_share import CapacityShare
+from vanerelay.policy.capacity_slice import CapacitySlice
 from vanerelay.policy.engine import Engine
 from vanerelay.policy.engine_monitor import EngineMonitor
 from vanerelay.policy.engine_registry import EngineRegistry
@@ -38,14 +38,14 @@
 
 
 class Fitting:
-    """Sizes grants, and holds queries against our share of each engine and of the pool of all engines."""
+    """Sizes grants, and holds queries against our slice of each engine and of the pool of all engines."""
 
     def __init__(
         self,
         max_grant_share: float,
         memory: MemoryEstimator,
         engines: EngineRegistry,
-        capacity: CapacityShare,
+        capacity: CapacitySlice,
         monitor: EngineMonitor,
     ) -> None:
         self._grant_share = min(MAX_GRANT_SHARE, max_grant_share)
@@ -63,11 +63,11 @@
         return Grant(size, self._memory.reserved(now, *shape, size))
 
     def fit(self, now: int, query: Query, engines: Sequence[Engine], grant: Grant) -> Fit | None:
-        """The engines where a query fits our share; an idle one, while our share of the pool lasts."""
+        """The engines where a query fits our slice; an idle one, while our slice of the pool lasts."""
         usual, borrowable = self._monitor.usual_load, self._capacity.borrowable
-        own_share, pool = self._capacity.own_share, self._engines.pool
-        is_pool_free = not pool.running or pool.fits(grant.reserved, query.threads, own_share)
-        shares = [engine.own_share(now, usual, own_share, borrowable) for engine in engines]
+        own_slice, pool = self._capacity.own_slice, self._engines.pool
+        is_pool_free = not pool.running or pool.fits(grant.reserved, query.threads, own_slice)
+        shares = [engine.fillable_share(now, usual, own_slice, borrowable) for engine in engines]
         fitting = [
             engine
             for share, engine in zip(shares, engines, strict=True)
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -30,7 +30,7 @@
 from vanerelay.policy.attempt import Attempt, AttemptTable
 from vanerelay.policy.attempt_supervisor import AttemptSupervisor
 from vanerelay.policy.attempt_timeout import AttemptTimeouts
-from vanerelay.policy.capacity_share import CapacityShare
+from vanerelay.policy.capacity_slice import CapacitySlice
 from vanerelay.policy.engine import Engine
 from vanerelay.policy.engine_monitor import EngineMonitor
 from vanerelay.policy.engine_registry import EngineRegistry
@@ -89,7 +89,7 @@
         """What knows the engines, and what of them is ours."""
         transport, capabilities, position = self._transport, self._capabilities, settings.position
         self._housekeeping = Housekeeping(transport.now, position.gateway_count)
-        self._capacity = CapacityShare(transport.now, position, capabilities.may_gossip)
+        self._capacity = CapacitySlice(transport.now, position, capabilities.may_gossip)
         self._monitor = EngineMonitor(transport, capabilities.polls_load)
         self._engines = EngineRegistry(transport, settings, self._monitor)
         self._fitting = Fitting(
@@ -303,7 +303,7 @@
         self._capacity.peer_told(self._transport.now, gateway, message)
 
     def set_proxy_share(self, share: float) -> None:
-        """Leaves a part of our share, and of our budgets for engines that warm up, to proxies."""
+        """Leaves a part of our slice, and of our budgets for engines that warm up, to proxies."""
         self._capacity.unproxied = 1.0 - share
 
     def update_proxy_load(self, engine: int, running: float, ended: float, errors: float) -> None:
@@ -326,7 +326,7 @@
             self._transport.call_later(HOUSEKEEPING_INTERVAL, self._keep_house)
 
     def _review(self, now: int) -> None:
-        """Looks over the engines, the attempts, the queue and our share."""
+        """Looks over the engines, the attempts, the queue and our slice."""
         is_stalled, is_slow_review = self._housekeeping.is_stalled, self._housekeeping.is_slow_review_due
         if is_slow_review:
             self._monitor.update_baselines(now, self._engines.baseline())
@@ -397,4 +397,4 @@
     def engine_statuses(self) -> list[EngineStatus]:
         """How each listed engine is seen."""
         now = self._transport.now
-        return [engine.status(now, self._capacity.share) for engine in self._engines.listed()]
+        return [engine.status(now, self._capacity.slice) for engine in self._engines.listed()]
--- a/vanerelay/warming/prefetch_value.py
+++ b/vanerelay/warming/prefetch_value.py
@@ -16,7 +16,7 @@
 from vanerelay.estimation import stable_hash
 from vanerelay.warming.forecast import Floats, Forecasts
 
-HOME = 16.0  # the most that the decisions lean to an engine for a table group (`decide.Picker`)
+HOME = 16.0  # the most that the decisions lean to an engine for a table group (`policy.placement`)
 AT_HOME = 3  # engines of a location that a table group is warmed at, at most
 
 
