--- a/vanerelay/adapter/wire.py
+++ b/vanerelay/adapter/wire.py
@@ -52,10 +52,10 @@
 """Bits below the work in what an answer reports of its cost; they hold the peak memory."""
 
 TICKS_PER_MILLISECOND = 10
-"""Work is told in milliseconds."""
+"""Work is reported in milliseconds."""
 
 MB_PER_MEMORY_UNIT = 4.0
-"""Peak memory is told in units of 4 MB."""
+"""Peak memory is reported in units of 4 MB."""
 
 
 def now_of(message: Any) -> int:
@@ -190,7 +190,7 @@
 
 
 def engine_entry(index: int, row: dict[str, Any]) -> EngineEntry:
-    """One row of a page. The wire's size of an engine is its machine's, which the kind tells as well."""
+    """One row of a page. The wire's size of an engine is its machine's, which the kind states as well."""
     return EngineEntry(
         index=index,
         name=row["engine"],
--- a/vanerelay/interface.py
+++ b/vanerelay/interface.py
@@ -20,7 +20,7 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended, as far as the decisions tell ends apart."""
+    """How one attempt ended, as far as the decisions distinguish ends."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineKind:
-    """Cores and memory of one kind of engine machine; 0 where the settings do not tell."""
+    """Cores and memory of one kind of engine machine; 0 where the settings do not state them."""
 
     cores: int
     memory: float
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Capabilities:
-    """What this gateway may do, and what it is told, according to the settings.
+    """What this gateway may do, and what is reported to it, according to the settings.
 
     Attributes:
         max_attempts: Attempts of one query, the first included.
@@ -166,10 +166,10 @@
         sends_memory_grants: Whether engines take memory grants.
         max_grant_share: The largest grant, as a part of an engine's memory.
         sends_priorities: Whether engines take priorities.
-        reports_cost: Whether answers tell the work done and the memory needed.
+        reports_cost: Whether answers report the work done and the memory needed.
         progress_interval: The time between progress reports of an attempt; 0 where there are none.
         subscribes_to_list: Whether the engine list comes only on request.
-        polls_load: Whether engines tell their load only when probed, and may be probed for it.
+        polls_load: Whether engines report their load only when probed, and may be probed for it.
     """
 
     max_attempts: int
@@ -312,7 +312,7 @@
         service_class: The row of its service class in the settings; `tenant` likewise.
         order_key: Queries of an ordered class that share it run one at a time; None where it has none.
         deadline: When the final answer is due.
-        estimated_cost: The client's estimate of its work, 0 where it told none; `estimated_memory` likewise.
+        estimated_cost: The client's estimate of its work, 0 where it gave none; `estimated_memory` likewise.
         table_group: The number of the group of tables that it reads, the same at every gateway.
         eligible_engines: The engines that may serve it now, looked at anew for each attempt; None for all.
         earns_no_retries: Whether it adds nothing to the retry budget: no client brought it, or not for the
@@ -334,7 +334,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """What the decisions are told at their start.
+    """What the decisions are given at their start.
 
     Attributes:
         order_key_pause: How long an order key rests after an attempt that may still run.
--- a/vanerelay/invariants.py
+++ b/vanerelay/invariants.py
@@ -1,7 +1,7 @@
-"""The run-time guard of the invariants: asked before each attempt is written, and told of answers and closes.
+"""The run-time guard of the invariants: asked before attempts are written, notified of answers and closes.
 
 It keeps its own account of queries, attempts and engines and shares no state with the decisions, so a fault
-there is counted here and does no harm. Pure: it is told the time, in ticks, and reads no clock.
+there is counted here and does no harm. Pure: it is given the time, in ticks, and reads no clock.
 """
 
 from __future__ import annotations
--- a/vanerelay/policy/admission_queue.py
+++ b/vanerelay/policy/admission_queue.py
@@ -27,7 +27,7 @@
         return queue[0] is query
 
     def serve(self, admit: Callable[[Query], bool]) -> None:
-        """Admits from the head of each queue for as long as heads find room."""
+        """Admits from the head of each queue for as long as heads fit somewhere."""
         for constraints, queue in list(self._queues.items()):
             while queue and (not queue[0].is_held or admit(queue[0])):
                 heapq.heappop(queue)
--- a/vanerelay/policy/attempt.py
+++ b/vanerelay/policy/attempt.py
@@ -25,7 +25,7 @@
     Attributes:
         grant: The memory grant in MB.
         reserved: What it holds of its engine's memory, in MB.
-        heard_at: When its engine last told of it.
+        heard_at: When its engine last reported on it.
         may_have_run: Whether the query may have run; until an outcome proves that it never did.
         is_waiting: Whether it waits at its engine, as that reported: no progress reports are due.
         is_lost: Whether its answer is taken for lost, as reports have stopped: it holds nothing any more.
--- a/vanerelay/policy/attempt_timeout.py
+++ b/vanerelay/policy/attempt_timeout.py
@@ -15,7 +15,7 @@
 """Part of the time to the latency objective after which an early timeout ends, to leave time for a retry."""
 
 LOSSY_RATIO = 0.12
-"""Lost answers among queries from which on an early timeout makes room for a retry."""
+"""Lost answers among queries from which on an early timeout leaves time for a retry."""
 
 SURE_SPREADS = 2.5
 """An early timeout counts as conclusive after exp of this many spreads of the work..."""
--- a/vanerelay/policy/capacity_slice.py
+++ b/vanerelay/policy/capacity_slice.py
@@ -1,6 +1,6 @@
 """This gateway's slice of every engine beside the other gateways', and what it borrows of theirs.
 
-Where few gateways may gossip, each tells how many queries came to it, and slices follow the traffic.
+Where few gateways may gossip, each reports how many queries came to it, and slices follow the traffic.
 Elsewhere each has an even slice, and borrows where its own queries run unhindered.
 """
 
@@ -36,9 +36,9 @@
 
 
 class Demand(NamedTuple):
-    """What a gateway told of its demand, and when."""
+    """What a gateway reported of its demand, and when."""
 
-    told_at: int
+    reported_at: int
     queries: float
 
 
@@ -77,8 +77,8 @@
         self.borrowable = 0.0 if self._gossips else wanted
 
     def is_gossip_due(self, now: int) -> bool:
-        """Whether our demand is to be told to the peers."""
-        return self._gossips and now - self._demands[self._position.index].told_at >= GOSSIP_INTERVAL
+        """Whether our demand is to be reported to the peers."""
+        return self._gossips and now - self._demands[self._position.index].reported_at >= GOSSIP_INTERVAL
 
     def gossip(self, now: int, recent_queries: float, is_stalled: bool) -> bytes:
         """Sets our slice by the demands known; the message for the peers.
@@ -91,13 +91,13 @@
         present = [
             demand.queries
             for demand in self._demands.values()
-            if is_stalled or now - demand.told_at <= PEER_TIMEOUT
+            if is_stalled or now - demand.reported_at <= PEER_TIMEOUT
         ]
         unheard = self._position.gateway_count - len(self._demands)
         self.slice = own / (sum(present) + own * unheard)
         return int(own).to_bytes(DEMAND_BYTES, "big")
 
-    def peer_told(self, now: int, gateway: int, message: bytes) -> None:
-        """A peer told its demand."""
+    def peer_reported(self, now: int, gateway: int, message: bytes) -> None:
+        """A peer reported its demand."""
         queries = float(int.from_bytes(message[:DEMAND_BYTES], "big"))
         self._demands[gateway] = Demand(now, queries)
--- a/vanerelay/policy/engine.py
+++ b/vanerelay/policy/engine.py
@@ -32,7 +32,7 @@
     Attributes:
         reported_share: The part of the engine that others held, as last reported; 1 where nothing was.
         pooled_share: The part of it that counts in the pool of all engines, while it is listed.
-        probed_at: When it was last asked for its load.
+        probed_at: When it was last probed for its load.
     """
 
     def __init__(
--- a/vanerelay/policy/engine_registry.py
+++ b/vanerelay/policy/engine_registry.py
@@ -50,7 +50,7 @@
 
     Attributes:
         pool: What we hold of all listed engines together.
-        awaited_reports: Load reports that were asked for and have not come. The admission queue is served
+        awaited_reports: Load reports that were polled for and have not come. The admission queue is served
             once one comes, or with the next review.
     """
 
@@ -212,5 +212,5 @@
         return engine if outcome in ENGINE_RESPONDED else None
 
     def threads_per_query(self) -> float:
-        """The threads of the usual query of ours, for reports that tell numbers of queries."""
+        """The threads of the usual query of ours, for reports that state numbers of queries."""
         return max(1.0, self.pool.threads / max(1, self.pool.running))
--- a/vanerelay/policy/feedback.py
+++ b/vanerelay/policy/feedback.py
@@ -16,7 +16,7 @@
 
 
 class Feedback:
-    """Learns from what engines tell."""
+    """Learns from what engines report."""
 
     def __init__(
         self,
--- a/vanerelay/policy/fitting.py
+++ b/vanerelay/policy/fitting.py
@@ -81,15 +81,15 @@
     def _reduced_fit(
         self, now: int, query: Query, engines: Sequence[Engine], shares: Sequence[float], grant: Grant
     ) -> Fit | None:
-        """A query that was held for long goes to the engine with most room, with a grant reduced to that."""
+        """A query held for long goes to the engine with most free memory, its grant reduced to that."""
         max_wait = min(MAX_HEAD_WAIT, (query.arrival.deadline - query.submitted_at) // 2)
         if now - query.held_since < max_wait:
             return None
         share, engine = max(
             zip(shares, engines, strict=True), key=lambda pair: pair[1].reservations.free_memory(pair[0])
         )
-        room = engine.reservations.free_memory(share)
-        reduced = max(grant.reserved * MIN_REDUCED_GRANT, min(grant.reserved, room))
+        free_memory = engine.reservations.free_memory(share)
+        reduced = max(grant.reserved * MIN_REDUCED_GRANT, min(grant.reserved, free_memory))
         if not engine.reservations.fits(reduced, query.threads, share):
             return None
         return Fit([engine], Grant(min(grant.size, reduced), reduced))
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -1,7 +1,7 @@
 """Every decision about a query: what runs, where, with how much memory, and what is given up.
 
 `Gateway.admit` is the ordinary path. The concerns it goes by stand in modules of their own beside this one.
-All of it is pure: the transport tells the time and carries out what was decided.
+All of it is pure: the transport has the time and carries out what was decided.
 """
 
 from __future__ import annotations
@@ -51,10 +51,10 @@
 HIGH_PRIORITY = 2
 
 RETRY_AFTER = SECOND
-"""What clients of rejected queries are asked to wait, where they are told a time."""
+"""The Retry-After of rejected queries, where one may be sent."""
 
 LIST_RETRY_INTERVAL = SECOND
-"""Time until the engine list is asked for again."""
+"""Time until the engine list is requested again."""
 
 
 class Gateway:
@@ -274,7 +274,7 @@
         self._supervisor.progressed(query, number, kind, value)
 
     def client_left(self, query: Query) -> None:
-        """The client wants no answer any more: what runs is cancelled, as it takes the room of others."""
+        """The client wants no answer any more: what runs is cancelled, as it takes the capacity of others."""
         query.is_ended = True
         self._retry_budget.credit_withdrawn(self._transport.now, not query.arrival.earns_no_retries)
         self._supervisor.cancel_all(query)
@@ -288,7 +288,7 @@
         self._queue.serve(self.admit)
 
     def engine_list_failed(self) -> None:
-        """The engine list could not be had: it is asked for again."""
+        """The engine list could not be had: it is requested again."""
         self._transport.call_later(LIST_RETRY_INTERVAL, self._transport.subscribe_to_engine_list)
 
     def probe_completed(self, index: int, outcome: Outcome, report: LoadReport | None) -> None:
@@ -300,7 +300,7 @@
 
     def receive_from_peer(self, gateway: int, message: bytes) -> None:
         """A datagram came from another gateway."""
-        self._capacity.peer_told(self._transport.now, gateway, message)
+        self._capacity.peer_reported(self._transport.now, gateway, message)
 
     def set_proxy_share(self, share: float) -> None:
         """Leaves a part of our slice, and of our budgets for engines that warm up, to proxies."""
--- a/vanerelay/policy/key_ordering.py
+++ b/vanerelay/policy/key_ordering.py
@@ -49,7 +49,7 @@
         """The queries of a key to give up, as not all can end within their objectives.
 
         The longest ones, in Moore and Hodgson's order for one machine: it leaves the most on time. Each must
-        be given up before the next is asked for.
+        be given up before the next is taken.
         """
         end = float(now)
         longest_first = list[tuple[float, int, Query]]()
--- a/vanerelay/policy/preference_order.py
+++ b/vanerelay/policy/preference_order.py
@@ -9,7 +9,7 @@
 from vanerelay.policy.engine import Engine
 
 MAX_CONSTRAINTS = 64
-"""Constraints that an order is kept for; past it all are forgotten and made again as asked for."""
+"""Constraints that an order is kept for; past it all are forgotten and made again on demand."""
 
 
 class RankedEngine(NamedTuple):
--- a/vanerelay/policy/query.py
+++ b/vanerelay/policy/query.py
@@ -98,7 +98,7 @@
         self._owner.client_left(self)
 
     def may_begin(self, number: int) -> bool:
-        """Rules 1 to 3, asked again when an attempt is written: it may have waited long for a connection."""
+        """Rules 1 to 3, checked again when an attempt is written: it may have waited for a connection."""
         if self.is_ended or self._owner.now >= self.repeatable_until(number):
             return False
         return self.attempts[number].engine.is_listed
--- a/vanerelay/policy/slow_start.py
+++ b/vanerelay/policy/slow_start.py
@@ -56,7 +56,7 @@
         return rank < self._sharers
 
     def engine_started(self, at: int) -> bool:
-        """The engine tells when it started; whether that is a later start than the one known."""
+        """The engine's start was reported; whether that is a later start than the one known."""
         if at <= self.began:
             return False
         self.began = at
--- a/vanerelay/settings.py
+++ b/vanerelay/settings.py
@@ -54,7 +54,7 @@
 """Configurable values on the wire, and the settings that say what they mean."""
 
 LOAD_FIELDS = frozenset({"running", "cores_busy", "memory_granted", "disks_busy"})
-"""Fields of `LoadReport` that tell what share of an engine is in use."""
+"""Fields of `LoadReport` that state what share of an engine is in use."""
 
 
 def ticks_floor(microseconds: float) -> int:
@@ -123,7 +123,7 @@
 
 
 def capabilities(raw_settings: RawSettings) -> Capabilities:
-    """What this gateway may do, and what it is told."""
+    """What this gateway may do, and what engines report to it."""
     limits = raw_settings.get("limits") or {}
     engines = raw_settings.get("familyInfo") or {}
     report = raw_settings.get("report") or {}
