--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -21,10 +21,11 @@
 from vanerelay.extension import Extension, QueryConstraint
 from vanerelay.interface import NEVER_RAN
 from vanerelay.net import discovery_codec, frames
+from vanerelay.net.attempt import Attempt
 from vanerelay.net.buffers import Pool
 from vanerelay.net.client_listener import ClientListener
 from vanerelay.net.discovery_client import DiscoveryClient
-from vanerelay.net.engine_connection import Attempt, ConnectionSettings
+from vanerelay.net.engine_connection import ConnectionSettings
 from vanerelay.net.engine_pool import EnginePool
 from vanerelay.net.gateway_service import GatewayService
 from vanerelay.net.held_queries import ClientQuery
@@ -32,6 +33,7 @@
 from vanerelay.net.rate_limited_log import RateLimitedLog
 from vanerelay.net.resp_codec import QueryCommand, command
 from vanerelay.net.server import Server
+from vanerelay.net.startup import Configuration
 
 
 class Wire(StringTransport):
@@ -694,7 +696,12 @@
         change(number, False, **{f"e{number - 1}": gone, "e999": gone})
         served.service.sweep()
     assert served.service.engine_list.names.all() == {served.service.engine_list.names.index("e59")}
-    assert len(served.engines._processes) == len(served.engines._lives) == len(served.engines._addresses) == 1
+    assert (
+        len(served.engines._processes)
+        == len(served.engines._incarnations)
+        == len(served.engines._engine_at)
+        == 1
+    )
     assert len(served.service.gateway._engines) == 1 and not served.service.engine_list.gone
 
 
@@ -830,7 +837,9 @@
     events = [{"n": 1, "members": {"revision": 1, "complete": True, "members": [row]}}]
     told = {"limits": {}, "feed": "127.0.0.1:1", "settings": SERVICES, "known": {"n": 1, "events": events}}
     reactor = Loop()
-    made = Server(reactor, Clock(reactor.seconds), told, "127.0.0.1:0", join=lambda host: [Faulty()])
+    made = Server(
+        reactor, Clock(reactor.seconds), Configuration(told), "127.0.0.1:0", join=lambda host: [Faulty()]
+    )
     yield made, told
     gc.enable()
     gc.unfreeze()
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -133,17 +133,17 @@
 
 def exchange(most=4, may_cancel=True):
     talk = resp_codec.Exchange(Pool(), most, may_cancel)
-    talk.serve(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
+    talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
     talk.out.clear()
     return talk
 
 
 def test_a_dispatch_is_laid_out_as_the_page_says():
     talk = resp_codec.Exchange(Pool(), 4, True)
-    talk.serve(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
-    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
+    talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
     assert talk.out[0] == b"*4\r\n$5\r\nserve\r\n$1\r\nq\r\n$25\r\nsort=report,patience=1500\r\n$1\r\nS\r\n"
-    talk.serve(b"s", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 2))
+    talk.send_query(b"s", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 2))
     assert b"sort=report,patience=1500,pool=96\r\n" in talk.out[1]
     assert b"sort=report,patience=1500,pool=96,band=2\r\n" in talk.out[2]
 
@@ -250,7 +250,7 @@
     assert talk.give_up(b"q") is AttemptStage.WRITTEN
     assert talk.out == ([resp_codec.command(b"cancel", b"q")] if may_cancel else [])
     assert talk.takes(b"q") == may_cancel and talk.takes(b"r")
-    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     assert talk.takes(b"s") == may_cancel  # one that the engine may still run counts among the most
     assert list(talk.feed(said(b"q", b"OK", "total=1", b"x"))) == [] and b"r" in talk.open
     assert talk.takes(b"q") and talk.takes(b"s")
@@ -278,7 +278,7 @@
 
 def test_an_unreadable_answer_ends_all_that_is_open_and_the_connection_takes_no_more():
     talk = exchange()
-    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     got = list(talk.feed(b"?"))
     assert [(i, e.cause) for i, e in got] == [(b"q", EndCause.MALFORMED), (b"r", EndCause.MALFORMED)]
     assert talk.broken and not talk.takes(b"s") and list(talk.feed(said(b"q", b"ERR"))) == []
@@ -293,7 +293,7 @@
         assert list(talk.feed(piece)) == [] and talk.awaits is not None
         seen.add(talk.awaits)
     assert len(seen) == 2  # going on with the pages is another thing to await than the first message
-    assert [e.stage for _, e in talk.spoil("stopped")] == [
+    assert [e.stage for _, e in talk.break_off("stopped")] == [
         AttemptStage.PARTIAL_ANSWER
     ] and talk.awaits is None
     assert list(talk.feed(PAGE)) == [] and not talk.takes(b"r")
@@ -301,7 +301,7 @@
 
 def test_what_is_lost_tells_how_far_it_had_come():
     talk = exchange()
-    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     assert list(talk.feed(PAGE)) == []
     assert talk.lost() == {b"q": AttemptStage.PARTIAL_ANSWER, b"r": AttemptStage.WRITTEN} and not talk.open
 
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -135,19 +135,20 @@
     reactor = Reactor(clock)
     installReactor(reactor)  # type: ignore[no-untyped-call]
     from vanerelay.extension import StartupError
-    from vanerelay.net.server import Server, SupervisorSockets, read
+    from vanerelay.net.server import Server
+    from vanerelay.net.startup import SupervisorSockets, read_configuration
 
     try:
         parts = _subsystems(options)
-        told = read(config)
-        name = name or str(told.get("name", ""))
+        configuration = read_configuration(config)
+        name = name or configuration.name
         structlog.contextvars.bind_contextvars(gateway=name)
         join = importlib.import_module("vanerelay.extension_registry").joins(parts) if parts else None
         program = Server(
             reactor,
             clock,
-            told,
-            listen or str(told.get("listen", "")),
+            configuration,
+            listen or configuration.listen,
             name,
             SupervisorSockets(listen_fd, ready_fd),
             join,
@@ -174,15 +175,15 @@
     from vanerelay import settings, settings_validation
     from vanerelay.extension import StartupError
     from vanerelay.net import discovery_codec
-    from vanerelay.net.server import read
+    from vanerelay.net.startup import read_configuration
 
     try:
-        told = read(config)
-        why = settings_validation.doubtful(told["settings"])
+        configuration = read_configuration(config)
+        why = settings_validation.doubtful(configuration.raw_settings)
         if why is not None:
             raise StartupError(f"configuration {config}: {why}")
-        groups = settings.service_groups(told["settings"])
-        changes = discovery_codec.parse(told["known"], {}, {})
+        groups = settings.service_groups(configuration.raw_settings)
+        changes = discovery_codec.parse(configuration.known_list, {}, {})
     except (StartupError, KeyError, TypeError, ValueError, AttributeError) as fault:
         click.echo(f"vanerelay: {fault}", err=True)
         sys.exit(2)
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -7,13 +7,13 @@
 import structlog
 from twisted.python.failure import Failure
 
-from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.clock import FRESH, Clock
 from vanerelay.interface import SECOND
 from vanerelay.invariants import Guard
+from vanerelay.net.attempt import Attempt
 from vanerelay.net.attempt_results import AttemptResults
 from vanerelay.net.decisions import Decisions
-from vanerelay.net.engine_connection import Attempt
+from vanerelay.net.engine_connection import NOT_SENT
 from vanerelay.net.engine_list_updates import EngineListUpdates
 from vanerelay.net.engine_pool import EnginePool
 from vanerelay.net.events import EventLog, Kind
@@ -23,7 +23,6 @@
 from vanerelay.net.service_settings import SettingsInForce
 
 TICKS_PER_MS = SECOND // 1000
-NOT_SENT = AttemptEnd(EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED)
 
 log = structlog.get_logger()
 
@@ -81,9 +80,9 @@
         number = len(query.attempts)
         command = QueryCommand(
             service_class=query.service_class,
-            patience_ms=max(1, wait // TICKS_PER_MS),
+            time_limit_ms=max(1, wait // TICKS_PER_MS),
             statement=query.body,
-            grant_mb=query.memory_grant,
+            memory_grant_mb=query.memory_grant,
             priority=query.priority,
             idempotency_key=query.idempotency_key,
         )
--- a/vanerelay/net/engine_list_updates.py
+++ b/vanerelay/net/engine_list_updates.py
@@ -10,7 +10,7 @@
 from vanerelay.interface import EngineEntry, EngineState
 from vanerelay.invariants import Guard, StateChange
 from vanerelay.net.decisions import Decisions
-from vanerelay.net.engine_pool import DROPPED, EnginePool
+from vanerelay.net.engine_pool import MAX_DROPPED, EnginePool
 from vanerelay.net.engine_start_times import EngineStarts
 from vanerelay.net.events import EventLog, Kind
 from vanerelay.net.extensions import Extensions
@@ -68,7 +68,7 @@
         """Lets go of connections that the engines are about to close, and of engines that are gone."""
         self._engines.sweep()
         unknown = (index for index in self.gone if not self._engines.knows(index))
-        for index in list(itertools.islice(unknown, DROPPED)):
+        for index in list(itertools.islice(unknown, MAX_DROPPED)):
             self.gone.remove(index)
             self.names.forget(index)
             self._starts.forget(index)
--- a/vanerelay/net/held_queries.py
+++ b/vanerelay/net/held_queries.py
@@ -9,7 +9,7 @@
 from vanerelay.extension import QueryConstraint
 from vanerelay.interface import SECOND, AnswerStatus, QueryArrival
 from vanerelay.invariants import QueryRecord
-from vanerelay.net.engine_connection import Attempt, EngineConnection
+from vanerelay.net.attempt import Attempt, AttemptConnection
 from vanerelay.net.request_codec import QueryRequest
 from vanerelay.query_table import HeldQuery, QueryTable
 
@@ -88,7 +88,7 @@
         self.body = request.body
         self.idempotency_key = request.idempotency_key
         self.attempts: list[Attempt | None] = []
-        self.used_connections: list[EngineConnection] = []
+        self.used_connections: list[AttemptConnection] = []
         self.memory_grant = self.priority = 0
         self.arrival: QueryArrival | None = None
         self.constraint: QueryConstraint | None = None
--- /dev/null
+++ b/vanerelay/net/settings_reload.py
@@ -0,0 +1,89 @@
+"""The change to other settings while the program serves: read again on SIGHUP, or ordered by an extension."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any
+
+import structlog
+
+from vanerelay import settings_validation
+from vanerelay.extension import Extension, StartupError
+from vanerelay.net.discovery_client import DiscoveryClient
+from vanerelay.net.gateway_service import GatewayService
+from vanerelay.net.service_settings import RawSettings
+from vanerelay.net.startup import read_configuration
+
+log = structlog.get_logger()
+
+
+class SettingsReload:
+    """Puts other settings in force, where nothing in them takes a restart.
+
+    Attributes:
+        settings: The settings in force, as the JSON object that was read.
+    """
+
+    def __init__(
+        self,
+        service: GatewayService,
+        discovery: DiscoveryClient,
+        extensions: Sequence[Extension],
+        seed: int,
+        raw_settings: RawSettings,
+    ) -> None:
+        self._service = service
+        self._discovery = discovery
+        self._extensions = extensions
+        self._seed = seed
+        self.settings = raw_settings
+
+    def read_again(self, path: str) -> None:
+        """Follows a discovery service that has moved, and goes on under the settings of the file.
+
+        A wrong configuration changes nothing; settings that take a restart stay as they are.
+        """
+        try:
+            configuration = read_configuration(path)
+            self._discovery.move(configuration.discovery_address)
+        except (StartupError, ValueError) as error:
+            log.warning("configuration not read again", why=str(error))
+            return
+        raw_settings = configuration.raw_settings
+        try:
+            for extension in self._extensions:
+                raw_settings = extension.reloaded_settings(raw_settings)
+        except Exception as error:
+            log.warning("configuration not read again", why=_describe(error))
+            return
+        why = self.apply(raw_settings)
+        if why is not None:
+            log.warning("settings stay until a restart", why=why)
+
+    def apply(self, raw_settings: RawSettings) -> str | None:
+        """Goes on under other settings; the reason where it cannot."""
+        try:
+            return settings_validation.wrong(raw_settings) or self._switch(raw_settings)
+        except (TypeError, ValueError, KeyError, AttributeError) as error:
+            return _describe(error)
+
+    def _switch(self, raw_settings: RawSettings) -> str | None:
+        if raw_settings == self.settings:
+            return None
+        why = settings_validation.fixed(self.settings, raw_settings)
+        for extension in self._extensions:
+            why = why or extension.settings_conflict(raw_settings)
+        if why is not None:
+            return why
+        self._service.apply_settings(self._seed, raw_settings)
+        self.settings = raw_settings
+        noted: dict[str, Any] = {}
+        for extension in self._extensions:
+            noted |= extension.settings_applied(raw_settings)
+        names = [str(service_class["name"]) for service_class in raw_settings["classes"]]
+        log.info("settings switched", groups=names, **noted)
+        return None
+
+
+def _describe(error: Exception) -> str:
+    return f"{type(error).__name__}: {error}"
