--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -19,7 +19,7 @@
 from vanerelay.clock import Clock
 from vanerelay.engine_list import EngineListChange, ListedEngine
 from vanerelay.extension import Extension, QueryConstraint
-from vanerelay.interface import NEVER_RAN
+from vanerelay.interface import NEVER_RAN, AnswerStatus
 from vanerelay.net import discovery_codec, frames
 from vanerelay.net.attempt import Attempt
 from vanerelay.net.buffers import Pool
@@ -27,6 +27,7 @@
 from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.engine_connection import ConnectionSettings
 from vanerelay.net.engine_pool import EnginePool
+from vanerelay.net.frames import FrameKind
 from vanerelay.net.gateway_service import GatewayService
 from vanerelay.net.held_queries import ClientQuery
 from vanerelay.net.peer_gossip import PeerGossip
@@ -392,7 +393,7 @@
         payload = bytes((len(told),)) + b"".join(
             bytes((len(n),)) + n.encode() + len(v).to_bytes(2, "big") + v.encode() for n, v in told.items()
         )
-        self.client.dataReceived(frames.frame(frames.REQUEST, stream, payload + body))
+        self.client.dataReceived(frames.frame(FrameKind.REQUEST, stream, payload + body))
 
     def advance(self, span):
         for _ in range(round(span * 100)):
@@ -413,7 +414,7 @@
     served = Served()
     served.ask(1)
     served.advance(4.99)
-    assert served.answers() == [(1, frames.REJECTED)] and served.service.queries.open_count == 0
+    assert served.answers() == [(1, AnswerStatus.REJECTED)] and served.service.queries.open_count == 0
 
 
 def test_the_time_limit_counts_from_the_last_look_at_the_sockets():
@@ -421,18 +422,18 @@
     served = Served()
     served.time += 6.0
     served.ask(1)
-    assert served.answers() == [(1, frames.REJECTED)]
+    assert served.answers() == [(1, AnswerStatus.REJECTED)]
 
 
 def test_what_a_full_read_left_behind_had_come_as_early():
     served = Served()
-    head = frames.frame(frames.REQUEST, 1, b"\0" + b"x" * 70_000)
+    head = frames.frame(FrameKind.REQUEST, 1, b"\0" + b"x" * 70_000)
     served.client.dataReceived(head[:65536])
     served.time += 6.0
     served.look()  # the next pass of the loop; the rest was there all the while
     served.client.dataReceived(head[65536:])
     served.ask(2)
-    assert served.answers()[0] == (1, frames.FAILED)
+    assert served.answers()[0] == (1, AnswerStatus.FAILED)
     served.advance(0.1)
     assert served.service.queries.open_count == 1  # the second came after that look
 
@@ -445,7 +446,7 @@
     served.time += 6.0
     served.clock.looked, served.clock.passes = served.clock.now(), served.clock.passes + 1
     served.ask(1)  # read in the pass after that: it may have been there since before it was accepted
-    assert served.answers() == [(1, frames.REJECTED)]
+    assert served.answers() == [(1, AnswerStatus.REJECTED)]
     served.look()
     served.ask(2)
     assert served.service.queries.open_count == 1
@@ -459,21 +460,21 @@
     served.time += 0.4  # the pass lasts: no timer runs
     assert served.answers() == []
     served.ask(3)
-    assert served.answers() == [(1, frames.FAILED)]
+    assert served.answers() == [(1, AnswerStatus.FAILED)]
 
 
 def test_answers_are_sent_at_once(monkeypatch):
     served, sent = Served(), []
     monkeypatch.setattr(served.wire, "doWrite", lambda: sent.append(len(served.wire.value())), raising=False)
     served.ask(1, service="none")
-    assert sent == [len(served.wire.value())] and served.answers() == [(1, frames.FAILED)]
+    assert sent == [len(served.wire.value())] and served.answers() == [(1, AnswerStatus.FAILED)]
 
 
 def test_guards_of_answered_batches_do_not_pile_up():
     served = Served()
     for stream in range(1, 1001):
         served.ask(stream)
-        served.client.dataReceived(frames.frame(frames.LEAVE, stream))
+        served.client.dataReceived(frames.frame(FrameKind.CANCEL, stream))
     assert served.service.queries.open_count == 0 and len(served.service.deadlines) <= 103
 
 
@@ -520,7 +521,7 @@
         protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
         protocol.makeConnection(wire)
         protocol.dataReceived(command(b"%016x" % 1, b"ERR", b"-", b""))
-    assert served.answers() in ([(1, frames.FAILED)], [(1, frames.REJECTED)])
+    assert served.answers() in ([(1, AnswerStatus.FAILED)], [(1, AnswerStatus.REJECTED)])
     assert served.service.queries.open_count == 0 and served.service.queries.held_count == 0
     monkeypatch.undo()
     served.ask(2)
@@ -532,10 +533,10 @@
     served = Served(room=1000)
     served.ask(1, b"x" * 600)
     served.ask(2, b"x" * 600)
-    assert served.answers() == [(2, frames.REJECTED)]
-    served.client.dataReceived(frames.frame(frames.LEAVE, 1))
+    assert served.answers() == [(2, AnswerStatus.REJECTED)]
+    served.client.dataReceived(frames.frame(FrameKind.CANCEL, 1))
     served.ask(3, b"x" * 600)
-    assert served.answers() == [(2, frames.REJECTED)] and served.service.queries.open_count == 1
+    assert served.answers() == [(2, AnswerStatus.REJECTED)] and served.service.queries.open_count == 1
 
 
 def test_a_dispatch_past_the_most_allowed_or_of_a_batch_that_is_over_is_not_sent():
@@ -549,7 +550,7 @@
     served.reactor.advance(0)
     assert outcomes == [(3, attempt_outcome.Outcome.NOT_SENT)] and outcomes[0][1] in NEVER_RAN
     request.attempts.clear()
-    served.client.dataReceived(frames.frame(frames.LEAVE, 1))
+    served.client.dataReceived(frames.frame(FrameKind.CANCEL, 1))
     assert isinstance(request, ClientQuery) and served.answers() == []
 
 
@@ -559,12 +560,12 @@
     served = Served()
     served.client.pauseProducing()  # the transport's word that its buffer is over its size
     served.ask(1)
-    served.client.dataReceived(frames.frame(frames.LEAVE, 1))
+    served.client.dataReceived(frames.frame(FrameKind.CANCEL, 1))
     assert served.service.queries.open_count == 0 and served.answers() == []
     for _ in range(6):
-        served.client.answer(0, frames.COMPLETED, {}, b"x" * 48_000)
+        served.client.answer(0, AnswerStatus.COMPLETED, {}, b"x" * 48_000)
     served.ask(2)
-    assert served.answers()[-1] == (2, frames.REJECTED) and served.service.queries.open_count == 0
+    assert served.answers()[-1] == (2, AnswerStatus.REJECTED) and served.service.queries.open_count == 0
     served.reactor.advance(silent_for)
     assert served.wire.aborted == given_up
     served.client.resumeProducing()
@@ -613,12 +614,12 @@
     served = Served()
     client, wire = served.join()
     if begun == b"ready":
-        client.dataReceived(frames.frame(frames.READY, 0, b"\0"))
+        client.dataReceived(frames.frame(FrameKind.READINESS_CHECK, 0, b"\0"))
     elif begun != b"drip":
         client.dataReceived(begun)
     for number in range(round(span / 0.1)):
         if begun == b"drip":
-            client.dataReceived(frames.frame(frames.REQUEST, 1, b"\0" * 100)[number : number + 1])
+            client.dataReceived(frames.frame(FrameKind.REQUEST, 1, b"\0" * 100)[number : number + 1])
         served.advance(0.1)
     assert wire.disconnecting == ended and (client in served.clients._connections) != ended
 
@@ -650,11 +651,13 @@
 
 def test_one_that_was_of_use_is_kept_before_those_that_never_sent_anything():
     served = Served()
-    served.client.dataReceived(frames.frame(frames.READY, 0, b"\0"))
+    served.client.dataReceived(frames.frame(FrameKind.READINESS_CHECK, 0, b"\0"))
     silent, quiet = served.join()
     late, loud = served.join()
     served.advance(0.3)
-    loud.doRead = lambda: late.dataReceived(frames.frame(frames.READY, 0, b"\0"))  # waits in its socket
+    loud.doRead = lambda: late.dataReceived(
+        frames.frame(FrameKind.READINESS_CHECK, 0, b"\0")
+    )  # waits in its socket
     served.join()
     assert quiet.disconnecting and not loud.disconnecting and not served.wire.disconnecting
     served.join()
@@ -664,8 +667,8 @@
 def test_one_that_has_just_come_is_not_taken_for_a_silent_one():
     """Seen on sockets, with a share held by those that had asked once: its first request failed."""
     served = Served()
-    served.client.dataReceived(frames.frame(frames.READY, 0, b"\0"))
-    served.join()[0].dataReceived(frames.frame(frames.READY, 0, b"\0"))
+    served.client.dataReceived(frames.frame(FrameKind.READINESS_CHECK, 0, b"\0"))
+    served.join()[0].dataReceived(frames.frame(FrameKind.READINESS_CHECK, 0, b"\0"))
     fresh, first = served.join()
     _, second = served.join()
     assert served.wire.disconnecting and not first.disconnecting and not second.disconnecting
@@ -720,18 +723,18 @@
 )
 def test_datagrams_go_to_one_peer_or_all_and_none_is_too_long(peer, size, sent):
     peers, out = PeerGossip("127.0.0.1:7", ["127.0.0.2:7", "127.0.0.3:7"], "127.0.0.9:7"), []
-    peers.tell(peer, b"before it is open")
+    peers.send(peer, b"before it is open")
     peers.transport = type("Datagrams", (), {"write": staticmethod(lambda data, to: out.append((data, to)))})
-    peers.tell(peer, b"x" * size)
+    peers.send(peer, b"x" * size)
     heard, sending = [], peers.transport.write
 
     def fails(*_):
         raise OSError("no buffer space")
 
     peers.transport.write = fails
-    peers.tell(peer, b"x" * size)  # lost, and nobody meets a fault
+    peers.send(peer, b"x" * size)  # lost, and nobody meets a fault
     peers.transport.write = sending
-    peers.heard_from = lambda number, data: heard.append((number, len(data)))
+    peers.received = lambda number, data: heard.append((number, len(data)))
     for host, port in (("127.0.0.3", 7), ("127.0.0.3", 8), ("127.0.0.4", 7)):
         peers.datagramReceived(b"\xff" * 2000, (host, port))
     assert heard == [(1, 256)]  # by its address; who else speaks counts for nothing
@@ -749,7 +752,7 @@
     served.client.end_when_answered()
     assert served.service.queries.open_count == 2 and not served.wire.disconnecting
     served.ask(3)
-    assert served.answers()[1:] == [(3, frames.REJECTED)] and served.service.queries.open_count == 2
+    assert served.answers()[1:] == [(3, AnswerStatus.REJECTED)] and served.service.queries.open_count == 2
     served.advance(5.1)
     assert served.wire.disconnecting and served.service.queries.open_count == 0
     assert [stream for stream, _ in served.answers() if stream] == [3, 1, 2]
@@ -798,12 +801,12 @@
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
     served.service.listed(EngineListChange(1, True, [member]))
     served.ask(1)
-    assert served.answers() == [(1, frames.FAILED)]  # whether it may be served, nobody could say
+    assert served.answers() == [(1, AnswerStatus.FAILED)]  # whether it may be served, nobody could say
     served.ask(2, service="load")
     protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
     protocol.makeConnection(wire)
     protocol.dataReceived(command(b"%016x" % 2, b"OK", b"total=1", b"a\tb\tc\n"))
-    assert served.answers()[1:] == [(2, frames.COMPLETED)] and served.service.queries.open_count == 0
+    assert served.answers()[1:] == [(2, AnswerStatus.COMPLETED)] and served.service.queries.open_count == 0
     assert not served.service.gateway.out
 
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -13,6 +13,7 @@
 from vanerelay.interface import NEVER_RAN, EngineState, Outcome, ProgressKind
 from vanerelay.net import discovery_codec, frames, resp_codec
 from vanerelay.net.buffers import BLOCK, Gather, Pool
+from vanerelay.net.frames import FrameKind
 from vanerelay.net.statements import table_group, table_groups
 
 
@@ -41,7 +42,7 @@
 
 
 def test_a_dropped_gather_gives_its_blocks_back():
-    pool = Pool(kept=1)
+    pool = Pool(max_idle=1)
     held = Gather(pool)
     held.feed(bytes(3 * BLOCK))
     held.keep()
@@ -60,7 +61,7 @@
 
 
 def request(stream, body=b"SELECT 1", **fields):
-    return frames.frame(frames.REQUEST, stream, call(stream, body, **fields)[0])
+    return frames.frame(FrameKind.REQUEST, stream, call(stream, body, **fields)[0])
 
 
 @SIZES
@@ -68,8 +69,8 @@
     reader, big = frames.FrameReader(Pool()), b"x" * (3 * BLOCK)
     data = (
         request(1, ref="a1", allow="1500")
-        + frames.frame(frames.LEAVE, 1)
-        + frames.frame(frames.READY, 0, b"\0")
+        + frames.frame(FrameKind.CANCEL, 1)
+        + frames.frame(FrameKind.READINESS_CHECK, 0, b"\0")
         + request(9, big)
     )
     if size:  # byte by byte, but for the long body
@@ -78,10 +79,10 @@
         tail = []
     got = [f for piece in pieces(data, size) + tail for f in reader.feed(piece)]
     assert got == [
-        frames.Frame(frames.REQUEST, 1, {"ref": "a1", "allow": "1500"}, b"SELECT 1"),
-        frames.Frame(frames.LEAVE, 1, {}, b""),
-        frames.Frame(frames.READY, 0, {}, b""),
-        frames.Frame(frames.REQUEST, 9, {}, big),
+        frames.Frame(FrameKind.REQUEST, 1, {"ref": "a1", "allow": "1500"}, b"SELECT 1"),
+        frames.Frame(FrameKind.CANCEL, 1, {}, b""),
+        frames.Frame(FrameKind.READINESS_CHECK, 0, {}, b""),
+        frames.Frame(FrameKind.REQUEST, 9, {}, big),
     ]
 
 
@@ -119,7 +120,7 @@
 
 
 def test_an_answer_is_laid_out_as_the_page_says():
-    assert frames.answer(frames.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
+    assert frames.answer(FrameKind.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
         b"\0\0\0\x16\4\0\0\0\7\1\1\x08cooldown\0\x03250b"
     )
 
@@ -530,7 +531,7 @@
 @pytest.mark.parametrize("part", ["(from ", "from ", "'a''", "/*", "a.", "((", "join(", "x_1.", '"a".'])
 def test_the_longest_statement_is_gone_through_once(part):
     """At each FROM the lexer looked back for its bracket: the longest frame held the loop for minutes."""
-    assert table_groups(part * (frames.LONGEST // len(part))) in ([], [1])
+    assert table_groups(part * (frames.MAX_LENGTH // len(part))) in ([], [1])
 
 
 # Time.
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -12,9 +12,8 @@
 from twisted.internet.task import Clock
 
 from tests.helpers import World as Module
-from vanerelay.interface import SECOND, Outcome, QueryArrival, RetryBudgetTerms
+from vanerelay.interface import SECOND, AnswerStatus, Outcome, QueryArrival, RetryBudgetTerms
 from vanerelay.lab import warming_simulation
-from vanerelay.net import frames
 from vanerelay.operator_config import BadOptions
 from vanerelay.operator_config import read as read_options
 from vanerelay.warming import config as warm_parts
@@ -245,7 +244,7 @@
 
             def cancel(self):
                 one.gone = True
-                self.done.callback(frames.REJECTED)
+                self.done.callback(AnswerStatus.REJECTED)
 
         self.made.append(one)
         return Own()
@@ -268,7 +267,7 @@
     assert hands.take(do(5, 1, [(7, "e1"), (8, "e2"), (9, "e0"), (1, "gone")])).taken == 4
     host.reactor.advance(0.05)
     assert [(one.statement, one.engine) for one in host.made] == [("SELECT 7", 1), ("SELECT 8", 2)]
-    host.made[0].done.callback(frames.COMPLETED)
+    host.made[0].done.callback(AnswerStatus.COMPLETED)
     host.reactor.advance(0.05)
     assert [one.statement for one in host.made][2:] == ["SELECT 9"]
     host.waiting = 5
@@ -284,7 +283,7 @@
     assert hands.take(do(5, 2, [(8, "e2")])) == messages.Done(later=6)
     assert hands.take(do(6, 1, [(3, "e0")], "q/2")) == messages.Done(later=6), "doubled"
     for one in list(host.made):
-        one.done.callback(frames.COMPLETED)
+        one.done.callback(AnswerStatus.COMPLETED)
     host.reactor.advance(0.05)
     assert [one.statement for one in host.made] == ["SELECT 7", "SELECT 7", "SELECT 3"]
 
--- a/vanerelay/lab/client_load.py
+++ b/vanerelay/lab/client_load.py
@@ -19,7 +19,7 @@
 from vanerelay.lab.record import What
 from vanerelay.lab.scenario import Clients, Group
 from vanerelay.lab.schedule import Need, shares
-from vanerelay.net.frames import ANSWER, LAST, LEAVE, OPEN_MOST, REQUEST, frame
+from vanerelay.net.frames import MAX_OPEN_REQUESTS, FrameKind, frame
 
 CODES = {0: "returned", 1: "pushed back", 2: "errored"}
 HEAD = struct.Struct(">IBI")
@@ -51,17 +51,17 @@
 
     @property
     def free(self) -> bool:
-        return not self.closing and len(self.open) < OPEN_MOST
+        return not self.closing and len(self.open) < MAX_OPEN_REQUESTS
 
     def ask(self, one: Try, data: bytes) -> None:
         self._last += 1
         one.stream = self._last
         self.open[one.stream] = one
-        self._joint.send(self, frame(REQUEST, one.stream, data))
+        self._joint.send(self, frame(FrameKind.REQUEST, one.stream, data))
 
     def leave(self, one: Try) -> None:
         if self.open.pop(one.stream, None) is not None:
-            self._joint.send(self, frame(LEAVE, one.stream))
+            self._joint.send(self, frame(FrameKind.CANCEL, one.stream))
 
     def deliver(self, data: bytes) -> None:
         self._held += data
@@ -71,10 +71,10 @@
                 return
             payload = bytes(self._held[HEAD.size : 4 + size])
             del self._held[: 4 + size]
-            if kind == LAST:
+            if kind == FrameKind.GO_AWAY:
                 self.closing = True
                 self._load.lose(self.manager, 0)
-            elif kind == ANSWER and stream in self.open:
+            elif kind == FrameKind.ANSWER and stream in self.open:
                 fields, at = dict[str, str](), 2
                 for _ in range(payload[1]):
                     end = at + 1 + payload[at]
--- a/vanerelay/lab/processes.py
+++ b/vanerelay/lab/processes.py
@@ -19,7 +19,7 @@
 from vanerelay.lab.engine_server import World
 from vanerelay.lab.fault_network import Joint
 from vanerelay.lab.record import What
-from vanerelay.net.frames import READINESS, READY, frame
+from vanerelay.net.frames import FrameKind, frame
 
 HERE = Path(__file__).resolve().parent.parent.parent
 # In the log of a manager, or of its keeper.
@@ -63,12 +63,12 @@
         self._joint, self._ready, self._held = joint, ready, b""
 
     def ask(self) -> None:
-        self._joint.send(self, frame(READY, 0, b"\0"))
+        self._joint.send(self, frame(FrameKind.READINESS_CHECK, 0, b"\0"))
 
     def deliver(self, data: bytes) -> None:
         self._held += data
         if len(self._held) >= 11:
-            if self._held[4] == READINESS and self._held[9] == 0:
+            if self._held[4] == FrameKind.READINESS and self._held[9] == 0:
                 self._ready()
             self._joint.close(self)
 
--- a/vanerelay/net/buffers.py
+++ b/vanerelay/net/buffers.py
@@ -2,37 +2,47 @@
 
 from __future__ import annotations
 
-BLOCK = 16_384  # the page's longest result fits three, nearly every message one
+BLOCK = 16_384
+"""The size of a block: the longest result fits three, nearly every message one."""
+DIGITS_PAST_LIMIT = 8
+"""Leading zeros, in effect, that a number may have."""
 
 
-def number(text: str, most: int) -> int | None:
-    """A whole number told in digits, no larger than `most`; None for all else. Python's own reading stumbles
-    over digits of other scripts and over thousands of them."""
-    plain = text.isascii() and text.isdigit() and len(text) <= len(str(most)) + 8
-    return int(text) if plain and int(text) <= most else None
+def number(text: str, largest: int) -> int | None:
+    """A whole number in digits, no larger than `largest`; None for all else.
+
+    `int` itself takes digits of other scripts, and fails at thousands of them.
+    """
+    plain = text.isascii() and text.isdigit() and len(text) <= len(str(largest)) + DIGITS_PAST_LIMIT
+    return int(text) if plain and int(text) <= largest else None
 
 
 class Pool:
-    """Blocks not in use; at most `kept` wait here, the rest go back to the system."""
+    """Blocks that are not in use; past `max_idle` of them they go back to the system."""
 
-    def __init__(self, kept: int = 64) -> None:
-        self._kept, self._idle, self.taken = kept, list[bytearray](), 0
+    def __init__(self, max_idle: int = 64) -> None:
+        self._max_idle = max_idle
+        self._idle = list[bytearray]()
+        self.taken = 0
 
     def take(self) -> bytearray:
+        """A block, whatever it holds."""
         self.taken += 1
         return self._idle.pop() if self._idle else bytearray(BLOCK)
 
     def give(self, block: bytearray) -> None:
+        """Takes a block back."""
         self.taken -= 1
-        if len(self._idle) < self._kept:
+        if len(self._idle) < self._max_idle:
             self._idle.append(block)
 
 
 class Gather:
-    """Bytes in the order fed. What stays over from one feed to the next stands in the pool's blocks."""
+    """Bytes in the order fed. What stays over from one feed to the next stands in blocks of the pool."""
 
     def __init__(self, pool: Pool) -> None:
-        self._pool, self._blocks = pool, list[bytearray]()
+        self._pool = pool
+        self._blocks = list[bytearray]()
         self._start = self._end = 0  # of what is held, counted from the first block's first byte
         self._fresh, self._at = b"", 0  # what was fed last, and how much of it was read
 
@@ -40,7 +50,7 @@
         return self._end - self._start + len(self._fresh) - self._at
 
     def feed(self, data: bytes) -> None:
-        """Reading takes from `data` itself as long as nothing older is held: most messages come whole."""
+        """Reading takes from `data` itself as long as nothing older is held: most messages come in one."""
         self.keep()
         self._fresh, self._at = data, 0
 
@@ -72,6 +82,7 @@
         return b"".join(parts)
 
     def skip(self, size: int) -> None:
+        """Goes on behind the next bytes, of which there are so many."""
         held = min(size, self._end - self._start)
         self._start += held
         self._at += size - held
@@ -82,14 +93,15 @@
                 self._start = self._end = 0
 
     def read(self, size: int) -> bytes | None:
+        """The next bytes; None, and nothing read, while fewer are there."""
         data = self.peek(size)
         if data is not None:
             self.skip(size)
         return data
 
-    def line(self, most: int) -> bytes | None:
-        """The next line without its end, if one ends within `most` bytes; None while none does."""
-        head = self.peek(min(most, len(self))) or b""
+    def line(self, longest: int) -> bytes | None:
+        """The next line without its end, if one ends within `longest` bytes; None while none does."""
+        head = self.peek(min(longest, len(self))) or b""
         end = head.find(b"\r\n")
         if end < 0:
             return None
@@ -97,6 +109,7 @@
         return head[:end]
 
     def drop(self) -> None:
+        """Gives up all that is held."""
         while self._blocks:
             self._pool.give(self._blocks.pop())
         self._start = self._end = 0
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -18,6 +18,7 @@
 from vanerelay.net import frames
 from vanerelay.net.buffers import Pool
 from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.frames import FrameKind
 from vanerelay.net.rate_limited_log import RateLimitedLog
 
 IDLE_S = 4.0
@@ -171,23 +172,23 @@
                 self._handle(frame, received_after)
             except Exception:
                 log.exception("a client's frame met a fault")
-                if frame.kind == frames.REQUEST:
+                if frame.kind == FrameKind.REQUEST:
                     self.answer(frame.stream, AnswerStatus.FAILED, {}, b"")
 
     def _handle(self, frame: frames.Frame, received_after: int) -> None:
         self._owner.mark_used(self)
-        if frame.kind == frames.READY:
+        if frame.kind == FrameKind.READINESS_CHECK:
             code = AnswerStatus.COMPLETED if self._owner.service.ready() else AnswerStatus.REJECTED
-            self._write(frames.answer(frames.READINESS, frame.stream, code, {}))
-        elif frame.kind == frames.LEAVE:
+            self._write(frames.answer(FrameKind.READINESS, frame.stream, code, {}))
+        elif frame.kind == FrameKind.CANCEL:
             request = self.open.pop(frame.stream, None)
             if request is not None:
                 request.left()
             self._end_if_answered()
         elif self._closing or self._congested and self._unsent > MAX_UNSENT_BYTES:
-            self._write(frames.answer(frames.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
-        elif len(self.open) >= frames.OPEN_MOST:
-            self._write(frames.answer(frames.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
+            self._write(frames.answer(FrameKind.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
+        elif len(self.open) >= frames.MAX_OPEN_REQUESTS:
+            self._write(frames.answer(FrameKind.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
             self.refuse("more requests open than there may be")
         else:
             self._request(frame, received_after)
@@ -198,7 +199,7 @@
             self.open[frame.stream] = taken
         unusable = taken is RequestResult.UNUSABLE
         self._unusable_requests = self._unusable_requests + 1 if unusable else 0
-        if self._unusable_requests >= frames.OPEN_MOST:
+        if self._unusable_requests >= frames.MAX_OPEN_REQUESTS:
             self.refuse("one request after another that nobody can use")
 
     def refuse(self, why: str) -> None:
@@ -212,14 +213,14 @@
         self._dropping_input = True
         self._owner.protocol_errors.warn(why=why)
         self._fail_open()
-        self._write(frames.answer(frames.ANSWER, 0, AnswerStatus.FAILED, {}))
+        self._write(frames.answer(FrameKind.ANSWER, 0, AnswerStatus.FAILED, {}))
         self.end("it does not keep to the protocol", why)
 
     def _fail_open(self) -> None:
         """The final answer of each query that is open here, for which nothing is done any more."""
         opened, self.open = self.open, {}
         for stream, request in opened.items():
-            self._write(frames.answer(frames.ANSWER, stream, AnswerStatus.FAILED, {}))
+            self._write(frames.answer(FrameKind.ANSWER, stream, AnswerStatus.FAILED, {}))
             self._leave(request)
 
     def _leave(self, request: OpenRequest) -> None:
@@ -242,7 +243,7 @@
         """The one answer of a request, whole; nothing where its client is gone."""
         self.open.pop(stream, None)
         if not self._lost:
-            self._write(frames.answer(frames.ANSWER, stream, status, fields, body))
+            self._write(frames.answer(FrameKind.ANSWER, stream, status, fields, body))
             self._owner.mark_used(self)
             self._end_if_answered()
 
@@ -250,7 +251,7 @@
         """Asks for no new request on this connection."""
         if not self._last_frame_sent and not self._lost:
             self._last_frame_sent = True
-            self._write(frames.frame(frames.LAST, 0))
+            self._write(frames.frame(FrameKind.GO_AWAY, 0))
 
     def end_when_answered(self) -> None:
         """Ends once nothing is open.
--- a/vanerelay/net/frames.py
+++ b/vanerelay/net/frames.py
@@ -1,23 +1,46 @@
-"""The frames of clients: a machine that is fed bytes and gives frames, and the making of frames."""
+"""The frames of the clients' protocol: a reader that is fed bytes and gives frames, and the writing of frames."""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
+from enum import IntEnum
 
+from vanerelay.interface import AnswerStatus
 from vanerelay.net.buffers import Gather, Pool
 
-REQUEST, ANSWER, LEAVE, READY, READINESS, LAST = 2, 4, 8, 16, 32, 64
-COMPLETED, REJECTED, FAILED = 0, 1, 2  # codes of an answer
-SHORTEST, LONGEST = 5, 262_144  # what the length of a frame may be
-OPEN_MOST = 32  # requests open on one connection
-_HEAD = struct.Struct(">IBI")
+MIN_LENGTH, MAX_LENGTH = 5, 262_144
+"""What the length of a frame may be. It counts what stands behind it: the kind, the stream and the payload."""
+MAX_OPEN_REQUESTS = 32
+"""Requests that may be open on one connection."""
+_LENGTH_BYTES = 4
+_HEADER = struct.Struct(">IBI")
+
+
+class FrameKind(IntEnum):
+    """What a frame is; the numbers are those on the wire."""
+
+    REQUEST = 2
+    ANSWER = 4
+    CANCEL = 8
+    """The client no longer waits for the answer on this stream."""
+    READINESS_CHECK = 16
+    READINESS = 32
+    GO_AWAY = 64
+    """The client is to send no new request on this connection."""
+
+
+_FROM_CLIENTS = {
+    kind.value: kind for kind in (FrameKind.REQUEST, FrameKind.CANCEL, FrameKind.READINESS_CHECK)
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    kind: int
+    """A frame of a client: its kind, its stream, named values, and what follows them."""
+
+    kind: FrameKind
     stream: int
     fields: dict[str, str]
     body: bytes
@@ -34,25 +57,29 @@
     """Fed what a client sent, in any pieces."""
 
     def __init__(self, pool: Pool) -> None:
-        self._held, self._last, self._broken = Gather(pool), 0, False
+        self._held = Gather(pool)
+        self._last_stream = 0
+        self._broken = False
 
     def feed(self, data: bytes) -> Iterator[Frame | Malformed]:
+        """Reads on; gives each frame that is complete now."""
         if self._broken:
             return
         self._held.feed(data)
         while not self._broken:
-            head = self._held.peek(_HEAD.size)
-            if head is None:
+            header = self._held.peek(_HEADER.size)
+            if header is None:
                 break
-            size, kind, stream = _HEAD.unpack(head)
+            size, kind, stream = _HEADER.unpack(header)
             wrong = self._wrong(size, kind, stream)
-            if wrong is None and len(self._held) < 4 + size:
+            if wrong is None and len(self._held) < _LENGTH_BYTES + size:
                 break
             if wrong is None:
-                frame = self._held.read(4 + size) or b""
-                parsed = _parse(kind, stream, frame)
+                frame = self._held.read(_LENGTH_BYTES + size) or b""
+                parsed = _parse(_FROM_CLIENTS[kind], stream, frame)
                 if isinstance(parsed, Frame):
-                    self._last = max(self._last, stream if kind == REQUEST else 0)
+                    if parsed.kind is FrameKind.REQUEST:
+                        self._last_stream = stream
                     yield parsed
                     continue
                 wrong = parsed.why
@@ -63,30 +90,31 @@
 
     @property
     def partial(self) -> bool:
-        """Whether what came last is not whole."""
+        """Whether what came last is not complete."""
         return len(self._held) > 0
 
     def drop(self) -> None:
+        """Reads nothing more."""
         self._broken = True
         self._held.drop()
 
     def _wrong(self, size: int, kind: int, stream: int) -> str | None:
-        if not SHORTEST <= size <= LONGEST:
+        if not MIN_LENGTH <= size <= MAX_LENGTH:
             return f"a frame's length is {size}"
-        if kind not in (REQUEST, LEAVE, READY):
+        if kind not in _FROM_CLIENTS:
             return f"a frame's type is {kind}"
-        if kind == REQUEST and stream <= self._last:
+        if kind == FrameKind.REQUEST and stream <= self._last_stream:
             return f"stream {stream} is not new"
         return None
 
 
-def _parse(kind: int, stream: int, frame: bytes) -> Frame | Malformed:
-    if kind == LEAVE:
+def _parse(kind: FrameKind, stream: int, frame: bytes) -> Frame | Malformed:
+    if kind is FrameKind.CANCEL:
         return Frame(kind, stream, {}, b"")
     fields: dict[str, str] = {}
-    at = _HEAD.size + 1
+    at = _HEADER.size + 1
     try:
-        for _ in range(frame[_HEAD.size]):
+        for _ in range(frame[_HEADER.size]):
             name_end = at + 1 + frame[at]
             value_end = name_end + 2 + int.from_bytes(frame[name_end : name_end + 2], "big")
             if value_end > len(frame):
@@ -100,14 +128,17 @@
     return Frame(kind, stream, fields, frame[at:])
 
 
-def frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
-    return _HEAD.pack(5 + len(payload), kind, stream) + payload
+def frame(kind: FrameKind, stream: int, payload: bytes = b"") -> bytes:
+    """The bytes of a frame."""
+    return _HEADER.pack(MIN_LENGTH + len(payload), kind, stream) + payload
 
 
-def answer(kind: int, stream: int, code: int, fields: Mapping[str, str], body: bytes = b"") -> bytes:
-    """An answer, or a readiness, whole."""
-    told = [bytes((code, len(fields)))]
+def answer(
+    kind: FrameKind, stream: int, status: AnswerStatus, fields: Mapping[str, str], body: bytes = b""
+) -> bytes:
+    """The bytes of an answer, or of a readiness."""
+    parts = [bytes((status, len(fields)))]
     for name, value in fields.items():
-        told.append(bytes((len(name),)) + name.encode() + struct.pack(">H", len(value)) + value.encode())
-    told.append(body)
-    return frame(kind, stream, b"".join(told))
+        parts.append(bytes((len(name),)) + name.encode() + struct.pack(">H", len(value)) + value.encode())
+    parts.append(body)
+    return frame(kind, stream, b"".join(parts))
--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -129,7 +129,7 @@
         self.settings.replace(raw_settings)
         self.guard.switch(settings.guard_terms(raw_settings))
         if self._peers is not None:
-            self._peers.heard_from = lambda peer, data: self._heard_from(gateway, peer, data)
+            self._peers.received = lambda peer, data: self._received_from(gateway, peer, data)
 
     @property
     def gateway(self) -> Gateway:
@@ -183,7 +183,7 @@
             return None
         return self._intake.submit_internal(reference, service_class, statement, engine, memory, max_duration)
 
-    def _heard_from(self, gateway: Gateway, peer: int, data: bytes) -> None:
+    def _received_from(self, gateway: Gateway, peer: int, data: bytes) -> None:
         self._decisions.call(None, gateway.receive_from_peer, peer, data)
 
     # What the decisions order: the Transport.
@@ -230,7 +230,7 @@
     def send_to_peers(self, peer: int | None, data: bytes) -> None:
         """See `Transport.send_to_peers`. A gateway that drains sends nothing: others may count it as gone."""
         if self._peers is not None and not self.draining:
-            self._peers.tell(peer, data)
+            self._peers.send(peer, data)
 
     def probe_engine(self, engine: int) -> None:
         """See `Transport.probe_engine`."""
--- a/vanerelay/net/rate_limited_log.py
+++ b/vanerelay/net/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines that any peer can cause: one in a while, with the number of those left out."""
+"""Warnings that any client can cause: one in a while, with the number of those left out."""
 
 from __future__ import annotations
 
@@ -6,21 +6,27 @@
 
 import structlog
 
-EVERY_S = 10.0
+INTERVAL_S = 10.0
+"""The time between two warnings of one kind."""
 
 log = structlog.get_logger()
 
 
 class RateLimitedLog:
-    """A warning of one kind, however often it is cause for."""
+    """A warning of one kind, however often there is cause for it."""
 
     def __init__(self, reactor: Any, event: str) -> None:
-        self._reactor, self._event, self._due, self._left_out = reactor, event, 0.0, 0
+        self._reactor = reactor
+        self._event = event
+        self._due_at = 0.0
+        self._left_out = 0
 
-    def warn(self, **told: Any) -> None:
+    def warn(self, **values: Any) -> None:
+        """Writes the warning with these values, or counts it as left out."""
         now = self._reactor.seconds()
-        if now < self._due:
+        if now < self._due_at:
             self._left_out += 1
             return
-        log.warning(self._event, left_out=self._left_out, **told)
-        self._due, self._left_out = now + EVERY_S, 0
+        log.warning(self._event, left_out=self._left_out, **values)
+        self._due_at = now + INTERVAL_S
+        self._left_out = 0
--- a/vanerelay/net/reactor.py
+++ b/vanerelay/net/reactor.py
@@ -8,24 +8,32 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.python import log
 
-from vanerelay.clock import UNITS, Clock
+from vanerelay.clock import Clock
+from vanerelay.interface import SECOND
 
 
 class Reactor(EPollReactor):
-    """After a pass that ended late the sockets are read once more before any timer is believed: a poll whose
-    time ran out while the process stood still reports nothing, whatever has come meanwhile."""
+    """An event loop that reads its sockets once more after a pass that ended late, before any timer runs.
+
+    A poll whose time ran out while the process stood still reports nothing, whatever has come meanwhile.
+    """
+
+    LATE_S = 0.010
+    """Twice the shortest tick that the settings may have."""
 
-    LATE = 0.010  # seconds, twice the shortest tick that is told
     # Twisted's own default is the wall clock: after a step back no timer that was pending would come.
     seconds = staticmethod(time.monotonic)
 
     def __init__(self, clock: Clock) -> None:
-        self._clock, self._started_at = clock, clock.now()
-        self._ended, self._latest = 0.0, 0.0  # no pass has ended yet: the start is none
+        self._clock = clock
+        self._poll_started_at = clock.now()
+        self._pass_ended_at = 0.0  # no pass has ended yet: the start is none
+        self._latest_s = 0.0
         super().__init__()  # type: ignore[no-untyped-call]
 
     def doIteration(self, delay: float | None) -> None:
-        self._clock.looked, self._started_at = self._started_at, self._clock.now()
+        """One pass over the sockets, with a second one if the first was late."""
+        self._clock.looked, self._poll_started_at = self._poll_started_at, self._clock.now()
         self._clock.passes += 1
         if self._clock.awaited:
             delay = 0
@@ -34,15 +42,15 @@
         self.doPoll(delay)
         late = time.monotonic() - due
         # What comes during this second look came after the first began.
-        if delay is not None and late > self.LATE:
-            self._clock.looked = self._started_at
+        if delay is not None and late > self.LATE_S:
+            self._clock.looked = self._poll_started_at
             self.doPoll(0)
-        self._latest = max(self._latest, late, began - (self._ended or began))
-        self._ended = time.monotonic()
+        self._latest_s = max(self._latest_s, late, began - (self._pass_ended_at or began))
+        self._pass_ended_at = time.monotonic()
 
     def doPoll(self, timeout: float | None) -> None:
         """Waits for events and handles them; as in EPollReactor, but the clock learns when it looked."""
-        due = None if timeout is None else self._clock.now() + int(timeout * UNITS)
+        due = None if timeout is None else self._clock.now() + int(timeout * SECOND)
         try:
             ready = self._poller.poll(-1 if timeout is None else timeout, len(self._selectables))
         except OSError as fault:
@@ -61,5 +69,5 @@
 
     def latest(self) -> float:
         """By how many seconds a pass, of timers or of sockets, was late at most since this was asked last."""
-        latest, self._latest = self._latest, 0.0
-        return latest
+        latest_s, self._latest_s = self._latest_s, 0.0
+        return latest_s
--- a/vanerelay/warming/executor.py
+++ b/vanerelay/warming/executor.py
@@ -8,9 +8,8 @@
 
 from vanerelay.extension import ExtensionHost, InternalQuery
 from vanerelay.history import History
-from vanerelay.interface import EngineState
+from vanerelay.interface import AnswerStatus, EngineState
 from vanerelay.leases.fencing import FencingGate
-from vanerelay.net import frames
 from vanerelay.warming.config import WarmingConfig
 from vanerelay.warming.messages import Do, Done
 
@@ -86,7 +85,7 @@
 
         def ended(code: int) -> None:
             self._out.pop(own, None)
-            result = "ok" if code == frames.COMPLETED else "not done"
+            result = "ok" if code == AnswerStatus.COMPLETED else "not done"
             self.history.add(
                 "warm",
                 begun,
