--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -173,7 +173,7 @@
         self.reactor.run()
         ignore_signals()
         self.events.write_counts()
-        log.info("ended", broken=self.service.guard.told())
+        log.info("ended", broken=self.service.guard.violations())
         if self._failure is not None:
             raise StartupError(self._failure)
 
--- a/vanerelay/net/startup.py
+++ b/vanerelay/net/startup.py
@@ -23,7 +23,7 @@
 from vanerelay.net.events import EventLog
 from vanerelay.net.peer_gossip import PeerGossip
 from vanerelay.net.service_settings import RawSettings
-from vanerelay.policy.gateway import Health
+from vanerelay.policy.outlier_detection import MIN_SILENCE, OVERDUE_FACTOR
 
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192
@@ -163,7 +163,7 @@
         may_hedge=allowed.may_hedge,
         connect_s=connect_timeout_s(raw_settings),
         idle_s=settings.down(limits.get("connIdleUs") or DEFAULT_IDLE_US) / SECOND,
-        stall_s=Health.QUIET * Health.PATIENCE / SECOND,
+        stall_s=MIN_SILENCE * OVERDUE_FACTOR / SECOND,
     )
 
 
