--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -19,7 +19,7 @@
     RetryBudgetTerms,
 )
 from vanerelay.invariants import BUCKET_WIDTH, MIN_ANSWERS, GuardTerms, Invariant, InvariantGuard
-from vanerelay.net.events import BURST, REASONS_MOST, EventLog, Kind
+from vanerelay.net.events import BURST, MAX_REASONS, EventLog, Kind
 
 NOW = 1000 * SECOND
 LIMIT = NOW + 20 * SECOND
@@ -234,10 +234,10 @@
     events.write_counts()
     assert events.counts[Kind.RETRY, "reset"] == 10 * BURST
     assert capsys.readouterr().out.count(Kind.RETRY.value) <= BURST + 1
-    for number in range(10 * REASONS_MOST):
+    for number in range(10 * MAX_REASONS):
         events.note(Kind.CLOSE, f"a frame's length is {number}")
-    assert len(events.counts) <= REASONS_MOST + len(Kind)
-    assert events.counts.total() == 10 * BURST + 10 * REASONS_MOST
+    assert len(events.counts) <= MAX_REASONS + len(Kind)
+    assert events.counts.total() == 10 * BURST + 10 * MAX_REASONS
 
 
 def test_reasons_of_closes_are_few_whatever_clients_send(started):
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -468,9 +468,9 @@
     ],
 )
 def test_events_are_applied_once_and_a_gap_is_noticed(held, numbers, applied, gap):
-    numbering = discovery_codec.Numbering()
+    numbering = discovery_codec.EventNumbers()
     numbering.held = held
-    new, missing = numbering.fresh(
+    new, missing = numbering.take_new(
         [EngineListChange(abs(n), n < 0, []) for n in numbers]
     )  # below 0: a whole list
     assert ([change.number for change in new], missing) == (applied, gap)
--- a/vanerelay/attempt_outcome.py
+++ b/vanerelay/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt at an engine ended on the wire, and the one table that names its outcome for the decisions."""
+"""How an attempt ended on the wire, and the one table that names its outcome for the decisions."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
     detail: str = ""
 
 
-# An attempt counts as one that never ran only where that is proved. An answer whose pages are missing was given
-# by an engine that ran the query, whatever comes after.
+# An attempt counts as one that never ran only where that is proved. An answer whose pages are missing was
+# given by an engine that ran the query, whatever comes after.
 OUTCOMES: dict[tuple[EndCause, AttemptStage], Outcome] = {
     (EndCause.OK, AttemptStage.COMPLETE_ANSWER): Outcome.COMPLETED,
     (EndCause.BUSY, AttemptStage.WRITTEN): Outcome.REJECTED,
--- a/vanerelay/clock.py
+++ b/vanerelay/clock.py
@@ -12,8 +12,8 @@
 FRESH = SECOND // 20
 """How old the last look at the sockets may be when an attempt begins.
 
-A client that has gone may not see an attempt begin over 0.1 s later: where the last look is older than this, the
-sockets are read once more before.
+A client that has gone may not see an attempt begin over 0.1 s later: where the last look is older than this,
+the sockets are read once more before.
 """
 MAX_CLOCK_SKEW = 2 * SECOND
 """How far the clocks of two machines may be apart that are both taken for right."""
--- a/vanerelay/engine_list.py
+++ b/vanerelay/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list as its sources tell it: one entry for each engine, and the changes that are applied in order."""
+"""The engine list as its sources report it: entries, and the changes that are applied in order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         address: Host and port.
         size: Units of the machine; nothing is decided by it.
         started_at: When it started, in ticks; 0 when that was long ago.
-        weight: The operators' word, 1 for the whole engine; None from a source that has none.
+        weight: The operators' weight, 1 for the whole engine; None from a source that has none.
     """
 
     name: str
--- a/vanerelay/extension.py
+++ b/vanerelay/extension.py
@@ -168,7 +168,7 @@
 
 
 class Extension:
-    """One subsystem in the program. Its methods are called in the order of this class; each does nothing here."""
+    """One subsystem in the program. Methods are called in the order given here; each does nothing here."""
 
     busy = False
     """Whether something is under way that a long pass of the event loop would disturb."""
--- a/vanerelay/extension_registry.py
+++ b/vanerelay/extension_registry.py
@@ -1,5 +1,7 @@
-"""Which subsystems join the served program, and in which order: above `net/` and all of them. Nothing chooses
-here, and of what operators did not switch on nothing is imported."""
+"""Which subsystems join the served program, and in which order.
+
+Stands above `net/` and all of them. Of what operators did not switch on nothing is imported.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +12,16 @@
 
 
 def joins(options: Mapping[str, Any]) -> Callable[[ExtensionHost], list[Extension]] | None:
-    """`options`: the parts of each subsystem that is on, by the name of its block; None where none is."""
-    return (lambda host: _parts(host, options)) if options else None
+    """What makes the extensions that are switched on; None where none is.
+
+    Args:
+        options: The configuration of each subsystem that is on, by the name of its block.
+    """
+    return (lambda host: _extensions(host, options)) if options else None
 
 
-def _parts(host: ExtensionHost, options: Mapping[str, Any]) -> list[Extension]:
-    """Each before those that stand on it."""
+def _extensions(host: ExtensionHost, options: Mapping[str, Any]) -> list[Extension]:
+    """The extensions, each before those that depend on it."""
     found, members, fleet, leases, freshness = list[Extension](), None, None, None, None
     if "membership" in options:
         from vanerelay.membership.extension import MembershipExtension
--- a/vanerelay/net/discovery_client.py
+++ b/vanerelay/net/discovery_client.py
@@ -1,9 +1,9 @@
-"""The list of engines: the driver that asks the control feed for changes, again and again."""
+"""The client of the discovery service: the driver that polls it for changes of the engine list."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Generator, Mapping
+from collections.abc import Generator, Mapping
 from dataclasses import replace
 from typing import Any
 
@@ -15,139 +15,178 @@
 from twisted.internet.task import deferLater
 from twisted.python.failure import Failure
 
-from vanerelay.engine_list import EngineListChange
+from vanerelay.extension import DiscoveryAnswerListener, ListListener
 from vanerelay.net import discovery_codec
 from vanerelay.net.buffers import Pool
 
-# The page lets a poll wait 5 s, and counts what the feed has to tell as told after 7 s. So long a wait leaves
-# time for one connection that died silently, for a pause, a lost connect and the poll after it.
-WAIT_MS = 7_000 - 5_000
-CONNECT_S = 1.0  # the longest that a connect to the feed may take, whatever is allowed for engines
-BEGIN_S = 0.5  # past its wait, until an answer has to begin; the same between two of its pieces
-WHOLE_S = 2.0  # from its first byte until an answer has to be whole
-PAUSE_S = 0.25  # after a failure, doubled with each; by chance down to half of it
-LONGEST_PAUSE_S = 1.0
-SOON_S = 0.5  # an answer without news that comes earlier did not wait: the next is not asked for at once
-
-GONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
+POLL_WAIT_MS = 7_000 - 5_000
+"""How long a poll waits for an event.
+
+A change has to be known 7 s after the service has it, and a poll may wait up to 5 s. So long a wait leaves
+time for one connection that died silently, for a backoff, a lost connect and the poll after it.
+"""
+CONNECT_TIMEOUT_S = 1.0
+"""The longest that a connect to the service may take, whatever is allowed for engines."""
+SILENCE_S = 0.5
+"""The time past its wait until an answer has to begin; the same between two of its pieces."""
+ANSWER_S = 2.0
+"""The time from its first byte until an answer has to be complete."""
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.25, 1.0
+"""The wait after a failure, doubled with each; by chance down to half of it."""
+MAX_DOUBLINGS = 8
+MIN_POLL_INTERVAL_S = 0.5
+"""An answer without events that comes earlier did not wait: the next poll does not follow at once."""
+HTTP_OK = 200
+
+CONNECTION_DONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
+
+Address = tuple[str, int]
+PollResult = discovery_codec.Reply | discovery_codec.Unreadable
 
 log = structlog.get_logger()
 
 
-class FeedProtocol(Protocol):
-    """One connection to the feed: a request at a time, and how long its answer may take."""
+class DiscoveryConnection(Protocol):
+    """One connection to the service: a poll at a time, and how long its answer may take.
+
+    Attributes:
+        usable: Whether it can be polled.
+    """
 
     transport: Any
 
     def __init__(self, reactor: Any, pool: Pool) -> None:
-        self._reactor, self._pool, self._reader = reactor, pool, discovery_codec.ReplyReader(pool)
-        self._asked: Deferred[discovery_codec.Reply | discovery_codec.Unreadable] | None = None
-        self._silence: Any = None
-        self._whole_by: float | None = None
+        self._reactor = reactor
+        self._pool = pool
+        self._reader = discovery_codec.ReplyReader(pool)
+        self._reply: Deferred[PollResult] | None = None
+        self._timeout: Any = None
+        self._complete_by: float | None = None
         self.usable = True
 
-    def ask(self, request: bytes) -> Deferred[discovery_codec.Reply | discovery_codec.Unreadable]:
+    def poll(self, request: bytes) -> Deferred[PollResult]:
+        """Sends a poll. The Deferred never fails."""
         self._reader = discovery_codec.ReplyReader(self._pool)
-        self._asked, self._whole_by = Deferred(), None
-        self._wait(WAIT_MS / 1000 + BEGIN_S)
+        self._reply, self._complete_by = Deferred(), None
+        self._set_timeout(POLL_WAIT_MS / 1000 + SILENCE_S)
         self.transport.write(request)
-        return self._asked
+        return self._reply
 
     def dataReceived(self, data: bytes) -> None:
-        if self._asked is None:
+        """Reads on in the answer."""
+        if self._reply is None:
             return
         now = self._reactor.seconds()
-        if self._whole_by is None:
-            self._whole_by = now + WHOLE_S
-        self._wait(min(BEGIN_S, max(0.0, self._whole_by - now)))
-        self._tell(self._reader.feed(data))
+        if self._complete_by is None:
+            self._complete_by = now + ANSWER_S
+        self._set_timeout(min(SILENCE_S, max(0.0, self._complete_by - now)))
+        self._finish(self._reader.feed(data))
 
-    def connectionLost(self, reason: Failure = GONE) -> None:
+    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
+        """The connection is no more, which is the end of some answers."""
         self.usable = False
-        if self._asked is not None:
-            self._tell(self._reader.ended())
+        if self._reply is not None:
+            self._finish(self._reader.ended())
         self._reader.drop()
 
     def give_up(self) -> None:
-        """Nothing more is awaited here; what is asked fails."""
+        """Closes the connection; a poll that is out fails."""
         self.usable = False
-        self._end_wait()
+        self._cancel_timeout()
         if self.transport is not None:
             self.transport.abortConnection()
 
-    def _wait(self, span_s: float) -> None:
-        self._end_wait()
-        self._silence = self._reactor.callLater(span_s, self.give_up)
+    def _set_timeout(self, timeout_s: float) -> None:
+        self._cancel_timeout()
+        self._timeout = self._reactor.callLater(timeout_s, self.give_up)
 
-    def _end_wait(self) -> None:
-        if self._silence is not None and self._silence.active():
-            self._silence.cancel()
+    def _cancel_timeout(self) -> None:
+        if self._timeout is not None and self._timeout.active():
+            self._timeout.cancel()
 
-    def _tell(self, result: discovery_codec.Reply | discovery_codec.Unreadable | None) -> None:
+    def _finish(self, result: PollResult | None) -> None:
         if result is None:
             return
-        self._end_wait()
-        asked, self._asked = self._asked, None
-        if asked is not None:
-            asked.callback(result)
+        self._cancel_timeout()
+        reply, self._reply = self._reply, None
+        if reply is not None:
+            reply.callback(result)
 
 
 class DiscoveryClient:
-    """Follows the feed, and hands on each change once."""
+    """Follows the discovery service, and hands on each change once."""
 
     def __init__(
         self,
         reactor: Any,
         pool: Pool,
         address: str,
-        locations: Mapping[str, int],
-        kinds: Mapping[str, int],
+        zones: Mapping[str, int],
+        machine_kinds: Mapping[str, int],
         connect_s: float,
-        chance: random.Random,
-        changed: Callable[[EngineListChange], None],
-        answered: Callable[[], None] | None = None,
+        randomness: random.Random,
+        on_change: ListListener,
+        on_answer: DiscoveryAnswerListener | None = None,
     ) -> None:
-        """`answered`: called for each answer of the feed that could be used, with news or without. `chance`
-        spreads what many processes would ask in the same moment."""
-        self._reactor, self._pool, self._changed = reactor, pool, changed
-        self._connect_s, self._chance, self._answered = min(connect_s, CONNECT_S), chance, answered
+        """Makes a client that does not poll yet. Raises ValueError where the address is none.
+
+        Args:
+            reactor: The event loop.
+            pool: The buffers for what has been read.
+            address: Host and port of the service.
+            zones: The rows of the zones by their names.
+            machine_kinds: The rows of the machine kinds by their names.
+            connect_s: The time within which a connection has to come up.
+            randomness: Spreads what many processes would ask in the same moment.
+            on_change: Called for each change of the list.
+            on_answer: Called for each answer that could be used, with changes or without.
+        """
+        self._reactor = reactor
+        self._pool = pool
+        self._on_change = on_change
+        self._on_answer = on_answer
+        self._connect_s = min(connect_s, CONNECT_TIMEOUT_S)
+        self._randomness = randomness
+        self._zones = zones
+        self._machine_kinds = machine_kinds
         self._address = discovery_codec.split(address)
-        self._former: tuple[str, int] | None = None  # asked in turn, until the address moved to has answered
-        self._locations, self._kinds = locations, kinds
-        self._going: Deferred[None] | None = None
-        self._numbering, self._stopped = discovery_codec.Numbering(), False
-        self._failures, self._sound = 0, True
-        self._connection: FeedProtocol | None = None
-        self._current_at = reactor.seconds()  # what the feed had to tell by then was handed on
-
-    @property
-    def known(self) -> bool:
-        return self._numbering.held > 0
+        self._former: Address | None = None  # polled in turn, until the address moved to has answered
+        self._polling: Deferred[None] | None = None
+        self._numbers = discovery_codec.EventNumbers()
+        self._stopped = False
+        self._failures = 0
+        self._working = True
+        self._connection: DiscoveryConnection | None = None
+        self._current_at = reactor.seconds()  # what the service knew by then was handed on
 
     def apply(self, data: Any) -> str | None:
         """Hands on what is new in an answer; what is wrong with it, if anything."""
-        changes = discovery_codec.parse(data, self._locations, self._kinds)
+        changes = discovery_codec.parse(data, self._zones, self._machine_kinds)
         if isinstance(changes, discovery_codec.Unreadable):
             return changes.why
-        new, gap = self._numbering.fresh(changes)
+        new, gap = self._numbers.take_new(changes)
         within_s = self._reactor.seconds() - self._current_at
-        faults = list[Exception]()
+        errors = list[Exception]()
         for change in new:
             try:
-                self._changed(change if change.complete else replace(change, within_s=within_s))
-            except Exception as fault:  # the next ones count all the same: they won't come again
-                faults.append(fault)
-        if faults:
-            raise faults[0]
+                self._on_change(change if change.complete else replace(change, within_s=within_s))
+            except Exception as error:  # the next ones count all the same: they won't come again
+                errors.append(error)
+        if errors:
+            raise errors[0]
         return "events are missing" if gap else None
 
     def follow(self) -> None:
-        self._going = going = self._go()
-        going.addErrback(lambda fault: log.error("the feed's driver failed", fault=fault.getTraceback()))
+        """Begins to poll, and goes on until it is stopped."""
+        self._polling = polling = self._poll_on()
+        polling.addErrback(_log_failure)
 
     def move(self, address: str) -> None:
-        """Asks there from now on, and at once: the numbers go on, and what the old one had under way comes
-        again. Waiting for the poll that is out would take as long as it may hang."""
+        """Polls another address from now on, and at once.
+
+        The numbers of the events go on, and what was under way comes again. Waiting for the poll that is out
+        would take as long as it may hang.
+        """
         moved_to = discovery_codec.split(address)
         if self._stopped or moved_to == self._address:
             return
@@ -157,27 +196,28 @@
         self.follow()
 
     def stop(self) -> None:
+        """Polls no more."""
         self._stopped = True
         self._break_off()
 
     def _break_off(self) -> None:
-        going, self._going = self._going, None
-        if going is not None:
-            going.cancel()
+        polling, self._polling = self._polling, None
+        if polling is not None:
+            polling.cancel()
         if self._connection is not None:
             self._connection.give_up()
             self._connection = None
 
     @inlineCallbacks
-    def _go(self) -> Generator[Deferred[Any], Any, None]:
+    def _poll_on(self) -> Generator[Deferred[Any], Any, None]:
         address = self._address
         while not self._stopped:
             try:
-                wrong = yield self._ask(address)
+                wrong = yield self._poll(address)
             except CancelledError:
                 return
-            except Exception as fault:  # a refused or timed-out connection, or a fault in what was handed on
-                wrong = f"{type(fault).__name__}: {fault}"
+            except Exception as error:  # a refused or timed-out connection, or an error in a listener
+                wrong = f"{type(error).__name__}: {error}"
             if self._stopped:
                 return
             self._note(wrong, address)
@@ -186,57 +226,63 @@
             if self._connection is not None:
                 self._connection.give_up()
             if wrong is None:
-                address = self._address  # the former one is asked in between alone
+                address = self._address  # the former one is polled in between alone
                 continue
             try:
-                yield deferLater(self._reactor, self._pause(), lambda: None)
+                yield deferLater(self._reactor, self._backoff_s(), lambda: None)
             except CancelledError:
                 return
             address = self._next(address)
 
-    def _note(self, wrong: str | None, address: tuple[str, int]) -> None:
-        """Counts failures; each change for the worse or the better is told once."""
+    def _note(self, wrong: str | None, address: Address) -> None:
+        """Counts failures; each change for the worse or the better is logged once."""
         self._failures = 0 if wrong is None else self._failures + 1
-        if wrong is not None and self._sound:
-            self._sound = False
+        if wrong is not None and self._working:
+            self._working = False
             log.warning("feed fails", why=wrong)
         elif wrong is None and address == self._address:
             self._former = None
-            if not self._sound:
-                self._sound = True
+            if not self._working:
+                self._working = True
                 log.info("feed answers again")
 
-    def _pause(self) -> float:
+    def _backoff_s(self) -> float:
         """How long nothing is asked after a failure: hundreds of processes must not come back in step."""
-        longest = min(LONGEST_PAUSE_S, PAUSE_S * 2.0 ** min(self._failures - 1, 8))
-        return longest * self._chance.uniform(0.5, 1.0)
+        doubled = FIRST_BACKOFF_S * 2.0 ** min(self._failures - 1, MAX_DOUBLINGS)
+        return min(MAX_BACKOFF_S, doubled) * self._randomness.uniform(0.5, 1.0)
 
-    def _next(self, failed: tuple[str, int]) -> tuple[str, int]:
-        """Where to ask after a failure: the feed may have moved to where nobody is, or not yet."""
+    def _next(self, failed: Address) -> Address:
+        """Where to poll after a failure: the service may have moved to where nobody is, or not yet."""
         return self._former if self._former is not None and failed == self._address else self._address
 
     @inlineCallbacks
-    def _ask(self, address: tuple[str, int]) -> Generator[Deferred[Any], Any, str | None]:
+    def _poll(self, address: Address) -> Generator[Deferred[Any], Any, str | None]:
         host, port = address
         if self._connection is None or not self._connection.usable:
-            where = TCP4ClientEndpoint(self._reactor, host, port, timeout=self._connect_s)
-            factory: Any = Factory.forProtocol(lambda: FeedProtocol(self._reactor, self._pool))
-            self._connection = yield where.connect(factory)
+            endpoint = TCP4ClientEndpoint(self._reactor, host, port, timeout=self._connect_s)
+            factory: Any = Factory.forProtocol(lambda: DiscoveryConnection(self._reactor, self._pool))
+            self._connection = yield endpoint.connect(factory)
         connection = self._connection
         assert connection is not None
-        held, began = self._numbering.held, self._reactor.seconds()
-        reply = yield connection.ask(discovery_codec.request(f"{host}:{port}", held, WAIT_MS))
+        held, began = self._numbers.held, self._reactor.seconds()
+        reply = yield connection.poll(discovery_codec.request(f"{host}:{port}", held, POLL_WAIT_MS))
         if isinstance(reply, discovery_codec.Unreadable):
             return reply.why
         if not reply.keep:
             connection.give_up()
-        if reply.status != 200:
+        if reply.status != HTTP_OK:
             return f"status {reply.status}"
         wrong = self.apply(reply.body)
-        if wrong is None:
-            self._current_at = began
-        if wrong is None and self._answered is not None:
-            self._answered()
-        if wrong is None and self._numbering.held == held and self._reactor.seconds() - began < SOON_S:
-            yield deferLater(self._reactor, self._chance.uniform(0.5, 1.0) * SOON_S, lambda: None)
-        return wrong
+        if wrong is not None:
+            return wrong
+        self._current_at = began
+        if self._on_answer is not None:
+            self._on_answer()
+        if self._numbers.held == held and self._reactor.seconds() - began < MIN_POLL_INTERVAL_S:
+            pause_s = self._randomness.uniform(0.5, 1.0) * MIN_POLL_INTERVAL_S
+            yield deferLater(self._reactor, pause_s, lambda: None)
+        return None
+
+
+def _log_failure(failure: Failure) -> None:
+    log.error("the feed's driver failed", fault=failure.getTraceback())
--- a/vanerelay/net/engine_start_times.py
+++ b/vanerelay/net/engine_start_times.py
@@ -1,36 +1,39 @@
-"""When engines started, on the module's clock. Each start is converted once, as the wall clock may step."""
+"""When engines started, on the process's clock. Each start is converted once, as the wall clock may step."""
 
 from __future__ import annotations
 
 from vanerelay.clock import Clock
 from vanerelay.interface import SECOND
 
-LEARNED_S = 3.0  # from an engine's start until its source knows of it; one second is usual
+MAX_REPORT_DELAY_S = 3.0
+"""The time from an engine's start until its source knows of it; one second is usual."""
 
 
 class EngineStarts:
-    """The starts told of engines, by the engines' indices."""
+    """The reported starts of engines, by the engines' indices."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._moments: dict[int, tuple[int, int]] = {}  # as told, and on the module's clock
+        self._moments: dict[int, tuple[int, int]] = {}  # as reported, and on this process's clock
 
-    def moment(self, engine: int, told: int, within_s: float | None) -> int:
-        """The start on the module's clock; 0 where it was long ago.
+    def moment(self, engine: int, reported: int, within_s: float | None) -> int:
+        """The start of an engine on the process's clock; 0 where it was long ago.
 
-        `told`: tenths of a millisecond on the Unix clock, 0 for long ago. `within_s`: the span before now in
-        which its source learned of the start. Where the wall clock puts the start long before that, it can't
-        be trusted, and the engine counts as started now.
+        Args:
+            engine: The index of the engine.
+            reported: The start as reported, in ticks on the Unix clock; 0 for long ago.
+            within_s: The seconds before now in which its source learned of the start. Where the wall clock puts
+                the start long before that, it can't be trusted, and the engine counts as started now.
         """
-        if told == 0:
+        if reported == 0:
             self._moments.pop(engine, None)
             return 0
         before, moment = self._moments.get(engine, (0, 0))
-        if before != told:
-            now, moment = self._clock.now(), self._clock.moment(told)
-            if within_s is not None and moment < now - (within_s + LEARNED_S) * SECOND:
+        if before != reported:
+            now, moment = self._clock.now(), self._clock.moment(reported)
+            if within_s is not None and moment < now - (within_s + MAX_REPORT_DELAY_S) * SECOND:
                 moment = now
-            self._moments[engine] = told, moment
+            self._moments[engine] = reported, moment
         return moment
 
     def forget(self, engine: int) -> None:
--- a/vanerelay/net/events.py
+++ b/vanerelay/net/events.py
@@ -1,7 +1,7 @@
-"""What an incident is read from: every close, retry, refusal and change of state with its reason.
+"""The event log, from which an incident is read: closes, retries, rejections and changes of state with reasons.
 
-All are counted. Lines of their own are bounded, as clients and engines can cause them by the thousand; what
-was left out shows in the counts, which are logged now and then and at the end.
+All are counted. Lines of their own are limited, as clients and engines can cause them by the thousand; what was
+left out shows in the counts, which are logged now and then and at the end.
 """
 
 from __future__ import annotations
@@ -12,17 +12,20 @@
 
 import structlog
 
-BURST = 30  # lines written in a row
-LINES_S = 3.0  # lines a second in the long run
-COUNTS_S = 10.0  # between two lines of counts
-REASONS_MOST = 100  # that are counted apart; further ones count together, by their kind
-OTHER = "another reason"
+BURST = 30
+"""Lines written in a row."""
+LINES_PER_S = 3.0
+"""Lines a second in the long run."""
+COUNTS_INTERVAL_S = 10.0
+MAX_REASONS = 100
+"""Reasons that are counted apart; further ones count together, by their kind."""
+OTHER_REASON = "another reason"
 
 log = structlog.get_logger()
 
 
 class Kind(Enum):
-    """What a line tells of."""
+    """What an event is; the value is the name of its log line."""
 
     CLOSE = "connection closed"
     RETRY = "further attempt"
@@ -32,24 +35,31 @@
 
 
 class EventLog:
-    """Counts events by kind and reason, and writes as many as are bearable."""
+    """Counts events by kind and reason, and writes a limited number of lines."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         self.counts = Counter[tuple[Kind, str]]()
         self._lines, self._filled_at = float(BURST), reactor.seconds()
-        self._counts_due, self._counted = reactor.seconds() + COUNTS_S, 0
-
-    def note(self, kind: Kind, why: str, line: bool = True, **told: Any) -> None:
-        """An event and its reason, one of a few fixed ones; `told` is what belongs to this event alone."""
-        known = (kind, why) in self.counts or len(self.counts) < REASONS_MOST
-        self.counts[kind, why if known else OTHER] += 1
+        self._counts_due, self._counted = reactor.seconds() + COUNTS_INTERVAL_S, 0
+
+    def note(self, kind: Kind, why: str, line: bool = True, **values: Any) -> None:
+        """Counts an event, and writes a line unless it is to be counted alone.
+
+        Args:
+            kind: What it is.
+            why: Its reason, one of a few fixed ones.
+            line: Whether it is worth a line.
+            values: What belongs to this event alone.
+        """
+        known = (kind, why) in self.counts or len(self.counts) < MAX_REASONS
+        self.counts[kind, why if known else OTHER_REASON] += 1
         if line and self._may_write():
-            log.info(kind.value, why=why, **told)
+            log.info(kind.value, why=why, **values)
 
     def _may_write(self) -> bool:
         now = self._reactor.seconds()
-        self._lines = min(float(BURST), self._lines + (now - self._filled_at) * LINES_S)
+        self._lines = min(float(BURST), self._lines + (now - self._filled_at) * LINES_PER_S)
         self._filled_at = now
         if self._lines < 1.0:
             return False
@@ -59,10 +69,11 @@
     def sweep(self) -> None:
         """Writes the counts where they are due and have changed."""
         if self._reactor.seconds() >= self._counts_due:
-            self._counts_due = self._reactor.seconds() + COUNTS_S
+            self._counts_due = self._reactor.seconds() + COUNTS_INTERVAL_S
             self.write_counts()
 
     def write_counts(self) -> None:
+        """Writes the counts where they have changed."""
         total = self.counts.total()
         if total == self._counted:
             return
--- a/vanerelay/net/extensions.py
+++ b/vanerelay/net/extensions.py
@@ -1,4 +1,4 @@
-"""The subsystems that joined the served program, told of what they want; a fault in one stays its own."""
+"""The extensions that joined the served program: each is called for what it overrides, and may fail alone."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 
 if TYPE_CHECKING:
     from vanerelay.engine_list import EngineListChange
+    from vanerelay.interface import AnswerStatus
 
-FAULT = "a subsystem met a fault"  # what a client is told whose query none could lead for that
+FAULT = "a subsystem met a fault"
+"""The log line; also the explanation for a client whose query no extension could constrain for that."""
 Result = TypeVar("Result")
 
 log = structlog.get_logger()
 
 
 def guarded(call: Callable[..., Result], *values: Any) -> Result | None:
-    """Calls a subsystem; None where it fails, which is logged."""
+    """Calls an extension; None where it fails, which is logged."""
     try:
         return call(*values)
     except Exception:
@@ -28,49 +30,51 @@
 
 
 class Extensions:
-    """All that joined, by what each wants to be told, so that nothing is worked out for nobody."""
+    """All that joined, by what each wants to know, so that nothing is worked out for nobody."""
 
     def __init__(self) -> None:
-        self._watchers = list[Extension]()
-        self._guides = list[Extension]()
-        self._tallies = list[Extension]()
-        self._learners = list[Extension]()
-
-    def join(self, parts: Iterable[Extension]) -> None:
-        for part in parts:
-            for name, wanting in (
-                ("engines_changed", self._watchers),
-                ("constrain", self._guides),
-                ("query_answered", self._tallies),
-                ("engine_ran", self._learners),
+        self._list_listeners = list[Extension]()
+        self._constraining = list[Extension]()
+        self._answer_listeners = list[Extension]()
+        self._run_listeners = list[Extension]()
+
+    def join(self, extensions: Iterable[Extension]) -> None:
+        """Calls these extensions from now on."""
+        for extension in extensions:
+            for method, listeners in (
+                ("engines_changed", self._list_listeners),
+                ("constrain", self._constraining),
+                ("query_answered", self._answer_listeners),
+                ("engine_ran", self._run_listeners),
             ):
-                if overrides(part, name):
-                    wanting.append(part)
+                if overrides(extension, method):
+                    listeners.append(extension)
 
     @property
     def has_constraints(self) -> bool:
         """Whether an extension may constrain queries."""
-        return bool(self._guides)
+        return bool(self._constraining)
 
     @property
     def counts(self) -> bool:
         """Whether an extension wants to know what became of queries."""
-        return bool(self._tallies)
+        return bool(self._answer_listeners)
 
     @property
     def watches_runs(self) -> bool:
         """Whether an extension wants to know what engines ran."""
-        return bool(self._learners)
+        return bool(self._run_listeners)
 
     def listed(self, change: EngineListChange) -> None:
-        for part in self._watchers:
-            guarded(part.engines_changed, change)
+        """A change of the engine list is in force."""
+        for extension in self._list_listeners:
+            guarded(extension.engines_changed, change)
 
     def constrain(self, query: QueryInfo) -> QueryConstraint | str | None:
         """The constraint of a query; an explanation for its client where it can't be served as it asks."""
-        for part in self._guides:
+        for extension in self._constraining:
             try:
-                found = part.constrain(query)
+                found = extension.constrain(query)
             except Exception:
                 log.exception(FAULT)
                 return FAULT
@@ -78,10 +82,14 @@
                 return found
         return None
 
-    def answered(self, service_class: str, earned: float, code: int, passed: int, attempts: int) -> None:
-        for part in self._tallies:
-            guarded(part.query_answered, service_class, earned, code, passed, attempts)
-
-    def ran(self, ran: EngineRun) -> None:
-        for part in self._learners:
-            guarded(part.engine_ran, ran)
+    def answered(
+        self, service_class: str, earned: float, status: AnswerStatus, duration: int, attempts: int
+    ) -> None:
+        """A query has its final answer."""
+        for extension in self._answer_listeners:
+            guarded(extension.query_answered, service_class, earned, status, duration, attempts)
+
+    def ran(self, run: EngineRun) -> None:
+        """An engine has completed a query."""
+        for extension in self._run_listeners:
+            guarded(extension.engine_ran, run)
--- a/vanerelay/net/frames.py
+++ b/vanerelay/net/frames.py
@@ -1,4 +1,4 @@
-"""The frames of the clients' protocol: a reader that is fed bytes and gives frames, and the writing of frames."""
+"""The frames of the clients' protocol: a reader that is fed bytes, and the writing of frames."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from vanerelay.net.buffers import Gather, Pool
 
 MIN_LENGTH, MAX_LENGTH = 5, 262_144
-"""What the length of a frame may be. It counts what stands behind it: the kind, the stream and the payload."""
+"""What the length of a frame may be, which counts the kind, the stream and the payload."""
 MAX_OPEN_REQUESTS = 32
 """Requests that may be open on one connection."""
 _LENGTH_BYTES = 4
--- a/vanerelay/net/peer_gossip.py
+++ b/vanerelay/net/peer_gossip.py
@@ -32,7 +32,7 @@
     transport: Any
 
     def __init__(self, listen: str, addresses: list[str], everyone: str) -> None:
-        """`addresses` are those of the peers by their numbers; what goes to `everyone` reaches all of them."""
+        """`addresses` are those of the peers by their numbers; `everyone` is one that reaches all of them."""
         self._listen = _address(listen)
         self._everyone = _address(everyone)
         self._addresses = [_address(address) for address in addresses]
--- a/vanerelay/net/statements.py
+++ b/vanerelay/net/statements.py
@@ -36,7 +36,9 @@
     "when",
 }
 _FUNCTIONS, _BEFORE_QUERY = {"extract", "trim", "substring", "overlay", "position"}, _LISTS | {"join", ","}
-_WORDS, _SIGNS = _LISTS | _SINGLE | _ENDS, {"(", ")", ","}  # all else means nothing unless a table is awaited
+# All else means nothing unless a table is expected.
+_WORDS = _LISTS | _SINGLE | _ENDS
+_SIGNS = {"(", ")", ","}
 _BETWEEN = {"only", "lateral", "if", "not", "exists", "table"}
 
 
@@ -55,62 +57,100 @@
 
 def named(statement: str) -> tuple[list[int], list[int]]:
     """The numbers of the schemas of all tables that are written, and of those read."""
-    tokens = _tokens(statement)
-    written, read = list[int](), list[int]()
-    awaited = writing = False
-    # By open bracket: whether a list of tables goes on, and whether the bracket is that of a function. Kept
-    # as brackets open, not looked for at each FROM: that took minutes for the longest frame there may be.
-    listing, function = [False], [False]
-    at = 0
-    while at < len(tokens):
-        kind, text = tokens[at]
-        word = text.lower() if kind == "word" else ""
-        if not awaited and word not in _WORDS and text not in _SIGNS:
-            at += 1
-            continue
-        if word in _LISTS or word in _SINGLE:
-            # EXTRACT(x FROM y), TRIM(x FROM y) and SUBSTRING(x FROM y) name a column here, no table.
-            column = word == "from" and function[-1]
-            awaited, writing = not column, writing if word == "table" and awaited else word in _WRITES
-            listing[-1] = word in _LISTS and not column
-        elif awaited and (kind == "name" or kind == "word" and word not in _BETWEEN and word not in _ENDS):
-            names, at = _dotted(tokens, at)
-            if len(names) > 1:
-                (written if writing else read).extend(_number(names[-2]))
-            awaited = False
-            continue
-        elif text == "(":
-            before = tokens[at - 1][1].lower() if at else ""
-            listing.append(False)
-            function.append(before in _FUNCTIONS)
-            awaited = awaited and before in _BEFORE_QUERY
+    scan = _Scan(_tokens(statement))
+    scan.run()
+    return scan.written, scan.read
+
+
+class _Scan:
+    """Goes through the tokens of a statement once, and notes the tables that it names.
+
+    Attributes:
+        written: The numbers of the schemas of tables that are written; `read` likewise.
+    """
+
+    def __init__(self, tokens: list[tuple[str, str]]) -> None:
+        self.written, self.read = list[int](), list[int]()
+        self._tokens = tokens
+        self._table_expected = False
+        self._writing = False
+        # By open bracket: whether a list of tables goes on, and whether the bracket is that of a function.
+        # Kept as brackets open, not looked for at each FROM: that took minutes for the longest frame there
+        # may be.
+        self._listing = [False]
+        self._in_function = [False]
+
+    def run(self) -> None:
+        """Goes through all tokens."""
+        tokens, at = self._tokens, 0
+        while at < len(tokens):
+            kind, text = tokens[at]
+            word = text.lower() if kind == "word" else ""
+            if not self._table_expected and word not in _WORDS and text not in _SIGNS:
+                at += 1
+            elif word in _LISTS or word in _SINGLE:
+                self._before_table(word)
+                at += 1
+            elif self._table_expected and _may_name_table(kind, word):
+                at = self._take_table(at)
+            else:
+                before = tokens[at - 1][1].lower() if at else ""
+                self._other(text, word, before)
+                at += 1
+
+    def _before_table(self, word: str) -> None:
+        # EXTRACT(x FROM y), TRIM(x FROM y) and SUBSTRING(x FROM y) name a column here, no table.
+        names_column = word == "from" and self._in_function[-1]
+        if not (word == "table" and self._table_expected):
+            self._writing = word in _WRITES
+        self._table_expected = not names_column
+        self._listing[-1] = word in _LISTS and not names_column
+
+    def _take_table(self, at: int) -> int:
+        """Notes the table that is named here; returns where the tokens go on."""
+        names, following = _dotted(self._tokens, at)
+        if len(names) > 1:
+            (self.written if self._writing else self.read).extend(_number(names[-2]))
+        self._table_expected = False
+        return following
+
+    def _other(self, text: str, word: str, before: str) -> None:
+        if text == "(":
+            self._listing.append(False)
+            self._in_function.append(before in _FUNCTIONS)
+            self._table_expected = self._table_expected and before in _BEFORE_QUERY
         elif text == ")":
-            if len(listing) > 1:
-                listing.pop()
-                function.pop()
-            awaited = False
-        elif text == "," and listing[-1]:
-            awaited, writing = True, False
+            if len(self._listing) > 1:
+                self._listing.pop()
+                self._in_function.pop()
+            self._table_expected = False
+        elif text == "," and self._listing[-1]:
+            self._table_expected, self._writing = True, False
         elif word in _ENDS:
-            awaited, listing[-1] = False, False
-        at += 1
-    return written, read
+            self._table_expected = False
+            self._listing[-1] = False
+
+
+def _may_name_table(kind: str, word: str) -> bool:
+    return kind == "name" or kind == "word" and word not in _BETWEEN and word not in _ENDS
 
 
 def table_groups(statement: str) -> list[int]:
-    """All of them, those written first, each once."""
+    """The numbers of the schemas of all tables that a statement names, those written first, each once."""
     written, read = named(statement)
     return list(dict.fromkeys(written + read))
 
 
 def writes(statement: bytes) -> bool:
-    """Whether it may write; what only looks like it does as well."""
+    """Whether a statement may write; one that only looks so counts as well."""
     return _WRITE.search(statement, 0, BLOCK) is not None
 
 
 def table_group(statement: str) -> int:
-    """The one group that the module is told: the first that is written, else the first read; 0 for none. It
-    stands near the beginning; the longest statements would take half a second to go through."""
+    """The table group of a statement: the first that is written, else the first read; 0 for none.
+
+    It stands near the beginning; the longest statements would take half a second to go through.
+    """
     return next(iter(table_groups(statement[:BLOCK])), 0)
 
 
