--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -307,12 +307,12 @@
     told = json.loads(node.config.read_text())
     node.config.write_text(json.dumps({**told, "feed": dead}))
     node.process.send_signal(signal.SIGHUP)
-    until(lambda: "feed fails" in node.log.read_text(), "the failure")
+    until(lambda: "discovery fails" in node.log.read_text(), "the failure")
     node.feed.heard(node.feed.tell(member(one, "s-1", "DELETED"), member(two, "s-2")))
     client = joined(node)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0) and two.served() == ["a1"]
-    assert node.log.read_text().count("feed fails") == 1
+    assert node.log.read_text().count("discovery fails") == 1
 
 
 def test_several_signals_to_end_that_come_in_one_pass_are_one(started):
@@ -371,7 +371,7 @@
     feed.spoil.extend([down] * 100_000)
     node = started(member(one, "s-1"), feed=feed, sockets=48)
     idle = [node.client() for _ in range(60)]
-    until(lambda: "feed fails" in node.log.read_text(), "the failure")
+    until(lambda: "discovery fails" in node.log.read_text(), "the failure")
     feed.spoil.clear()
     feed.heard(feed.tell(member(one, "s-1", "DELETED"), member(two, "s-2")))
     for rests in idle:  # turned away, or ended for their silence
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -252,7 +252,7 @@
     lines = [json.loads(line) for line in node.log.read_text().splitlines()]
     counts = [line for line in lines if line["event"] == "events so far"][-1]
     by_us = [name for name in counts if "client, by us" in name]
-    assert by_us == ["connection closed: client, by us: it does not keep to the protocol"]
+    assert by_us == ["connection closed: client, by us: protocol error"]
 
 
 def test_retries_refusals_closes_and_changes_of_state_are_in_the_log_with_their_reasons(started):
@@ -270,8 +270,8 @@
     lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
     retry = next(line for line in lines if line["event"] == Kind.RETRY.value)
     assert bytes.fromhex(retry["id"]).lstrip(b"\0") == b"a1" and retry["why"] == "error, written whole"
-    refusal = [line for line in lines if line["event"] == Kind.REFUSAL.value]
-    assert [line["why"] for line in refusal] == ["pushed back by the module", "failed by the module"]
+    refusal = [line for line in lines if line["event"] == Kind.REJECTION.value]
+    assert [line["why"] for line in refusal] == ["rejected by the decisions", "failed by the decisions"]
     assert any(line["event"] == Kind.CLOSE.value and "client, by us" in line["why"] for line in lines)
     state = next(line for line in lines if line["event"] == Kind.STATE.value)
     assert state["engine"] == "s-1" and state["why"] == "engine up to draining"
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -179,10 +179,10 @@
 
     try:
         configuration = read_configuration(config)
-        why = settings_validation.doubtful(configuration.raw_settings)
+        why = settings_validation.find_doubt(configuration.raw_settings)
         if why is not None:
             raise StartupError(f"configuration {config}: {why}")
-        groups = settings.service_groups(configuration.raw_settings)
+        groups = settings.service_classes(configuration.raw_settings)
         changes = discovery_codec.parse(configuration.known_list, {}, {})
     except (StartupError, KeyError, TypeError, ValueError, AttributeError) as fault:
         click.echo(f"vanerelay: {fault}", err=True)
--- a/vanerelay/history.py
+++ b/vanerelay/history.py
@@ -1,7 +1,7 @@
 """Histories: what one process of a scenario did, row by row, for checkers that read them afterwards.
 
-Rows have their begin and end by one clock that all processes of a machine share and no scenario turns. Who writes
-them never reads them. In service there are none: `path` is empty.
+Rows have their begin and end by one clock that all processes of a machine share and no scenario turns. Who
+writes them never reads them. In service there are none: `path` is empty.
 """
 
 from __future__ import annotations
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -62,7 +62,7 @@
         if number:
             self._events.note(
                 Kind.RETRY,
-                query.last_end or "none ended",
+                query.last_end or "no attempt ended",
                 id=query.name,
                 attempt=number,
                 engine=self._engine_list.name_of(engine),
@@ -88,7 +88,7 @@
         )
         attempt = Attempt(query.name.encode(), command, query.used_connections)
         query.attempts.append(attempt)
-        query.out += 1
+        query.in_flight += 1
         attempt.noted = lambda note: self._results.progressed(query, number, note)
         attempt.done.addCallback(self._results.ended, query, number, self._decisions.now, engine)
         attempt.done.addErrback(_log_failure)
@@ -124,10 +124,10 @@
         broken = self._guard.begin_attempt(self._decisions.now, query.guard_record, number, engine)
         if broken is not None:
             self._events.note(
-                Kind.BROKEN, broken.value, id=query.name, engine=self._engine_list.name_of(engine)
+                Kind.VIOLATION, broken.value, id=query.name, engine=self._engine_list.name_of(engine)
             )
         return broken is None
 
 
 def _log_failure(failure: Failure) -> None:
-    log.error("an attempt's end met a fault", fault=failure.getTraceback())
+    log.error("error at the end of an attempt", fault=failure.getTraceback())
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -171,7 +171,7 @@
             try:
                 self._handle(frame, received_after)
             except Exception:
-                log.exception("a client's frame met a fault")
+                log.exception("error in a client's frame")
                 if frame.kind == FrameKind.REQUEST:
                     self.answer(frame.stream, AnswerStatus.FAILED, {}, b"")
 
@@ -214,7 +214,7 @@
         self._owner.protocol_errors.warn(why=why)
         self._fail_open()
         self._write(frames.answer(FrameKind.ANSWER, 0, AnswerStatus.FAILED, {}))
-        self.end("it does not keep to the protocol", why)
+        self.end("protocol error", why)
 
     def _fail_open(self) -> None:
         """The final answer of each query that is open here, for which nothing is done any more."""
@@ -227,7 +227,7 @@
         try:
             request.left()
         except Exception:
-            log.exception("a client's leaving met a fault")
+            log.exception("error when a client left")
 
     def _write(self, data: bytes) -> None:
         """Hands bytes over and has them sent now.
@@ -298,7 +298,7 @@
 
     def _end_if_answered(self) -> None:
         if self._closing and not self.open:
-            self.end("we end")
+            self.end("shutdown")
 
     def pauseProducing(self) -> None:
         """The transport's buffer is full.
@@ -321,7 +321,7 @@
 
     def _give_up(self) -> None:
         self._abort_timer = None
-        log.warning("client takes no answers, its connection is ended", open=len(self.open))
+        log.warning("client takes no answers, connection aborted", open=len(self.open))
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
--- a/vanerelay/net/client_listener.py
+++ b/vanerelay/net/client_listener.py
@@ -57,8 +57,8 @@
         self._frame_due: OrderedDict[ClientConnection, float] = OrderedDict()
         self._port: Any = None
         self._accept_failed_at: int | None = None
-        self.protocol_errors = RateLimitedLog(reactor, "client does not keep to the protocol")
-        self._share_full = RateLimitedLog(reactor, "clients hold their share of the descriptors")
+        self.protocol_errors = RateLimitedLog(reactor, "client protocol error")
+        self._share_full = RateLimitedLog(reactor, "client connections at their limit")
         reactor.callLater(SWEEP_S, self._sweep)
 
     def buildProtocol(self, addr: object) -> ClientConnection:
@@ -203,4 +203,4 @@
             try:
                 call(connection)
             except Exception:
-                log.exception("a client's connection met a fault")
+                log.exception("error in a client's connection")
--- a/vanerelay/net/discovery_client.py
+++ b/vanerelay/net/discovery_client.py
@@ -190,7 +190,7 @@
         moved_to = discovery_codec.split(address)
         if self._stopped or moved_to == self._address:
             return
-        log.info("the feed has moved", feed=address)
+        log.info("discovery address changed", address=address)
         self._former, self._address = self._address, moved_to
         self._break_off()
         self.follow()
@@ -239,12 +239,12 @@
         self._failures = 0 if wrong is None else self._failures + 1
         if wrong is not None and self._working:
             self._working = False
-            log.warning("feed fails", why=wrong)
+            log.warning("discovery fails", why=wrong)
         elif wrong is None and address == self._address:
             self._former = None
             if not self._working:
                 self._working = True
-                log.info("feed answers again")
+                log.info("discovery works again")
 
     def _backoff_s(self) -> float:
         """How long nothing is asked after a failure: hundreds of processes must not come back in step."""
@@ -285,4 +285,4 @@
 
 
 def _log_failure(failure: Failure) -> None:
-    log.error("the feed's driver failed", fault=failure.getTraceback())
+    log.error("error in the discovery client", fault=failure.getTraceback())
--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -263,7 +263,7 @@
     def _abandon(self, attempt: Attempt, end: AttemptEnd) -> None:
         if self._process.settings.exclusive and end.stage is AttemptStage.WRITTEN:
             self._leaving.append((attempt, end))
-            self._abort("an attempt on it was given up")
+            self._abort("attempt given up")
         elif self.exchange.out:
             self._leaving.append((attempt, end))
             self._flush()
@@ -275,7 +275,7 @@
     def _abort_if_stuck(self, given_up: Attempt) -> None:
         """A connection that takes no bytes ends, so that what was given up on it does."""
         if any(attempt is given_up for attempt, _ in self._leaving):
-            self._abort("it takes no bytes")
+            self._abort("takes no bytes")
 
     def _abort(self, why: str) -> None:
         self._closing = True
@@ -309,7 +309,7 @@
             else:
                 self.attempts.pop(ident).end(end)
         if self.exchange.broken:
-            self._abort("what came can't be read")
+            self._abort("unreadable answer")
         else:
             self._flush()
             self._watch_for_stall()
@@ -319,7 +319,7 @@
         """The attempt may run on until the connection has ended: only then is its end reported."""
         if not self._process.warned:
             self._process.warned = True
-            log.warning("engine answered what cannot be read", host=self._process.host, why=end.detail)
+            log.warning("engine answer unreadable", host=self._process.host, why=end.detail)
         attempt = self.attempts.pop(ident)
         attempt.connection = None  # its end is on its way: nothing can be given up here any more
         self._leaving.append((attempt, end))
@@ -337,9 +337,9 @@
 
     def _stalled(self) -> None:
         if not self.over:
-            for ident, end in self.exchange.break_off("an answer stopped short"):
+            for ident, end in self.exchange.break_off("stalled answer"):
                 self._end_malformed(ident, end)
-            self._abort("an answer stopped short")
+            self._abort("stalled answer")
 
     def lost(self, cause: EndCause) -> None:
         """The connection has ended, and with it all that is open on it."""
@@ -370,7 +370,7 @@
     def _retire(self) -> None:
         worn = self._closing or self.exchange.worn
         if worn and not self.busy and not self._leaving and not self.over and self._protocol is not None:
-            self._note_close("not used any more")
+            self._note_close("idle or replaced")
             self._end()
             self._protocol.close()
 
@@ -434,4 +434,4 @@
 
 
 def _log_failure(failure: Failure) -> None:
-    log.error("a connection met a fault", fault=failure.getTraceback())
+    log.error("error in an engine's connection", fault=failure.getTraceback())
--- a/vanerelay/net/engine_pool.py
+++ b/vanerelay/net/engine_pool.py
@@ -187,7 +187,7 @@
         if connection is None and self.connections() >= self._max_connections:
             # Past the descriptors left for engines: the engine is not to blame, and nothing was sent.
             if not self._full:
-                log.warning("engines hold their share of the descriptors", connections=self._max_connections)
+                log.warning("engine connections at their limit", connections=self._max_connections)
             self._full = True
             self._reactor.callLater(0, attempt.end, NOT_SENT)
             return
--- a/vanerelay/net/engine_start_times.py
+++ b/vanerelay/net/engine_start_times.py
@@ -22,8 +22,8 @@
         Args:
             engine: The index of the engine.
             reported: The start as reported, in ticks on the Unix clock; 0 for long ago.
-            within_s: The seconds before now in which its source learned of the start. Where the wall clock puts
-                the start long before that, it can't be trusted, and the engine counts as started now.
+            within_s: The seconds before now in which its source learned of the start. Where the wall clock
+                puts the start long before that, it can't be trusted, and the engine counts as started now.
         """
         if reported == 0:
             self._moments.pop(engine, None)
--- a/vanerelay/net/events.py
+++ b/vanerelay/net/events.py
@@ -1,7 +1,7 @@
-"""The event log, from which an incident is read: closes, retries, rejections and changes of state with reasons.
+"""The event log, from which an incident is read: closes, retries, rejections, changes of state, with why.
 
-All are counted. Lines of their own are limited, as clients and engines can cause them by the thousand; what was
-left out shows in the counts, which are logged now and then and at the end.
+All are counted. Lines of their own are limited, as clients and engines can cause them by the thousand; what
+was left out shows in the counts, which are logged now and then and at the end.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
     """What an event is; the value is the name of its log line."""
 
     CLOSE = "connection closed"
-    RETRY = "further attempt"
-    REFUSAL = "query refused or failed"
+    RETRY = "retry"
+    REJECTION = "query rejected or failed"
     STATE = "state changed"
-    BROKEN = "invariant would be broken"
+    VIOLATION = "invariant would be broken"
 
 
 class EventLog:
--- a/vanerelay/net/extensions.py
+++ b/vanerelay/net/extensions.py
@@ -14,7 +14,7 @@
     from vanerelay.interface import AnswerStatus
 
 FAULT = "a subsystem met a fault"
-"""The log line; also the explanation for a client whose query no extension could constrain for that."""
+"""The log line. It is on the wire as well, as the explanation for a client whose query meets the error."""
 Result = TypeVar("Result")
 
 log = structlog.get_logger()
--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -208,7 +208,7 @@
         """See `Transport.reject`."""
         held = self.queries.at(query)
         if not held.ended:
-            self._answers.note_rejection(held, "pushed back by the module")
+            self._answers.note_rejection(held, "rejected by the decisions")
             fields = request_codec.retry_after_fields(retry_after)
             self._answers.answer(held, AnswerStatus.REJECTED, fields)
         self.queries.settle(held)  # rejected in the admission queue, nothing else comes for it
@@ -217,7 +217,7 @@
         """See `Transport.fail`."""
         held = self.queries.at(query)
         if not held.ended:
-            self._answers.note_rejection(held, "failed by the module")
+            self._answers.note_rejection(held, "failed by the decisions")
             self._answers.answer(held, AnswerStatus.FAILED)
         self.queries.settle(held)
 
--- a/vanerelay/net/query_ends.py
+++ b/vanerelay/net/query_ends.py
@@ -23,22 +23,22 @@
     def client_left(self, query: ClientQuery) -> None:
         """Its client no longer waits; attempts that are out still end."""
         if not query.ended:
-            self._events.note(Kind.REFUSAL, "its client left", False)
+            self._events.note(Kind.REJECTION, "client left", False)
             self._answers.abandon(query)
             self._stop_attempts(query)
         self._queries.settle(query)
 
     def deadline_passed(self, query: ClientQuery) -> None:
         """Its deadline has come, whatever the decisions made of it."""
-        self._answers.note_rejection(query, "its deadline has come")
+        self._answers.note_rejection(query, "deadline passed")
         self._answers.answer(query, AnswerStatus.FAILED)
         self._stop_attempts(query)
         self._queries.settle(query)
 
     def _stop_attempts(self, query: ClientQuery) -> None:
         """Tells the decisions. What has not begun does not begin, also where nothing can be cancelled."""
-        if query.batch is not None:
-            self._decisions.call(query, query.batch.client_left)
+        if query.handle is not None:
+            self._decisions.call(query, query.handle.client_left)
         for attempt in query.attempts:
             if attempt is not None:
                 attempt.withdraw()
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -40,8 +40,8 @@
 class RejectionReason(Enum):
     """Why a request is answered without being held. The values stand in the event log."""
 
-    UNUSABLE = "no engine could use it"
-    NO_CAPACITY = "no room for one more"
+    UNUSABLE = "unusable request"
+    NO_CAPACITY = "no capacity"
     UNSATISFIABLE = "its constraint cannot be satisfied"
 
 
@@ -200,12 +200,12 @@
         if query.ended or query.arrival is None:
             return
         query.arrival.eligible_engines = engines
-        if query.batch is not None:
+        if query.handle is not None:
             return
         # Other settings may have come into force while it waited.
         service_class = self._settings.current.rows.get(query.service_class.decode())
         if service_class is None:
-            self._answers.note_rejection(query, "its class is gone")
+            self._answers.note_rejection(query, "service class removed")
             self._answers.answer(query, AnswerStatus.REJECTED)
         else:
             query.arrival.service_class = service_class
@@ -215,8 +215,8 @@
 
     def reject_constrained(self, query: ClientQuery, retry_after: int) -> None:
         """See `QueryOwner.reject_constrained`."""
-        if not query.ended and query.batch is None:
-            self._answers.note_rejection(query, "by who leads it")
+        if not query.ended and query.handle is None:
+            self._answers.note_rejection(query, "rejected by its constraint")
             retry_after = min(retry_after, self._settings.current.max_retry_after)
             shown = retry_after if retry_after >= request_codec.TICKS_PER_MS else 0
             fields = request_codec.retry_after_fields(shown)
@@ -276,7 +276,7 @@
         status = rejection.status
         self._answers.report_unheld(request_codec.service_class(frame.fields), status)
         if rejection.reason is not RejectionReason.UNSATISFIABLE:
-            self._events.note(Kind.REFUSAL, rejection.reason.value, id=rejection.reference)
+            self._events.note(Kind.REJECTION, rejection.reason.value, id=rejection.reference)
         fields = request_codec.explanation_fields(rejection.explanation)
         client.answer(frame.stream, status, fields, b"")
         unusable = rejection.reason is RejectionReason.UNUSABLE
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -191,7 +191,7 @@
         self.events.sweep()
         late_s = self.reactor.latest()
         if late_s > STALL_S:
-            log.warning("stood still", ms=round(late_s * 1000))
+            log.warning("event loop stalled", ms=round(late_s * 1000))
         busy = any(extension.busy for extension in self._extensions)
         self._garbage.sweep(self.service.queries.open_count, bool(self._extensions), busy)
 
--- a/vanerelay/net/settings_reload.py
+++ b/vanerelay/net/settings_reload.py
@@ -63,14 +63,14 @@
     def apply(self, raw_settings: RawSettings) -> str | None:
         """Goes on under other settings; the reason where it cannot."""
         try:
-            return settings_validation.wrong(raw_settings) or self._switch(raw_settings)
+            return settings_validation.find_error(raw_settings) or self._switch(raw_settings)
         except (TypeError, ValueError, KeyError, AttributeError) as error:
             return _describe(error)
 
     def _switch(self, raw_settings: RawSettings) -> str | None:
         if raw_settings == self.settings:
             return None
-        why = settings_validation.fixed(self.settings, raw_settings)
+        why = settings_validation.find_restart_setting(self.settings, raw_settings)
         for extension in self._extensions:
             why = why or extension.settings_conflict(raw_settings)
         if why is not None:
@@ -81,7 +81,7 @@
         for extension in self._extensions:
             noted |= extension.settings_applied(raw_settings)
         names = [str(service_class["name"]) for service_class in raw_settings["classes"]]
-        log.info("settings switched", groups=names, **noted)
+        log.info("settings switched", service_classes=names, **noted)
         return None
 
 
--- a/vanerelay/net/startup.py
+++ b/vanerelay/net/startup.py
@@ -94,7 +94,7 @@
 
     def peers(self) -> PeerGossip | None:
         """The gossip with other gateways; None where it is not allowed or not configured."""
-        allowed = settings.allowances(self.raw_settings).may_gossip
+        allowed = settings.capabilities(self.raw_settings).may_gossip
         listen, everyone = self.raw.get("peer_listen"), self.raw.get("peers_all")
         if not allowed or not listen or not everyone:
             return None
@@ -113,7 +113,7 @@
     if missing:
         raise StartupError(f"configuration {path}: nothing told under {', '.join(missing)}")
     assert isinstance(raw, dict)
-    why = settings_validation.wrong(raw["settings"])
+    why = settings_validation.find_error(raw["settings"])
     if why is not None:
         raise StartupError(f"configuration {path}: {why}")
     return Configuration(raw)
@@ -150,19 +150,19 @@
 def connect_timeout_s(raw_settings: RawSettings) -> float:
     """How long a connection may take to come up."""
     limits = raw_settings.get("limits") or {}
-    return settings.down(limits.get("dialTimeoutUs") or DEFAULT_CONNECT_US) / SECOND
+    return settings.ticks_floor(limits.get("dialTimeoutUs") or DEFAULT_CONNECT_US) / SECOND
 
 
 def connection_settings(raw_settings: RawSettings) -> ConnectionSettings:
     """How connections to engines are used."""
     limits = raw_settings.get("limits") or {}
-    allowed = settings.allowances(raw_settings)
+    allowed = settings.capabilities(raw_settings)
     return ConnectionSettings(
         max_attempts=int(limits.get("multiplex") or 1),
         may_cancel=allowed.may_cancel,
         may_hedge=allowed.may_hedge,
         connect_s=connect_timeout_s(raw_settings),
-        idle_s=settings.down(limits.get("connIdleUs") or DEFAULT_IDLE_US) / SECOND,
+        idle_s=settings.ticks_floor(limits.get("connIdleUs") or DEFAULT_IDLE_US) / SECOND,
         stall_s=MIN_SILENCE * OVERDUE_FACTOR / SECOND,
     )
 
