--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -111,9 +111,9 @@
     requirements = "requirements-xds.txt"
     operator_config = _subsystem("vanerelay.operator_config", requirements)
     try:
-        found: dict[str, Any] = operator_config.subsystems(path)
+        found: dict[str, Any] = operator_config.read_subsystems(path)
         return found
-    except operator_config.BadOptions as error:
+    except operator_config.OperatorConfigError as error:
         _exit(f"options {error}")
     except ModuleNotFoundError as error:
         _exit(f"{error.name} is not installed, expected what {requirements} pins")
--- a/vanerelay/net/buffers.py
+++ b/vanerelay/net/buffers.py
@@ -1,4 +1,4 @@
-"""Buffers of one size, used again from a pool, for what has come of a message that is not whole yet."""
+"""Buffers of one size, used again from a pool, for what has come of a message that is not complete yet."""
 
 from __future__ import annotations
 
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -84,7 +84,7 @@
         """The connection was of use just now."""
 
     def expect_frame(self, connection: ClientConnection, expected: bool) -> None:
-        """Whether the client owes the rest of a frame, or its first one; told again, the time runs on."""
+        """Whether the client owes the rest of a frame, or its first one; said again, the time runs on."""
 
     def linger(self, connection: ClientConnection) -> None:
         """Our side has ended; the connection holds its descriptor until the client's end comes."""
@@ -240,7 +240,7 @@
         self.transport.doWrite()
 
     def answer(self, stream: int, status: AnswerStatus, fields: dict[str, str], body: bytes) -> None:
-        """The one answer of a request, whole; nothing where its client is gone."""
+        """Writes the one answer of a request; nothing where its client is gone."""
         self.open.pop(stream, None)
         if not self._lost:
             self._write(frames.answer(FrameKind.ANSWER, stream, status, fields, body))
--- a/vanerelay/net/client_listener.py
+++ b/vanerelay/net/client_listener.py
@@ -165,7 +165,7 @@
             self._connections.move_to_end(connection)
 
     def expect_frame(self, connection: ClientConnection, expected: bool) -> None:
-        """Whether it owes the rest of a frame, or its first one; told again, the time runs on."""
+        """Whether it owes the rest of a frame, or its first one; said again, the time runs on."""
         if not expected:
             self._frame_due.pop(connection, None)
         elif connection not in self._frame_due and connection in self._connections:
@@ -177,7 +177,7 @@
         self.reactor.callLater(SWEEP_S, self._sweep)
         while self._frame_due and next(iter(self._frame_due.values())) <= now:
             connection, _ = self._frame_due.popitem(last=False)
-            connection.refuse("nothing whole came")
+            connection.refuse("no complete frame came")
         for connection in list(self._connections):
             if now - connection.used_at < FORGOTTEN_S:
                 break
--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -5,26 +5,22 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Any
-from typing import Protocol as Interface
+from typing import Any, Protocol
 
 import structlog
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
-from twisted.internet.error import ConnectionDone
 from twisted.internet.error import TimeoutError as ConnectTimeOut
-from twisted.internet.interfaces import IPullProducer
-from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
-from zope.interface import implementer  # type: ignore[import-untyped]
 
 from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.net.attempt import Attempt
 from vanerelay.net.buffers import Pool
+from vanerelay.net.engine_protocol import EngineProtocol
 from vanerelay.net.events import EventLog, Kind
 from vanerelay.net.resp_codec import Exchange, Note, QueryCommand
 
-CONNECTION_DONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 MAX_NAMED = 5
 """Attempts that one log line names."""
 NOT_SENT = AttemptEnd(EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED)
@@ -32,7 +28,7 @@
 log = structlog.get_logger()
 
 
-class ConnectionOwner(Interface):
+class ConnectionOwner(Protocol):
     """The engine process that a connection leads to, as the connection sees it.
 
     Attributes:
@@ -92,51 +88,6 @@
         return max(self.idle_s / 2, self.idle_s - self.connect_s)
 
 
-@implementer(IPullProducer)
-class EngineProtocol(Protocol):
-    """Hands bytes over, and learns from the transport each time that all handed to it has left."""
-
-    transport: Any
-
-    def __init__(self, connection: EngineConnection) -> None:
-        self.connection = connection
-
-    def connectionMade(self) -> None:
-        """Asks the transport to report what has left."""
-        self.transport.setTcpNoDelay(True)
-        self.transport.setTcpKeepAlive(True)
-        self.transport.registerProducer(self, False)
-
-    def dataReceived(self, data: bytes) -> None:
-        """Hands on what the engine sent."""
-        self.connection.received(data)
-
-    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
-        """The connection is no more."""
-        self.connection.lost(EndCause.CONNECTION_LOST)
-
-    def resumeProducing(self) -> None:
-        """All that was handed over has left."""
-        self.connection.drained()
-
-    def stopProducing(self) -> None:
-        """The transport is closed, which `connectionLost` tells as well."""
-
-    def read_waiting(self) -> bool:
-        """Reads what has come; whether that was not the connection's end."""
-        return self.transport.doRead() is None
-
-    def close(self) -> None:
-        """Closes once all has left."""
-        self.transport.unregisterProducer()
-        self.transport.loseConnection()
-
-    def abort(self) -> None:
-        """Closes now."""
-        self.transport.unregisterProducer()
-        self.transport.abortConnection()
-
-
 class EngineConnection:
     """One connection to an engine, from the first call on: attempts wait here until it is up.
 
@@ -348,7 +299,7 @@
         self._note_close(cause.value)
         self._end()
         for ident, stage in self.exchange.lost().items():
-            # The transport did not report that all had left, so its last command did not leave whole. One
+            # The transport did not report that all had left, so its last command left incompletely. One
             # with a cancel or a read behind it may have: what is missing may be of those.
             partly = ident == self._last_written and stage is AttemptStage.WRITTEN
             self.attempts.pop(ident).end(AttemptEnd(cause, AttemptStage.PARTLY_WRITTEN if partly else stage))
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -51,7 +51,7 @@
 
     Attributes:
         reference: The reference of the request, as far as it could be read.
-        explanation: What its client is told, where something is.
+        explanation: What its client gets to read; None for nothing.
     """
 
     reason: RejectionReason
@@ -232,7 +232,7 @@
             return Rejection(RejectionReason.UNUSABLE, reference)
         if not self._has_capacity(len(request.body)):
             return Rejection(RejectionReason.NO_CAPACITY, request.reference)
-        # The client counts from when it sent, which nobody tells: the earliest moment known stands for it.
+        # The client counts from when it sent. That is not known: the earliest moment known stands for it.
         deadline = received_after + request.time_limit
         constraint = self._constrain(request, service_class, deadline)
         if isinstance(constraint, str):
@@ -297,7 +297,7 @@
         self._deadlines.add(query)
 
     def _arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
-        """The query as the decisions are told of it."""
+        """The query as the decisions get it."""
         request = admitted.request
         return QueryArrival(
             index=query.index,
--- a/vanerelay/net/request_codec.py
+++ b/vanerelay/net/request_codec.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryRequest:
-    """A query as its client asks for it. Times in ticks, memory in MB, 0 where nothing is told.
+    """A query as its client asks for it. Times in ticks, memory in MB, 0 where nothing is given.
 
     Attributes:
         time_limit: How long the client waits for the answer.
@@ -82,12 +82,12 @@
 
 
 def explanation_fields(explanation: str | None) -> dict[str, str]:
-    """The named values of a failure that tells its client why; none for None."""
+    """The named values of a failure that explains itself to its client; none for None."""
     return {} if explanation is None else {"why": explanation}
 
 
 def figure(fields: Mapping[str, str], name: str) -> float | None:
-    """A figure as told, 0 where it is not; None where it cannot be used."""
+    """A figure as given, 0 where it is not; None where it cannot be used."""
     text = fields.get(name, "" if name == "allow" else "0")
     value = float(text) if FIGURE.fullmatch(text) else FIGURE_LIMIT
     return value if value < FIGURE_LIMIT else None
--- a/vanerelay/net/resp_codec.py
+++ b/vanerelay/net/resp_codec.py
@@ -125,7 +125,7 @@
 
 
 def rows(page: bytes) -> bool:
-    """Whether it is whole rows of three columns of text: noise must not pass for what an engine gave."""
+    """Whether it is complete rows of three columns of text: noise must not pass for what an engine gave."""
     try:
         page.decode()
     except UnicodeDecodeError:
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -67,39 +67,47 @@
         self._sockets = sockets or SupervisorSockets()
         self.supervised = self._sockets.listen_fd is not None
         self._internal_queries = int(clock.now())  # a number for the next reference
+        self._failure: str | None = None  # found while running, which ends the program
         self._pool = Pool()
         self.events = EventLog(reactor)
         self._shares = DescriptorShares.divide(configuration.descriptors)
-        raw_settings = configuration.raw_settings
-        self._engines = startup.make_engine_pool(
-            reactor, clock, self._pool, raw_settings, self._shares, self.events
-        )
-        peers = configuration.peers()
-        self.service = GatewayService(
-            reactor,
-            clock,
-            raw_settings,
-            self._engines,
-            peers,
-            configuration.memory_bytes // startup.STATEMENT_SHARE,
-            self.events,
-        )
+        self._make_service(configuration)
         self.seed = configuration.seed
-        self.zones = startup.rows(raw_settings.get("failureDomains"))
-        self.machine_kinds = startup.rows(raw_settings.get("kinds"))
+        self.zones = startup.rows(configuration.raw_settings.get("failureDomains"))
+        self.machine_kinds = startup.rows(configuration.raw_settings.get("kinds"))
         self._extensions: Sequence[Extension] = join(self) if join is not None else []
         self._put_settings_in_force(configuration)
         self.clients: ClientListener = self._make_clients()
+        self._garbage = GarbageCollection(configuration.memory_bytes)
+        self._termination = Termination(reactor)
         self._shutdown = GracefulShutdown(
             reactor, self.service, self.clients, self.discovery, self._engines, self._extensions
         )
-        self._termination = Termination(reactor)
-        self._garbage = GarbageCollection(configuration.memory_bytes)
-        self._failure: str | None = None  # found while running, which ends the program
         self._apply_known_list(configuration)
         self._open_extensions()
-        opener = PortOpener(reactor, self.clients, self._sockets, lambda: self.service.draining, self._fail)
-        opener.open(listen, peers)
+        self._open_ports(listen)
+
+    def _make_service(self, configuration: Configuration) -> None:
+        """The connections to engines and peers, and what joins them to the decisions."""
+        self._engines = startup.make_engine_pool(
+            self.reactor, self.clock, self._pool, configuration.raw_settings, self._shares, self.events
+        )
+        self._peers = configuration.peers()
+        self.service = GatewayService(
+            self.reactor,
+            self.clock,
+            configuration.raw_settings,
+            self._engines,
+            self._peers,
+            configuration.memory_bytes // startup.STATEMENT_SHARE,
+            self.events,
+        )
+
+    def _open_ports(self, listen: str) -> None:
+        opener = PortOpener(
+            self.reactor, self.clients, self._sockets, lambda: self.service.draining, self._fail
+        )
+        opener.open(listen, self._peers)
 
     def _put_settings_in_force(self, configuration: Configuration) -> None:
         """The settings to start with, and what follows the discovery service under them."""
--- a/vanerelay/net/startup.py
+++ b/vanerelay/net/startup.py
@@ -197,7 +197,7 @@
         shutting_down: Callable[[], bool],
         failed: Callable[[str], None],
     ) -> None:
-        """`failed` is told why the clients' port could not be opened after all."""
+        """`failed` is called with why the clients' port could not be opened after all."""
         self._reactor = reactor
         self._clients = clients
         self._sockets = sockets
