--- a/vanerelay/extension.py
+++ b/vanerelay/extension.py
@@ -1,4 +1,4 @@
-"""How a subsystem joins the served program: what it sees of it, what it is told, what it may answer.
+"""How a subsystem joins the served program: what it sees of it, what it is notified of, what it answers.
 
 Only types stand here, below `net/` and all subsystems. Which subsystems there are is in `extension_registry`.
 """
@@ -168,7 +168,7 @@
 
 
 class Extension:
-    """One subsystem in the program. Its methods are called in the order of this class; each does nothing here."""
+    """One subsystem in the program. Methods are called in the order given here; each does nothing here."""
 
     busy = False
     """Whether something is under way that a long pass of the event loop would disturb."""
@@ -228,5 +228,5 @@
 
 
 def overrides(extension: Extension, method: str) -> bool:
-    """Whether an extension wants to be told of something, so that nothing is worked out for nobody."""
+    """Whether an extension overrides a method, so that nothing is worked out for nobody."""
     return getattr(type(extension), method) is not getattr(Extension, method)
--- a/vanerelay/net/attempt_results.py
+++ b/vanerelay/net/attempt_results.py
@@ -99,7 +99,7 @@
         try:
             return constraint.answer_fields() if constraint.accepts_answer(engine, fields) else None
         except Exception:
-            log.exception("who leads a batch met a fault: its answer is not handed on")
+            log.exception("error in a query constraint, the answer is not handed on")
             return None
 
     def _report_run(self, query: ClientQuery, engine: int, work: int) -> None:
--- a/vanerelay/net/query_ends.py
+++ b/vanerelay/net/query_ends.py
@@ -23,14 +23,14 @@
     def client_left(self, query: ClientQuery) -> None:
         """Its client no longer waits; attempts that are out still end."""
         if not query.ended:
-            self._events.note(Kind.REFUSAL, "its client left", False)
+            self._events.note(Kind.REJECTION, "client left", False)
             self._answers.abandon(query)
             self._stop_attempts(query)
         self._queries.settle(query)
 
     def deadline_passed(self, query: ClientQuery) -> None:
         """Its deadline has come, whatever the decisions made of it."""
-        self._answers.note_rejection(query, "its deadline has come")
+        self._answers.note_rejection(query, "deadline passed")
         self._answers.answer(query, AnswerStatus.FAILED)
         self._stop_attempts(query)
         self._queries.settle(query)
