--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -14,16 +14,16 @@
 from vanerelay.leases.voter import Ballot, Grant, VoterAnswer
 from vanerelay.membership import control_protocol
 from vanerelay.rollout import messages as rollout
-from vanerelay.rollout.canary_analysis import Baseline
-from vanerelay.rollout.stage_machine import Event
+from vanerelay.rollout.canary_baseline import Baseline
+from vanerelay.rollout.events import Event
 from vanerelay.warming import messages as warming
 
 MEMBER = fleet.Row("m1", 1700000000001, 5, 2, "east", "127.0.0.1:7946", "0.2.0-abc", "def", "serving", "7/c")
 FEW = fleet.Row("m2", 3)
 BALLOT = Ballot(4, "m1", 991)
 GRANT = Grant(2**32 + 6, "m1", 991, 30000, BALLOT)
-GROUP = rollout.Group(9, 7.5, 1, 2, 3, 11, [0, 4, 2])
-FIGURES = rollout.Figures({"look": GROUP, "order": rollout.Group()}, 0.25, 12.5, 3, 4.75)
+GROUP = rollout.ClassMetrics(9, 7.5, 1, 2, 3, 11, [0, 4, 2])
+FIGURES = rollout.GatewayMetrics({"look": GROUP, "order": rollout.ClassMetrics()}, 0.25, 12.5, 3, 4.75)
 
 
 def msgpack_samples() -> dict[str, Any]:
@@ -90,17 +90,17 @@
         "warming.done": warming.Done(2, 8),
         "rollout.order": rollout.Order(7, "change", "settings", b'{"a":1}', 3),
         "rollout.order.least": rollout.Order(7, "change"),
-        "rollout.taken": rollout.Taken(7, False, True, "no room"),
-        "rollout.taken.least": rollout.Taken(7),
-        "rollout.asked": rollout.Asked(False),
-        "rollout.asked.least": rollout.Asked(),
+        "rollout.taken": rollout.OrderReply(7, False, True, "no room"),
+        "rollout.taken.least": rollout.OrderReply(7),
+        "rollout.asked": rollout.StateRequest(False),
+        "rollout.asked.least": rollout.StateRequest(),
         "rollout.group": GROUP,
         "rollout.figures": FIGURES,
-        "rollout.figures.least": rollout.Figures(),
-        "rollout.state": rollout.State(
+        "rollout.figures.least": rollout.GatewayMetrics(),
+        "rollout.state": rollout.GatewayState(
             "m1", "0.2.0-abc", "def", "serving", 1700000000001, 7, 3, 1700000009999, "new", 2.0, FIGURES
         ),
-        "rollout.state.least": rollout.State("m1", "", "", "keeps", 0),
+        "rollout.state.least": rollout.GatewayState("m1", "", "", "keeps", 0),
     }
 
 
--- a/tests/operator_samples.py
+++ b/tests/operator_samples.py
@@ -45,7 +45,7 @@
 def _plan(path: Path) -> list[Any]:
     """What a plan says; not where it lies, and of shared settings their paths alone."""
     found = plan_reader.load(str(path))
-    names = [field.name for field in dataclasses.fields(found) if field.name not in ("record", "text")]
+    names = [field.name for field in dataclasses.fields(found) if field.name not in ("record_path", "text")]
     *told, shared, leases = [getattr(found, name) for name in names]
     return [*told, [one.partition(":")[0] for one in shared], leases]
 
--- a/tests/store_samples.py
+++ b/tests/store_samples.py
@@ -83,20 +83,20 @@
 def write_record(folder: Path) -> None:
     record = ChangeLog(str(folder / "change.record"))
     record.begin("change", PLAN, 3)
-    record.claim(4)
-    record.keep_baseline(BASELINE)
+    record.set_fence(4)
+    record.save_baseline(BASELINE)
     for event in EVENTS:
-        record.add(event)
-    record.say("pause")
+        record.append(event)
+    record.add_command("pause")
     record.close()
 
 
 def write_orders(folder: Path) -> None:
     store = AgentStore(str(folder))
-    store.at_start("0123456789ab")
-    store.keep("7/change")
-    store.ordered(SETTINGS)
-    store.write("release", "new")
+    store.read_settings("0123456789ab")
+    store.write_fence("7/change")
+    store.write_settings(SETTINGS)
+    store.write_file("release", "new")
 
 
 def rows(path: Path) -> list[str]:
--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -25,8 +25,9 @@
 from vanerelay.leases import config as lease_parts
 from vanerelay.leases.service import Leases
 from vanerelay.leases.voter import LeaseTerms, Voters
-from vanerelay.rollout.agent import ClassTotals, RolloutAgent
+from vanerelay.rollout.agent import RolloutAgent
 from vanerelay.rollout.agent_store import AgentStore
+from vanerelay.rollout.class_totals import ClassTotals
 from vanerelay.warming import extension as warming_join
 
 GOLDEN = json.loads((ROOT / "tests/data/messages.json").read_text())
@@ -144,5 +145,5 @@
 def test_each_figure_of_a_service_class_has_its_place_in_the_array():
     tally = ClassTotals()
     for code, value, answered_after in ((0, 1.0, 20), (0, 0.5, 90), (1, 0.25, 5), (2, 0.0, 5), (2, 0.0, 5)):
-        tally.answered("look", value, code, answered_after, 3)
-    assert packed(tally.told()) == GOLDEN["tally"]
+        tally.query_answered("look", value, code, answered_after, 3)
+    assert packed(tally.metrics()) == GOLDEN["tally"]
--- a/tests/test_compatibility_stores.py
+++ b/tests/test_compatibility_stores.py
@@ -24,7 +24,7 @@
 from vanerelay.rollout.agent_store import AgentStore
 from vanerelay.rollout.change_log import ChangeLog
 from vanerelay.rollout.fence import Fence
-from vanerelay.rollout.supervisor import CURRENT
+from vanerelay.rollout.supervisor import RELEASE_FILE
 
 STORES = ROOT / "tests/data/stores"
 
@@ -88,20 +88,20 @@
     assert (record.change, record.name, record.fence) == (1, "change", 4)
     assert record.plan() == store_samples.PLAN and record.baseline() == store_samples.BASELINE
     assert record.events() == store_samples.EVENTS
-    assert record.said() == ["pause"]
+    assert record.take_commands() == ["pause"]
     record.close()
 
 
 def test_a_gateway_heeds_the_fence_and_the_settings_that_an_earlier_release_kept(old):
     store = AgentStore(str(old))
-    fence = Fence(store.fence())
-    assert fence.highest == 7 and fence.told == "7/change"
-    assert store.at_start("0123456789ab") == store_samples.SETTINGS
-    assert store.at_start("another") is None
+    fence = Fence(store.read_fence())
+    assert fence.highest == 7 and fence.text == "7/change"
+    assert store.read_settings("0123456789ab") == store_samples.SETTINGS
+    assert store.read_settings("another") is None
 
 
 def test_a_supervisor_starts_the_release_that_an_earlier_one_kept(old):
-    assert CURRENT == "release" and (old / CURRENT).read_text() == "new"
+    assert RELEASE_FILE == "release" and (old / RELEASE_FILE).read_text() == "new"
 
 
 def test_an_incarnation_goes_past_that_of_an_earlier_release(old):
--- a/vanerelay/lab/processes.py
+++ b/vanerelay/lab/processes.py
@@ -23,7 +23,7 @@
 
 HERE = Path(__file__).resolve().parent.parent.parent
 # In the log of a manager, or of its keeper.
-SAID = (b'"settings switched"', b'"release taken over"', b'"manager ended"')
+SAID = (b'"settings switched"', b'"release taken over"', b'"gateway process ended"')
 ASK_S = 0.25  # between questions of the front whether a manager that it does not use is ready
 
 
@@ -195,7 +195,7 @@
         self._world.net.reactor.spawnProcess(self._child, sys.executable, words, environment, str(self.tree))
 
     def _says(self, line: dict[str, Any]) -> None:
-        if line.get("event") == "manager ended":
+        if line.get("event") == "gateway process ended":
             if not self._asked_to_end and "exit code 0" not in str(line.get("how")):
                 self._died(self.name, str(line.get("release")), str(line.get("how")))
         elif line.get("release"):
--- a/vanerelay/rollout/agent.py
+++ b/vanerelay/rollout/agent.py
@@ -1,5 +1,7 @@
-"""A manager's side of a rolling change: its figures, and orders that it takes. A thin driver; whether an
-order is heeded stands in `fence.py`."""
+"""A gateway's side of a rolling change: reports its state, and follows orders.
+
+A thin driver; `fence` decides whether an order is accepted.
+"""
 
 from __future__ import annotations
 
@@ -7,152 +9,157 @@
 import os
 import resource
 import time
-from typing import Any
 
 import structlog
 
 from vanerelay.extension import ExtensionHost
 from vanerelay.fleet import release
+from vanerelay.fleet.failure_detector import Member
 from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.fleet.service import FleetService
 from vanerelay.rollout import messages
 from vanerelay.rollout.agent_store import AgentStore
-from vanerelay.rollout.canary_analysis import BUCKETS, bucket
-from vanerelay.rollout.fence import Fence, Order
+from vanerelay.rollout.class_totals import ClassTotals
+from vanerelay.rollout.fence import Fence, OrderId, fence_text
+from vanerelay.rollout.messages import OrderKind
 
 log = structlog.get_logger()
 
-RELEASE = "VANERELAY_RELEASE"  # the name that a keeper started us under
-PAGE = resource.getpagesize()
-GROUPS = 64  # service groups that are told apart
-HELD_S = 0.5  # between readings of what is held at engines
-
-
-class ClassTotals:
-    """Sums of what became of batches, by service group."""
-
-    def __init__(self) -> None:
-        self.groups = dict[str, list[Any]]()  # as the fields of words.Group
-
-    def answered(self, group: str, utility: float, code: int, tenths: int, dispatches: int) -> None:
-        """`utility`: the part of the batch's utility that its answer earned; `code` as in the frames;
-        `tenths`: of a millisecond since it came."""
-        one = self.groups.get(group)
-        if one is None and len(self.groups) >= GROUPS:
-            return  # names that nobody settled, from clients that make them up
-        if one is None:
-            one = self.groups[group] = [0, 0.0, 0, 0, 0, 0, [0] * BUCKETS]
-        one[0] += 1
-        one[1] += utility
-        one[2] += code == 2
-        one[3] += code == 1
-        one[4] += code == 0 and utility < 1.0
-        one[5] += dispatches
-        if code == 0:
-            one[6][bucket(tenths / 10)] += 1
-
-    def told(self) -> dict[str, messages.Group]:
-        return {name: messages.Group(*one) for name, one in self.groups.items()}
+RELEASE_VARIABLE = "VANERELAY_RELEASE"
+"""The environment variable with the name of the release under which a supervisor started the process."""
+PAGE_BYTES = resource.getpagesize()
+ENGINE_SHARE_INTERVAL_S = 0.5
+"""Between readings of what is held of the engines."""
+DEFAULT_MEMORY_MB = 192
+"""Where the host states no limit: what the deploy file gives a gateway."""
+DEFAULT_CORES = 1.0
 
 
 class RolloutAgent:
-    """Answers a controller, and does as it says."""
+    """Answers a controller's requests.
+
+    Attributes:
+        fence: whose orders are accepted.
+    """
 
     def __init__(
-        self, host: ExtensionHost, fleet: FleetService, tally: ClassTotals, store: AgentStore
+        self, host: ExtensionHost, fleet: FleetService, totals: ClassTotals, store: AgentStore
     ) -> None:
-        self._host, self._fleet, self._tally = host, fleet, tally
-        self._memory = int(host.limits.get("memory_mb") or 192) * 2**20
-        self._cores = float(host.limits.get("cores") or 1.0)
-        self._held, self._store = 0.0, store
-        self.fence = Fence(store.fence())
-        fleet.member_listeners.append(lambda member: self._learn(member.orders))
-        if self.fence.told:
-            fleet.announce(orders=self.fence.told)
-        fleet.rpc.handlers |= {"state": self._state, "order": self._order}
-        self._read_held()
-
-    def _learn(self, told: str) -> None:
-        if self.fence.learn(told):
-            self._fleet.announce(orders=self.fence.told)
-
-    def _read_held(self) -> None:
-        self._held += self._host.gateway.held_share() * HELD_S
-        self._host.reactor.callLater(HELD_S, self._read_held)
-
-    def _state(self, body: bytes) -> bytes:
-        asked = messages.decode(body, messages.Asked)
+        self._host, self._fleet, self._totals, self._store = host, fleet, totals, store
+        self._memory_limit = int(host.limits.get("memory_mb") or DEFAULT_MEMORY_MB) * 2**20
+        self._cores = float(host.limits.get("cores") or DEFAULT_CORES)
+        self._engine_share = 0.0
+        self.fence = Fence(store.read_fence())
+        fleet.member_listeners.append(self._member_seen)
+        if self.fence.text:
+            fleet.announce(orders=self.fence.text)
+        fleet.rpc.handlers |= {
+            messages.KIND_STATE: self._answer_state,
+            messages.KIND_ORDER: self._answer_order,
+        }
+        self._add_engine_share()
+
+    def _member_seen(self, member: Member) -> None:
+        self._learn_fence(member.orders)
+
+    def _learn_fence(self, text: str) -> None:
+        if self.fence.learn(text):
+            self._fleet.announce(orders=self.fence.text)
+
+    def _add_engine_share(self) -> None:
+        self._engine_share += self._host.gateway.held_share() * ENGINE_SHARE_INTERVAL_S
+        self._host.reactor.callLater(ENGINE_SHARE_INTERVAL_S, self._add_engine_share)
+
+    def _answer_state(self, body: bytes) -> bytes:
+        request = messages.decode(body, messages.StateRequest)
+        with_metrics = request is None or request.with_metrics
         own = self._fleet.detector.own
-        figures = messages.Figures()
-        if asked is None or asked.figures:
-            usage = resource.getrusage(resource.RUSAGE_SELF)
-            away = sum(not condition.usable for condition in self._host.gateway.engine_statuses())
-            figures = messages.Figures(
-                self._tally.told(),
-                self._resident() / self._memory,
-                usage.ru_utime + usage.ru_stime,
-                away,
-                self._held,
-            )
-        return messages.encode(
-            messages.State(
-                own.name,
-                own.program,
-                own.settings,
-                own.state,
-                own.incarnation,
-                self.fence.highest,
-                self.fence.heeded,
-                int(time.time() * 1000),
-                os.environ.get(RELEASE, ""),
-                self._cores,
-                figures,
-            )
+        state = messages.GatewayState(
+            own.name,
+            own.program,
+            own.settings,
+            own.state,
+            own.incarnation,
+            self.fence.highest,
+            self.fence.last_order,
+            int(time.time() * 1000),
+            os.environ.get(RELEASE_VARIABLE, ""),
+            self._cores,
+            self._metrics() if with_metrics else messages.GatewayMetrics(),
+        )
+        return messages.encode(state)
+
+    def _metrics(self) -> messages.GatewayMetrics:
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        unreachable = sum(not status.usable for status in self._host.gateway.engine_statuses())
+        return messages.GatewayMetrics(
+            self._totals.metrics(),
+            _resident_bytes() / self._memory_limit,
+            usage.ru_utime + usage.ru_stime,
+            unreachable,
+            self._engine_share,
         )
 
-    def _order(self, body: bytes) -> bytes:
-        told = messages.decode(body, messages.Order)
-        if told is None:
+    def _answer_order(self, body: bytes) -> bytes:
+        order = messages.decode(body, messages.Order)
+        if order is None:
             raise RequestRefusedError("unreadable")
-        order, alive = Order(told.fence, told.name, told.number), self._fleet.detector
-        alone = len(alive.members) == 1
-        why = self.fence.refuses(order, alive.replaced, self._store.lasts or alive.has_joined or alone)
-        if why is None and told.fence > self.fence.highest:
-            # Kept before it is heeded: what we said may have been the last that made up a majority.
-            why = self._store.keep(self.fence.after(order))
-            if why is None:
-                self._learn(self.fence.after(order))
-        if why is not None:
-            log.warning("order refused", change=told.name, fence=told.fence, why=why)
-            return messages.encode(messages.Taken(self.fence.highest, False, why=why))
-        self.fence.heed(order)
-        if told.what == "claim":
-            return messages.encode(messages.Taken(self.fence.highest))
-        if told.what != "settings":
-            return messages.encode(
-                messages.Taken(self.fence.highest, False, why=f"a manager knows no {told.what}")
-            )
-        return messages.encode(self._settings(told))
-
-    def _settings(self, told: messages.Order) -> messages.Taken:
+        reason = self._refusal(order)
+        if reason is not None:
+            log.warning("order refused", change=order.change, fence=order.fence, reason=reason)
+            return messages.encode(messages.OrderReply(self.fence.highest, False, reason=reason))
+        self.fence.accept(_order_id(order))
+        return messages.encode(self._follow(order))
+
+    def _refusal(self, order: messages.Order) -> str | None:
+        """Why an order is refused; None where it is not, and its fence is stored."""
+        order_id, detector = _order_id(order), self._fleet.detector
+        is_alone = len(detector.members) == 1
+        has_joined = self._store.is_durable or detector.has_joined or is_alone
+        reason = self.fence.refusal(order_id, detector.replaced, has_joined)
+        if reason is None and order.fence > self.fence.highest:
+            # Stored before it is accepted: our reply may have been the last that made up a majority.
+            reason = self._store.write_fence(fence_text(order_id))
+            if reason is None:
+                self._learn_fence(fence_text(order_id))
+        return reason
+
+    def _follow(self, order: messages.Order) -> messages.OrderReply:
+        if order.kind == OrderKind.CLAIM:
+            return messages.OrderReply(self.fence.highest)
+        if order.kind != OrderKind.SETTINGS:
+            refusal = f"a manager knows no {order.kind}"
+            return messages.OrderReply(self.fence.highest, False, reason=refusal)
+        failure = self._apply_settings(order)
+        if failure is not None:
+            return messages.OrderReply(self.fence.highest, False, True, failure)
+        log.info("settings ordered", change=order.change, fence=order.fence)
+        return messages.OrderReply(self.fence.highest)
+
+    def _apply_settings(self, order: messages.Order) -> str | None:
+        """Applies ordered settings and stores them; why that failed."""
         try:
-            settings = json.loads(told.body)
-        except ValueError as fault:
-            return messages.Taken(self.fence.highest, False, True, f"settings: {fault}")
+            settings = json.loads(order.body)
+        except ValueError as error:
+            return f"settings: {error}"
         try:
             profile = release.with_own(settings, self._host.settings)
-        except (TypeError, AttributeError) as fault:
-            return messages.Taken(self.fence.highest, False, True, f"{type(fault).__name__}: {fault}")
-        why = self._host.apply_settings(profile)
-        if why is not None:
-            return messages.Taken(self.fence.highest, False, True, why)
-        why = self._store.ordered(settings)
-        if why is not None:
-            log.warning("ordered settings hold until a restart only", why=why)
-        log.info("settings ordered", change=told.name, fence=told.fence)
-        return messages.Taken(self.fence.highest)
-
-    @staticmethod
-    def _resident() -> int:
-        with open("/proc/self/statm", encoding="ascii") as file:
-            return int(file.read().split()[1]) * PAGE
+        except (TypeError, AttributeError) as error:
+            return f"{type(error).__name__}: {error}"
+        refusal = self._host.apply_settings(profile)
+        if refusal is not None:
+            return refusal
+        failure = self._store.write_settings(settings)
+        if failure is not None:
+            log.warning("ordered settings hold until a restart only", reason=failure)
+        return None
+
+
+def _order_id(order: messages.Order) -> OrderId:
+    return OrderId(order.fence, order.change, order.number)
+
+
+def _resident_bytes() -> int:
+    """The memory that this process occupies."""
+    with open("/proc/self/statm", encoding="ascii") as file:
+        return int(file.read().split()[1]) * PAGE_BYTES
--- a/vanerelay/rollout/agent_store.py
+++ b/vanerelay/rollout/agent_store.py
@@ -1,4 +1,4 @@
-"""What a manager keeps of orders in its folder: no decisions, files only."""
+"""What a gateway, or its supervisor, stores of orders in its folder. Files only, no decisions."""
 
 from __future__ import annotations
 
@@ -8,47 +8,56 @@
 from pathlib import Path
 from typing import Any
 
-FENCE, ORDERED = "fence", "ordered.json"
+FENCE_FILE = "fence"
+SETTINGS_FILE = "ordered.json"
 
 
 class AgentStore:
-    """What is kept of orders in a manager's folder; nothing where there is none. Files are whole or not
-    there."""
+    """The files of one folder; without a folder nothing is stored. A file is complete or not there.
+
+    Methods that write return why that failed, in one line; None where it did not.
+    """
 
     def __init__(self, folder: str) -> None:
         self._folder = Path(folder) if folder else None
+        self._replaced_digest = ""  # of the configuration that ordered settings take the place of
 
     @property
-    def lasts(self) -> bool:
+    def is_durable(self) -> bool:
+        """Whether there is a folder."""
         return self._folder is not None
 
-    def fence(self) -> str:
+    def read_fence(self) -> str:
+        """The fence as it was stored; empty where there is none."""
         if self._folder is not None:
             with contextlib.suppress(OSError):
-                return (self._folder / FENCE).read_text(encoding="utf-8")
+                return (self._folder / FENCE_FILE).read_text(encoding="utf-8")
         return ""
 
-    def keep(self, fence: str) -> str | None:
-        """Why it could not be kept; None if it is, or there is no folder."""
-        return self.write(FENCE, fence)
+    def write_fence(self, text: str) -> str | None:
+        """Stores the fence."""
+        return self.write_file(FENCE_FILE, text)
 
-    def ordered(self, settings: dict[str, Any]) -> str | None:
-        return self.write(ORDERED, json.dumps({"settings": settings, "replaces": self._replaces}))
+    def write_settings(self, settings: dict[str, Any]) -> str | None:
+        """Stores ordered settings, beside the digest of the configuration that they take the place of."""
+        body = json.dumps({"settings": settings, "replaces": self._replaced_digest})
+        return self.write_file(SETTINGS_FILE, body)
 
-    _replaces = ""
+    def read_settings(self, digest: str) -> dict[str, Any] | None:
+        """The settings ordered last, if the configuration's digest is still that which they replaced.
 
-    def at_start(self, digest: str) -> dict[str, Any] | None:
-        """Settings ordered before, if the configuration is still the one that they took the place of; once
-        operators have written another, theirs counts."""
-        self._replaces = digest
+        Once operators have written another configuration, theirs counts.
+        """
+        self._replaced_digest = digest
         if self._folder is not None:
             with contextlib.suppress(OSError, ValueError, KeyError, TypeError):
-                told = json.loads((self._folder / ORDERED).read_text(encoding="utf-8"))
-                if told["replaces"] == digest and isinstance(told["settings"], dict):
-                    return dict(told["settings"])
+                stored = json.loads((self._folder / SETTINGS_FILE).read_text(encoding="utf-8"))
+                if stored["replaces"] == digest and isinstance(stored["settings"], dict):
+                    return dict(stored["settings"])
         return None
 
-    def write(self, name: str, text: str) -> str | None:
+    def write_file(self, name: str, text: str) -> str | None:
+        """Writes a file: on disk under another name first, then renamed."""
         if self._folder is None:
             return None
         try:
@@ -59,6 +68,6 @@
                 file.flush()
                 os.fsync(file.fileno())
             new.rename(self._folder / name)
-        except OSError as fault:
-            return f"{self._folder}: {fault.strerror or fault}"
+        except OSError as error:
+            return f"{self._folder}: {error.strerror or error}"
         return None
--- /dev/null
+++ b/vanerelay/rollout/canary_stage.py
@@ -0,0 +1,194 @@
+"""The evidence of one stage: what new and old gateways did in the very same time. Pure."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Collection, Mapping, Sequence
+from dataclasses import dataclass, field
+
+from vanerelay.confidence import RunningVariance
+from vanerelay.interface import Duration
+from vanerelay.rollout.canary_baseline import BaselineRecorder
+from vanerelay.rollout.canary_metrics import ClassCounts, GatewaySample, Measure, measured
+
+REACH_SMOOTHING = 0.3
+"""The weight of the last slice in the mean difference of reached engines."""
+
+
+@dataclass(slots=True)
+class Series:
+    """One measure of one service class, block by block.
+
+    Attributes:
+        differences: new less old.
+        counting_noise: the variance that the number of queries alone makes, the mean over blocks.
+    """
+
+    differences: RunningVariance = field(default_factory=RunningVariance)
+    counting_noise: float = 0.0
+
+
+@dataclass(slots=True)
+class Block:
+    """The queries of one service class in the block that is in the making, of new and of old gateways."""
+
+    new: ClassCounts = ClassCounts()
+    old: ClassCounts = ClassCounts()
+
+
+@dataclass(slots=True)
+class Sides:
+    """A figure of new and of old gateways."""
+
+    new: int = 0
+    old: int = 0
+
+    def add(self, is_new: bool, amount: int) -> None:
+        """Adds to one side."""
+        if is_new:
+            self.new += amount
+        else:
+            self.old += amount
+
+
+class StageEvidence:
+    """What was seen in a stage so far.
+
+    Attributes:
+        series: by service class and measure.
+        missed_value: of the old gateways, or of all where no old one is left, by service class.
+        blocks_done: by service class.
+        deaths: ends of processes that nobody ordered.
+        exposure: slices in which gateways were seen.
+        new_engine_share, old_engine_share: what gateways hold of the engines.
+        fewer_engines: how many engines the new gateways reach fewer than the old ones, smoothed.
+        was_compared: whether there was a slice with figures of both sides, or with no old gateway left.
+        no_old_left: whether there is nobody left to compare with.
+    """
+
+    def __init__(
+        self,
+        now: int,
+        classes: Collection[str],
+        block_queries: int,
+        settle_time: Duration,
+        baseline: BaselineRecorder,
+    ) -> None:
+        """Begins at `now`; what is seen within `settle_time` is not counted."""
+        self._since, self._classes, self._settle_time = now, classes, settle_time
+        self._block_queries, self._baseline = block_queries, baseline
+        self.series = defaultdict[tuple[str, Measure], Series](Series)
+        self.missed_value = defaultdict[str, RunningVariance](RunningVariance)
+        self._blocks = defaultdict[str, Block](Block)
+        self.blocks_done = defaultdict[str, int](int)
+        self.deaths, self.exposure = Sides(), Sides()
+        self._first_memory = dict[str, float]()
+        self._memory_growth = dict[str, tuple[bool, float]]()  # by gateway: whether it is new, and how much
+        self.new_engine_share, self.old_engine_share = RunningVariance(), RunningVariance()
+        self.fewer_engines = 0.0
+        self.was_compared = self.no_old_left = False
+
+    def add_slice(
+        self,
+        now: int,
+        samples: Mapping[str, GatewaySample],
+        new: Collection[str],
+        old: Collection[str],
+        no_old_left: bool,
+    ) -> None:
+        """A slice of the stage; `old` are the gateways to compare with."""
+        if now - self._since < self._settle_time:
+            for name in samples.keys() & (set(new) | set(old)):
+                self._first_memory[name] = samples[name].memory
+            return
+        of_new = [samples[name] for name in sorted(new) if name in samples]
+        of_old = [samples[name] for name in sorted(old) if name in samples]
+        for name, sample in samples.items():  # of all that are old, also those that are not compared with
+            self.deaths.add(name in new, sample.deaths)
+            self.exposure.add(name in new, 1)
+        _add_engine_shares(self.new_engine_share, of_new)
+        _add_engine_shares(self.old_engine_share, of_old)
+        self._add_memory(samples, new, old)
+        self.no_old_left = no_old_left
+        if no_old_left and of_new:
+            self._add_without_old(of_new)
+        if of_new and of_old:
+            self._add_compared(of_new, of_old)
+
+    def _add_memory(
+        self, samples: Mapping[str, GatewaySample], new: Collection[str], old: Collection[str]
+    ) -> None:
+        for name, sample in samples.items():
+            if name in new or name in old:
+                first = self._first_memory.setdefault(name, sample.memory)
+                self._memory_growth[name] = name in new, sample.memory - first
+
+    def memory_growth(self, is_new: bool) -> list[float]:
+        """By how much the memory of each new, or old, gateway grew in the stage."""
+        return [growth for new, growth in self._memory_growth.values() if new is is_new]
+
+    def _add_without_old(self, of_new: Sequence[GatewaySample]) -> None:
+        """With nobody to compare with, all that can be seen is whether all do worse than before the stage."""
+        self.was_compared = True
+        for class_name in self._classes:
+            new = _class_total(of_new, class_name, self._blocks[class_name].new)
+            if new.ended < self._block_queries:
+                self._blocks[class_name] = Block(new)
+                continue
+            self._blocks[class_name] = Block()
+            self.blocks_done[class_name] += 1
+            missed = measured(Measure.VALUE, new, 0)
+            if missed is not None:
+                self.missed_value[class_name].add(missed)
+
+    def _add_compared(self, of_new: Sequence[GatewaySample], of_old: Sequence[GatewaySample]) -> None:
+        self.was_compared = True
+        fewer = _mean_unreachable(of_new) - _mean_unreachable(of_old)
+        self.fewer_engines = (1.0 - REACH_SMOOTHING) * self.fewer_engines + REACH_SMOOTHING * fewer
+        for class_name in self._classes:
+            known = self._blocks[class_name]
+            added_new = _class_total(of_new, class_name, ClassCounts())
+            added_old = _class_total(of_old, class_name, ClassCounts())
+            block = Block(known.new + added_new, known.old + added_old)
+            if min(block.new.ended, block.old.ended) < self._block_queries:
+                self._blocks[class_name] = block
+                continue
+            self._blocks[class_name] = Block()
+            self.blocks_done[class_name] += 1
+            self._close_block(class_name, block)
+
+    def _close_block(self, class_name: str, block: Block) -> None:
+        slow_from = self._baseline.slow_from(class_name)
+        for measure in Measure:
+            new = measured(measure, block.new, slow_from)
+            old = measured(measure, block.old, slow_from)
+            if new is None or old is None:
+                continue
+            series = self.series[class_name, measure]
+            series.differences.add(new - old)
+            noise = _counting_noise(measure, block, slow_from)
+            series.counting_noise += (noise - series.counting_noise) / series.differences.number
+        missed = measured(Measure.VALUE, block.old, slow_from)
+        if missed is not None:
+            self.missed_value[class_name].add(missed)
+
+
+def _counting_noise(measure: Measure, block: Block, slow_from: int) -> float:
+    """The variance of a block's difference that so many queries make by chance, were all alike."""
+    total = block.new + block.old
+    part = min(1.0, max(0.0, measured(measure, total, slow_from) or 0.0))
+    return (part * (1.0 - part) + 1.0 / total.ended) * (1.0 / block.new.ended + 1.0 / block.old.ended)
+
+
+def _class_total(samples: Sequence[GatewaySample], class_name: str, start: ClassCounts) -> ClassCounts:
+    return sum((sample.counts.get(class_name, ClassCounts()) for sample in samples), start)
+
+
+def _mean_unreachable(samples: Sequence[GatewaySample]) -> float:
+    return sum(sample.unreachable_engines for sample in samples) / len(samples)
+
+
+def _add_engine_shares(shares: RunningVariance, samples: Sequence[GatewaySample]) -> None:
+    for sample in samples:
+        if sample.engine_share:
+            shares.add(sample.engine_share)
--- /dev/null
+++ b/vanerelay/rollout/change_state.py
@@ -0,0 +1,202 @@
+"""What the recorded events of a rolling change make of it. Pure.
+
+Everything that happened is an event, and the state is what the events make of it, so that a controller that
+was killed anywhere goes on from its record. An event is recorded before the action that it names. A gateway
+that was ordered counts as changed, whether or not the order arrived.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import Self
+
+from vanerelay.rollout.canary_analysis import Assessment
+from vanerelay.rollout.change_plan import Plan
+from vanerelay.rollout.events import NEW_RELEASES, Event, EventKind, Release
+
+ROUNDING_SLACK = 1e-9
+"""So that a fraction such as 0.3 of 10 gateways is 3 of them."""
+BEFORE_FIRST_STAGE = -1
+
+
+class ChangeState:
+    """The state of one rolling change. `apply` takes an event, new or read back.
+
+    Attributes:
+        plan: the plan.
+        domains: the failure domain of each gateway, in the order of changing.
+        ordered: the release that each gateway was ordered last.
+        confirmed: whether it was seen to run it.
+        ordered_at: when each gateway had its last order.
+        change_started_at: when each gateway was first ordered what it is to run now.
+        last_orders: fence and number of each gateway's last order.
+        controls: old gateways restarted to compare with: whether each is back.
+        ever_changed: gateways that the change has reached.
+        stage: the stage that is under way; `BEFORE_FIRST_STAGE` before the first.
+        passed_stage: the last stage that has passed.
+        is_paused, is_rolling_back, is_held: what an operator, or an assessment, has ordered.
+        outcome: how it ended; empty while it goes on.
+        reason: why it is held, rolled back or ended.
+        event_count: of events, by which orders are numbered.
+    """
+
+    def __init__(self, plan: Plan) -> None:
+        self.plan = plan
+        self.domains = dict(plan.gateways)
+        self.ordered: dict[str, str] = dict.fromkeys(self.domains, Release.OLD)
+        self.confirmed = dict.fromkeys(self.domains, True)
+        self.ordered_at = dict[str, int]()
+        self.change_started_at = dict[str, int]()
+        self.last_orders = dict[str, tuple[int, int]]()
+        self.controls = dict[str, bool]()
+        self.ever_changed = set[str]()
+        self.stage, self.stage_started_at = BEFORE_FIRST_STAGE, 0
+        self.passed_stage = BEFORE_FIRST_STAGE
+        self.is_paused = self.is_rolling_back = self.is_held = False
+        self.outcome, self.reason = "", ""
+        self.event_count = 0
+        self._appliers: dict[str, Callable[[Event], None]] = {
+            EventKind.ORDERED: self._apply_ordered,
+            EventKind.CONFIRMED: self._apply_confirmed,
+            EventKind.CONTROL: self._apply_control,
+            EventKind.STAGE: self._apply_stage,
+            EventKind.ASSESSED: self._apply_assessed,
+            EventKind.PAUSED: self._apply_paused,
+            EventKind.RESUMED: self._apply_resumed,
+            EventKind.HELD: self._apply_held,
+            EventKind.ROLLBACK: self._apply_rollback,
+            EventKind.ENDED: self._apply_ended,
+        }
+
+    # The record.
+
+    @classmethod
+    def replayed(cls, plan: Plan, events: Iterable[Event]) -> Self:
+        """The state that these events make."""
+        state = cls(plan)
+        for event in events:
+            state.apply(event)
+        return state
+
+    def resume(self, now: int) -> None:
+        """Goes on in another process.
+
+        Moments of the clock before can't be compared with those of now, so what is waited for is waited for
+        anew.
+        """
+        self.change_started_at = dict.fromkeys(self.change_started_at, now)
+        self.ordered_at = {name: min(at, now) for name, at in self.ordered_at.items()}
+        self.stage_started_at = now
+
+    def apply(self, event: Event) -> None:
+        """Takes an event; kinds that this release does not know count for nothing."""
+        self.event_count += 1
+        applier = self._appliers.get(event.kind)
+        if applier is not None:
+            applier(event)
+
+    def _apply_ordered(self, event: Event) -> None:
+        name = event.gateway
+        if self.confirmed[name] or self.ordered[name] != event.target:
+            self.change_started_at[name] = event.at
+        self.ordered[name], self.confirmed[name] = event.target, False
+        self.ordered_at[name] = event.at
+        self.last_orders[name] = event.fence, event.order_number
+        if event.target in NEW_RELEASES:
+            self.ever_changed.add(name)
+
+    def _apply_confirmed(self, event: Event) -> None:
+        if event.gateway in self.controls:
+            self.controls[event.gateway] = True
+        self.confirmed[event.gateway] = True
+
+    def _apply_control(self, event: Event) -> None:
+        self.controls[event.gateway] = False
+        self.last_orders[event.gateway] = event.fence, event.order_number
+        self.ordered_at[event.gateway] = event.at
+
+    def _apply_stage(self, event: Event) -> None:
+        self.stage, self.stage_started_at = event.stage, event.at
+
+    def _apply_assessed(self, event: Event) -> None:
+        if event.target == Assessment.FINE.value:
+            self.passed_stage = event.stage
+
+    def _apply_paused(self, _: Event) -> None:
+        self.is_paused = True
+
+    def _apply_resumed(self, event: Event) -> None:
+        self.is_paused = self.is_held = False
+        self.stage_started_at, self.reason = event.at, ""
+
+    def _apply_held(self, event: Event) -> None:
+        self.is_held, self.reason = True, event.reason
+
+    def _apply_rollback(self, event: Event) -> None:
+        self.is_rolling_back = True
+        self.is_held = self.is_paused = False
+        self.reason = event.reason
+
+    def _apply_ended(self, event: Event) -> None:
+        self.outcome = event.target
+        self.reason = event.reason or self.reason
+
+    # What is to be.
+
+    @property
+    def new(self) -> list[str]:
+        """Gateways that run the new release, or may."""
+        return [name for name in self.domains if self.ordered[name] in NEW_RELEASES]
+
+    def gateways_up_to(self, stage: int) -> list[str]:
+        """The gateways that a stage and those before it may have changed, in order."""
+        names, found = list(self.domains), dict[str, None]()
+        for one in self.plan.stages[: stage + 1]:
+            if one.domain:
+                found |= dict.fromkeys(name for name in names if self.domains[name] == one.domain)
+            count = max(one.gateways, int(one.fraction * len(names) + ROUNDING_SLACK))
+            for name in self._spread(names):
+                if len(found) >= count:
+                    break
+                found[name] = None
+        return list(found)
+
+    def _spread(self, names: list[str]) -> list[str]:
+        """One of each failure domain in turn, so that the first few are not all in one."""
+        by_domain = dict[str, list[str]]()
+        for name in names:
+            by_domain.setdefault(self.domains[name], []).append(name)
+        domains = list(by_domain.values())
+        longest = max(map(len, domains), default=0)
+        return [domain[place] for place in range(longest) for domain in domains if place < len(domain)]
+
+    def target(self, name: str) -> str:
+        """What a gateway is to run as things stand."""
+        strict, last = self.plan.uses_stricter_settings, len(self.plan.stages) - 1
+        if self.is_rolling_back:
+            return Release.OLD_STRICT if strict and self._others_may_run_new(name) else Release.OLD
+        if self.passed_stage >= last and self.stage >= last:
+            return Release.NEW
+        if self.stage >= 0 and name in self.gateways_up_to(self.stage):
+            return Release.NEW_STRICT if strict else Release.NEW
+        return Release.OLD_STRICT if strict else Release.OLD
+
+    def _others_may_run_new(self, name: str) -> bool:
+        return any(
+            self.ordered[other] in NEW_RELEASES or not self.confirmed[other]
+            for other in self.domains
+            if other != name and other in self.ever_changed
+        )
+
+    def comparable(self) -> list[str]:
+        """Old gateways to compare with: while there are controls, these alone."""
+        old = [name for name in self.domains if self.ordered[name] not in NEW_RELEASES]
+        return [name for name in old if name in self.controls] or old
+
+    def not_restored(self) -> list[str]:
+        """Gateways that are still to be brought back in a rollback."""
+        return [
+            name
+            for name in self.domains
+            if self.ordered[name] != self.target(name) or not self.confirmed[name]
+        ]
--- /dev/null
+++ b/vanerelay/rollout/class_totals.py
@@ -0,0 +1,74 @@
+"""Totals of what became of queries, by service class, for the controller of a rolling change."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import IntEnum
+
+from vanerelay.rollout.canary_metrics import LATENCY_BUCKETS, latency_bucket
+from vanerelay.rollout.messages import ClassMetrics
+
+MAX_CLASSES = 64
+"""Service classes that are told apart: clients may make names up, and a message has to stay small."""
+UNITS_PER_MILLISECOND = 10
+"""Durations are in tenths of a millisecond."""
+
+
+class AnswerStatus(IntEnum):
+    """The status of a client's answer, as in the frames."""
+
+    COMPLETED = 0
+    REJECTED = 1
+    FAILED = 2
+
+
+@dataclass(slots=True)
+class ClassTotal:
+    """Totals of one service class; the fields as in `ClassMetrics`."""
+
+    ended: int = 0
+    earned: float = 0.0
+    failed: int = 0
+    rejected: int = 0
+    late: int = 0
+    attempts: int = 0
+    latency_counts: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKETS)
+
+    def add(self, earned: float, status: int, duration: int, attempts: int) -> None:
+        """Counts one query."""
+        self.ended += 1
+        self.earned += earned
+        self.failed += status == AnswerStatus.FAILED
+        self.rejected += status == AnswerStatus.REJECTED
+        self.late += status == AnswerStatus.COMPLETED and earned < 1.0
+        self.attempts += attempts
+        if status == AnswerStatus.COMPLETED:
+            self.latency_counts[latency_bucket(duration / UNITS_PER_MILLISECOND)] += 1
+
+    def metrics(self) -> ClassMetrics:
+        """The totals as they are sent."""
+        return ClassMetrics(
+            self.ended, self.earned, self.failed, self.rejected, self.late, self.attempts, self.latency_counts
+        )
+
+
+class ClassTotals:
+    """The totals of all service classes since the process started."""
+
+    def __init__(self) -> None:
+        self._classes = dict[str, ClassTotal]()
+
+    def query_answered(
+        self, service_class: str, earned: float, status: int, duration: int, attempts: int
+    ) -> None:
+        """Counts one query; `earned` is the part of its value that the answer earned."""
+        total = self._classes.get(service_class)
+        if total is None:
+            if len(self._classes) >= MAX_CLASSES:
+                return
+            total = self._classes[service_class] = ClassTotal()
+        total.add(earned, status, duration, attempts)
+
+    def metrics(self) -> dict[str, ClassMetrics]:
+        """The totals as they are sent, by service class."""
+        return {name: total.metrics() for name, total in self._classes.items()}
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -1,4 +1,4 @@
-"""`vanerelay rollout`: a change in stages, from its plan to its end."""
+"""`vanerelay rollout`: a change in stages, from its plan to its end; `vanerelay keep`: a supervisor."""
 
 from __future__ import annotations
 
@@ -6,209 +6,236 @@
 import json
 import sys
 from pathlib import Path
-from typing import Any, NoReturn
+from typing import Any, NoReturn, TextIO
 
 import click
 
 from vanerelay.interface import SECOND
-from vanerelay.rollout import plan_reader as plans
-from vanerelay.rollout.change_log import ChangeLog, ChangeLogError
+from vanerelay.rollout import plan_reader
+from vanerelay.rollout.change_log import ChangeLog, Command
+from vanerelay.rollout.errors import ChangeLogError
+from vanerelay.rollout.event_text import describe
+from vanerelay.rollout.events import Event, EventKind, Outcome
+from vanerelay.rollout.plan_reader import RolloutPlan
 from vanerelay.rollout.stage_machine import StageMachine
 
-DONE, WENT_BACK, UNUSABLE, UNDER_WAY, FENCED = 0, 1, 2, 3, 4  # exit codes
+EXIT_DONE, EXIT_ROLLED_BACK, EXIT_UNUSABLE, EXIT_UNDER_WAY, EXIT_FENCED = 0, 1, 2, 3, 4
+UNITS_PER_MILLISECOND = 10
+"""Durations are in tenths of a millisecond."""
 
-PLAN = click.argument("path", metavar="PLAN")
-JSON = click.option("--json", "as_json", is_flag=True, help="Tells JSON, an object a line.")
+PLAN_ARGUMENT = click.argument("path", metavar="PLAN")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Tells JSON, an object a line.")
 
 
-def _fail(*lines: str) -> NoReturn:
-    for one in lines:
-        click.echo(f"vanerelay: {one}", err=True)
-    sys.exit(UNUSABLE)
+def _fail(reason: str) -> NoReturn:
+    click.echo(f"vanerelay: {reason}", err=True)
+    sys.exit(EXIT_UNUSABLE)
 
 
-def _load(path: str) -> plans.Loaded:
+def _load(path: str) -> RolloutPlan:
     try:
-        return plans.load(path)
-    except plans.BadOptions as fault:
-        _fail(str(fault))
+        return plan_reader.load(path)
+    except plan_reader.BadOptions as error:
+        _fail(str(error))
 
 
-def _record(loaded: plans.Loaded, make: bool = False) -> ChangeLog:
+def _open_record(rollout_plan: RolloutPlan, create: bool = False) -> ChangeLog:
     try:
-        return ChangeLog(loaded.record, make)
-    except ChangeLogError as fault:
-        _fail(str(fault))
+        return ChangeLog(rollout_plan.record_path, create)
+    except ChangeLogError as error:
+        _fail(str(error))
 
 
 @click.group()
 def rollout() -> None:
     """A change in stages: old and new managers side by side, stopped when a stage does worse.
 
-    Exit codes: 0 done, 1 gone back, 2 can't be used, 3 under way, 4 another controller has taken over."""
+    Exit codes: 0 done, 1 gone back, 2 can't be used, 3 under way, 4 another controller has taken over.
+    """
 
 
 @rollout.command()
-@PLAN
-@JSON
+@PLAN_ARGUMENT
+@JSON_OPTION
 def check(path: str, as_json: bool) -> None:
     """Reads the plan and all that it names, asks nobody, and says what would be done."""
     loaded = _load(path)
-    course = StageMachine(loaded.plan)
-    rows = [
-        {"stage": stage.name, "managers": course.aimed(number)}
-        for number, stage in enumerate(loaded.plan.stages)
-    ]
-    for row in rows:
+    machine = StageMachine(loaded.plan)
+    for number, stage in enumerate(loaded.plan.stages):
+        gateways = machine.gateways_up_to(number)
         if as_json:
-            click.echo(json.dumps(row))
+            click.echo(json.dumps({"stage": stage.name, "managers": gateways}))
         else:
-            click.echo(f"stage {row['stage']}: {', '.join(row['managers'])}")
-    if not as_json:
-        click.echo(
-            f"judged by: {', '.join(loaded.guards)}; a false stop in {loaded.terms.chance:.2%} of changes"
-        )
-        for one in loaded.shared:
-            click.echo(f"shared by the fleet: {one}; the stricter value holds until all have the new one")
+            click.echo(f"stage {stage.name}: {', '.join(gateways)}")
+    if as_json:
+        return
+    probability = loaded.terms.false_stop_probability
+    click.echo(f"judged by: {', '.join(loaded.guards)}; a false stop in {probability:.2%} of changes")
+    for setting in loaded.shared_settings:
+        click.echo(f"shared by the fleet: {setting}; the stricter value holds until all have the new one")
 
 
 @rollout.command()
-@PLAN
-@JSON
+@PLAN_ARGUMENT
+@JSON_OPTION
 def start(path: str, as_json: bool) -> None:
     """Begins the change and sees it through."""
     loaded = _load(path)
-    record = _record(loaded, True)
-    if record.change and not _ended(record):
+    record = _open_record(loaded, True)
+    if record.change and not _has_ended(record):
         _fail(f"{record.name} is under way in {record.path}, expected rollout resume or back")
     try:
         record.begin(loaded.plan.name, loaded.text, 0)
-    except ChangeLogError as fault:
-        _fail(str(fault))
-    _see_through(loaded, record, False, as_json)
+    except ChangeLogError as error:
+        _fail(str(error))
+    _run_controller(loaded, record, False, as_json)
 
 
-def _ended(record: ChangeLog) -> bool:
+def _has_ended(record: ChangeLog) -> bool:
     events = record.events()
-    return bool(events) and events[-1].what == "ended"
+    return bool(events) and events[-1].kind == EventKind.ENDED
 
 
 @rollout.command()
-@PLAN
-@JSON
+@PLAN_ARGUMENT
+@JSON_OPTION
 def resume(path: str, as_json: bool) -> None:
     """Goes on with a change that is paused or held; or whose controller is gone, from its record."""
-    _word("resume", path, as_json)
+    _command_or_run(Command.RESUME, path, as_json)
 
 
 @rollout.command()
-@PLAN
+@PLAN_ARGUMENT
 def pause(path: str) -> None:
     """No manager is changed from now on; those that are stay as they are."""
-    record = _record(_load(path))
-    _say(record, "pause")
+    record = _open_record(_load(path))
+    _add_command(record, Command.PAUSE)
     click.echo(f"{record.name}: to be paused")
 
 
 @rollout.command()
-@PLAN
-@JSON
+@PLAN_ARGUMENT
+@JSON_OPTION
 def back(path: str, as_json: bool) -> None:
     """Goes back to the old release, without further evidence."""
-    _word("back", path, as_json)
+    _command_or_run(Command.ROLL_BACK, path, as_json)
 
 
-def _say(record: ChangeLog, word: str) -> None:
+def _add_command(record: ChangeLog, command: Command) -> None:
     try:
-        record.say(word)
-    except ChangeLogError as fault:
-        _fail(str(fault))
+        record.add_command(command)
+    except ChangeLogError as error:
+        _fail(str(error))
 
 
-def _word(word: str, path: str, as_json: bool) -> None:
-    """To the controller that runs; where none does, this one takes over."""
+def _command_or_run(command: Command, path: str, as_json: bool) -> None:
+    """Leaves a command for the controller that runs; where none does, this process takes over."""
     loaded = _load(path)
-    record = _record(loaded)
-    if not record.change or _ended(record):
+    record = _open_record(loaded)
+    if not record.change or _has_ended(record):
         _fail(f"no change is under way in {record.path}")
-    _say(record, word)
-    if _locked(record.path) is None:
-        click.echo(f"{record.name}: told {word}")
+    _add_command(record, command)
+    if _lock(record.path) is None:
+        click.echo(f"{record.name}: told {command}")
         return
-    _see_through(loaded, record, True, as_json)
+    _run_controller(loaded, record, True, as_json)
 
 
 @rollout.command()
-@PLAN
-@JSON
+@PLAN_ARGUMENT
+@JSON_OPTION
 def status(path: str, as_json: bool) -> None:
     """How far the change is, by its record. Exits with 0 (done), 1 (gone back) or 3 (under way)."""
     loaded = _load(path)
-    record = _record(loaded)
-    course = StageMachine.replayed(loaded.plan, record.events())
-    running = _locked(record.path) is None
-    stage = loaded.plan.stages[course.stage].name if course.stage >= 0 else ""
-    how = course.ended or (
-        "going back"
-        if course.going_back
-        else "held"
-        if course.held
-        else "paused"
-        if course.paused
-        else "under way"
-    )
-    unsure = [name for name, known in course.confirmed.items() if not known]
-    told = {
+    record = _open_record(loaded)
+    machine = StageMachine.replayed(loaded.plan, record.events())
+    is_running = _lock(record.path) is None
+    if as_json:
+        click.echo(json.dumps(_status_row(record, machine, is_running)))
+    else:
+        for line in _status_lines(record, machine, is_running):
+            click.echo(line)
+    exit_codes: dict[str, int] = {Outcome.DONE: EXIT_DONE, Outcome.ROLLED_BACK: EXIT_ROLLED_BACK}
+    sys.exit(exit_codes.get(machine.outcome, EXIT_UNDER_WAY))
+
+
+def _status_text(machine: StageMachine) -> str:
+    if machine.outcome:
+        return machine.outcome
+    if machine.is_rolling_back:
+        return "going back"
+    if machine.is_held:
+        return "held"
+    return "paused" if machine.is_paused else "under way"
+
+
+def _stage_name(machine: StageMachine) -> str:
+    return machine.plan.stages[machine.stage].name if machine.stage >= 0 else ""
+
+
+def _unconfirmed(machine: StageMachine) -> list[str]:
+    return [name for name, is_confirmed in machine.confirmed.items() if not is_confirmed]
+
+
+def _status_row(record: ChangeLog, machine: StageMachine, is_running: bool) -> dict[str, Any]:
+    """The state of a change as JSON; scripts read these keys."""
+    return {
         "change": record.name,
-        "how": how,
-        "why": course.why,
-        "stage": stage,
+        "how": _status_text(machine),
+        "why": machine.reason,
+        "stage": _stage_name(machine),
         "fence": record.fence,
-        "controller": running,
-        "managers": course.wants,
-        "unconfirmed": unsure,
-        "owed": course.owed() if course.going_back else [],
+        "controller": is_running,
+        "managers": machine.ordered,
+        "unconfirmed": _unconfirmed(machine),
+        "owed": machine.not_restored() if machine.is_rolling_back else [],
     }
-    if as_json:
-        click.echo(json.dumps(told))
-    else:
-        click.echo(
-            f"{record.name}: {how}{f' at stage {stage}' if stage else ''}"
-            f"{f' ({course.why})' if course.why else ''}"
-        )
-        click.echo(
-            f"changed: {', '.join(course.new) or 'none'}; not confirmed: {', '.join(unsure) or 'none'}"
-        )
-        if not running and not course.ended:
-            click.echo("no controller runs: vanerelay rollout resume goes on from the record")
-    sys.exit({"done": DONE, "back": WENT_BACK}.get(course.ended, UNDER_WAY))
+
+
+def _status_lines(record: ChangeLog, machine: StageMachine, is_running: bool) -> list[str]:
+    stage = _stage_name(machine)
+    at_stage = f" at stage {stage}" if stage else ""
+    reason = f" ({machine.reason})" if machine.reason else ""
+    changed = ", ".join(machine.new) or "none"
+    unconfirmed = ", ".join(_unconfirmed(machine)) or "none"
+    lines = [
+        f"{record.name}: {_status_text(machine)}{at_stage}{reason}",
+        f"changed: {changed}; not confirmed: {unconfirmed}",
+    ]
+    if not is_running and not machine.outcome:
+        lines.append("no controller runs: vanerelay rollout resume goes on from the record")
+    return lines
 
 
 @rollout.command()
-@PLAN
-@JSON
+@PLAN_ARGUMENT
+@JSON_OPTION
 def history(path: str, as_json: bool) -> None:
     """All that was recorded, the first first."""
-    from vanerelay.rollout.controller import line
-
     loaded = _load(path)
-    record = _record(loaded)
-    for number, name, fence in record.changes():
-        for event in record.events(number):
+    record = _open_record(loaded)
+    for change in record.changes():
+        for event in record.events(change.number):
             if as_json:
-                row = {"change": name, "fence": fence, "at_ms": event.at // 10, "what": event.what}
-                row |= {
-                    key: value
-                    for key, value in (("manager", event.manager), ("to", event.to), ("why", event.why))
-                    if value
-                }
-                click.echo(json.dumps(row))
+                click.echo(json.dumps(_event_row(event, change.name, change.fence)))
             else:
-                click.echo(f"{name}  {event.at / SECOND:.1f}  {line(event, loaded)}")
+                click.echo(f"{change.name}  {event.at / SECOND:.1f}  {describe(event, loaded.plan)}")
+
 
+def _event_row(event: Event, change: str, fence: int) -> dict[str, Any]:
+    """An event as JSON; scripts read these keys."""
+    row: dict[str, Any] = {
+        "change": change,
+        "fence": fence,
+        "at_ms": event.at // UNITS_PER_MILLISECOND,
+        "what": event.kind,
+    }
+    optional = (("manager", event.gateway), ("to", event.target), ("why", event.reason))
+    return row | {key: value for key, value in optional if value}
 
-def _locked(path: str) -> Any:
-    """The lock of the controller that runs on this record; None where another holds it."""
+
+def _lock(path: str) -> TextIO | None:
+    """The lock of the controller that runs on this record; None where another process holds it."""
     file = Path(f"{path}.lock").open("a")  # noqa: SIM115
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -218,27 +245,28 @@
     return file
 
 
-def _see_through(loaded: plans.Loaded, record: ChangeLog, resumed: bool, as_json: bool) -> NoReturn:
-    lock = _locked(record.path)
+def _run_controller(rollout_plan: RolloutPlan, record: ChangeLog, resumed: bool, as_json: bool) -> NoReturn:
+    """Runs a controller until the change has ended, then exits."""
+    lock = _lock(record.path)  # held until the process ends
     if lock is None:
         _fail(f"another controller runs on {record.path}")
     from vanerelay.cli import log_to
 
     log_to("warning")  # on standard error: what people are told goes to standard output alone
-    from twisted.internet import reactor as found_reactor
+    from twisted.internet import reactor as installed_reactor
 
-    reactor: Any = found_reactor
-    from vanerelay.rollout.controller import Controller, Ending
+    reactor: Any = installed_reactor
+    from vanerelay.rollout.controller import Controller, ControllerEnd, ControllerResult
 
     def say(text: str) -> None:
         click.echo(json.dumps({"change": record.name, "told": text}) if as_json else f"{record.name}: {text}")
 
-    found = list[Ending]()
-    controller = Controller(reactor, loaded, record, say)
+    results = list[ControllerResult]()
+    controller = Controller(reactor, rollout_plan, record, say)
 
     def ended(result: Any) -> None:
-        if isinstance(result, Ending):
-            found.append(result)
+        if isinstance(result, ControllerResult):
+            results.append(result)
         else:
             click.echo(f"vanerelay: {result.getErrorMessage()}", err=True)
         reactor.stop()
@@ -249,31 +277,34 @@
     reactor.callWhenRunning(begin)
     reactor.run()
     record.close()
-    if not found:
-        sys.exit(UNDER_WAY)
-    ending = found[0]
-    say(
-        f"{ending.how}{f': {ending.why}' if ending.why else ''}; managers it had reached: "
-        f"{', '.join(ending.reached) or 'none'}"
-    )
-    sys.exit({"done": DONE, "back": WENT_BACK, "fenced": FENCED}[ending.how])
+    if not results:
+        sys.exit(EXIT_UNDER_WAY)
+    result = results[0]
+    reason = f": {result.reason}" if result.reason else ""
+    say(f"{result.end}{reason}; managers it had reached: {', '.join(result.reached) or 'none'}")
+    exit_codes: dict[str, int] = {
+        ControllerEnd.DONE: EXIT_DONE,
+        ControllerEnd.ROLLED_BACK: EXIT_ROLLED_BACK,
+        ControllerEnd.FENCED: EXIT_FENCED,
+    }
+    sys.exit(exit_codes[result.end])
 
 
 @click.command()
 @click.argument("path", metavar="FILE")
 def keep(path: str) -> None:
     """Keeps one manager running by FILE (HCL), and puts the next release beside it when ordered."""
-    from twisted.internet import reactor as found_reactor
+    from twisted.internet import reactor as installed_reactor
     from twisted.internet.error import CannotListenError
 
-    reactor: Any = found_reactor
+    reactor: Any = installed_reactor
     from vanerelay.cli import log_to
     from vanerelay.rollout import supervisor
 
     log_to("info")
     try:
-        one = supervisor.Supervisor(reactor, *supervisor.load(path))
+        one = supervisor.Supervisor(reactor, supervisor.load(path))
         reactor.callWhenRunning(one.run)
-    except (plans.BadOptions, OSError, CannotListenError) as fault:
-        _fail(str(fault))
+    except (plan_reader.BadOptions, OSError, CannotListenError) as error:
+        _fail(str(error))
     reactor.run()
--- a/vanerelay/rollout/config.py
+++ b/vanerelay/rollout/config.py
@@ -1,4 +1,4 @@
-"""The `rollout` block of the operators' file: this manager takes orders of a rolling change."""
+"""The `rollout` block of the operators' file: this gateway follows orders of a rolling change."""
 
 from __future__ import annotations
 
@@ -9,13 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutConfig:
-    """`folder`: where the fence and ordered settings are kept; empty: nowhere, others know the fence."""
+    """The block's content.
+
+    `folder`: where the fence and ordered settings are stored; empty: nowhere, and other gateways know the
+    fence.
+    """
 
     folder: str = ""
 
 
 def read_config(block: Block) -> RolloutConfig:
-    """Raises BadOptions with the line of what is wrong."""
-    found = block.fill(RolloutConfig)
+    """Reads the block.
+
+    Raises:
+        BadOptions: with the line of what is wrong.
+    """
+    config = block.fill(RolloutConfig)
     block.done()
-    return found
+    return config
--- a/vanerelay/rollout/extension.py
+++ b/vanerelay/rollout/extension.py
@@ -1,4 +1,4 @@
-"""What takes orders of a rolling change, as a part of the served program."""
+"""How the agent of rolling changes joins the served program."""
 
 from __future__ import annotations
 
@@ -8,35 +8,39 @@
 from vanerelay.extension import Extension, ExtensionHost
 from vanerelay.fleet import release
 from vanerelay.fleet.extension import FleetExtension
-from vanerelay.rollout.agent import ClassTotals, RolloutAgent
+from vanerelay.rollout.agent import RolloutAgent
 from vanerelay.rollout.agent_store import AgentStore
+from vanerelay.rollout.class_totals import ClassTotals
 from vanerelay.rollout.config import RolloutConfig
 
 
 class RolloutExtension(Extension):
-    def __init__(self, host: ExtensionHost, parts: RolloutConfig, fleet: FleetExtension) -> None:
-        self._host, self._fleet, self._store, self._tally = (
-            host,
-            fleet,
-            AgentStore(parts.folder),
-            ClassTotals(),
-        )
+    """The extension."""
+
+    def __init__(self, host: ExtensionHost, config: RolloutConfig, fleet: FleetExtension) -> None:
+        self._host, self._fleet = host, fleet
+        self._store, self._totals = AgentStore(config.folder), ClassTotals()
 
     def initial_settings(self, profile: dict[str, Any]) -> dict[str, Any]:
-        """Those ordered last, while the configuration is the one that they took the place of."""
+        """The settings ordered last, while the configuration is the one that they replaced."""
         ordered = self.reloaded_settings(profile)
-        good = (
+        is_valid = (
             settings_validation.find_error(ordered) is None
             and settings_validation.find_restart_setting(profile, ordered) is None
         )
-        return ordered if good else profile
+        return ordered if is_valid else profile
 
     def reloaded_settings(self, profile: dict[str, Any]) -> dict[str, Any]:
-        ordered = self._store.at_start(release.settings(profile))
+        """The same on a reload, which checks them itself."""
+        ordered = self._store.read_settings(release.settings(profile))
         return release.with_own(ordered, profile) if ordered is not None else profile
 
     def open(self) -> None:
-        RolloutAgent(self._host, self._fleet.fleet, self._tally, self._store)
-
-    def query_answered(self, group: str, utility: float, code: int, tenths: int, dispatches: int) -> None:
-        self._tally.answered(group, utility, code, tenths, dispatches)
+        """Begins to answer controllers."""
+        RolloutAgent(self._host, self._fleet.fleet, self._totals, self._store)
+
+    def query_answered(
+        self, service_class: str, earned: float, status: int, duration: int, attempts: int
+    ) -> None:
+        """Counts the query for the canary analysis."""
+        self._totals.query_answered(service_class, earned, status, duration, attempts)
--- a/vanerelay/rollout/fence.py
+++ b/vanerelay/rollout/fence.py
@@ -1,4 +1,8 @@
-"""Whose orders a manager heeds: pure. `store.py` keeps what outlives its process."""
+"""Whose orders a gateway, or its supervisor, accepts. Pure; `agent_store` keeps what outlives the process.
+
+A fence is the fencing token of a controller: each controller takes a higher one than all before it, and one
+fence belongs to one change.
+"""
 
 from __future__ import annotations
 
@@ -6,8 +10,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """`number`: of the order in the controller's record; 0 for a claim, which orders nothing."""
+class OrderId:
+    """What tells an order from others.
+
+    `number` is its place in the controller's record; 0 for a claim of the fence, which orders nothing.
+    """
 
     fence: int
     change: str
@@ -15,33 +22,38 @@
 
 
 class Fence:
-    """One fence belongs to one change: another controller takes a higher one. `told` is what is kept of
-    it, and what other managers are told, so that one that lost its disk learns of it from them."""
+    """The highest fence that was seen, and the last order under it."""
 
-    def __init__(self, told: str = "") -> None:
+    def __init__(self, text: str = "") -> None:
+        """`text` as stored, or as other gateways report it."""
         self.highest, self._change = 0, ""
-        self._number = 0  # of the last order heeded under this fence, by this process
-        self.learn(told)
+        self._last_order = 0
+        self.learn(text)
 
     @property
-    def heeded(self) -> int:
-        """The number of the last order under the highest fence."""
-        return self._number
+    def last_order(self) -> int:
+        """The number of the last order that this process accepted under the highest fence."""
+        return self._last_order
 
     @property
-    def told(self) -> str:
+    def text(self) -> str:
+        """What is stored, and gossiped so that a gateway which lost its disk learns of it from others."""
         return f"{self.highest}/{self._change}" if self.highest else ""
 
-    def learn(self, told: str) -> bool:
-        """What others, or our own folder, know of; whether it was news."""
-        number, _, change = told.partition("/")
-        if not number.isdecimal() or int(number) <= self.highest:
+    def learn(self, text: str) -> bool:
+        """Takes what others, or our own store, know; whether it was new."""
+        fence, _, change = text.partition("/")
+        if not fence.isdecimal() or int(fence) <= self.highest:
             return False
-        self.highest, self._change, self._number = int(number), change, 0
+        self.highest, self._change, self._last_order = int(fence), change, 0
         return True
 
-    def refuses(self, order: Order, replaced: bool = False, joined: bool = True) -> str | None:
-        """Why an order is not heeded; None if it is."""
+    def refusal(self, order: OrderId, replaced: bool = False, joined: bool = True) -> str | None:
+        """Why an order is refused; None where it is not.
+
+        `replaced`: another process has this gateway's name. `joined`: other gateways have replied, or the
+        fence was read from disk.
+        """
         if replaced:
             return "another process goes by this name"
         if not joined:
@@ -50,17 +62,23 @@
             return (
                 f"fence {order.fence}, expected {self.highest} or higher: another controller has taken over"
             )
-        if order.fence == self.highest and self._change != order.change:
+        if order.fence > self.highest:
+            return None
+        if self._change != order.change:
             return f"fence {order.fence} is held for {self._change}"
-        if order.number and order.fence == self.highest and order.number <= self._number:
-            return f"order {order.number} comes late, {self._number} was heeded"
+        if order.number and order.number <= self._last_order:
+            return f"order {order.number} comes late, {self._last_order} was heeded"
         return None
 
-    def heed(self, order: Order) -> None:
-        """Nothing that was ordered before it counts any more: it may lie in a socket for as long as we
-        sleep."""
-        self._number = max(self._number, order.number)
+    def accept(self, order: OrderId) -> None:
+        """Accepts an order.
+
+        None that was given before it counts any more: such an order may lie in a socket for as long as this
+        process is frozen.
+        """
+        self._last_order = max(self._last_order, order.number)
+
 
-    def after(self, order: Order) -> str:
-        """What is to be kept before the order is heeded."""
-        return f"{order.fence}/{order.change}"
+def fence_text(order: OrderId) -> str:
+    """What is to be stored before an order under a higher fence is accepted."""
+    return f"{order.fence}/{order.change}"
--- a/vanerelay/rollout/messages.py
+++ b/vanerelay/rollout/messages.py
@@ -1,103 +1,163 @@
-"""What a controller, a manager and its keeper say to each other, as bytes and back. Pure."""
+"""Messages between a controller, a gateway's agent and its supervisor, as bytes and back. Pure.
+
+Names on the wire are those of the first release: a field that has another name in Python says so. Messages
+that are arrays on the wire must keep the order of their fields.
+"""
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 from vanerelay.fleet.messages import MAX_MESSAGE_BYTES, decode, encode
-from vanerelay.rollout.canary_analysis import ClassCounts
+from vanerelay.rollout.canary_metrics import ClassCounts
 
 __all__ = [
+    "KIND_ORDER",
+    "KIND_STATE",
     "MAX_MESSAGE_BYTES",
-    "Asked",
-    "Figures",
-    "Group",
+    "ClassMetrics",
+    "GatewayMetrics",
+    "GatewayState",
     "Order",
-    "State",
-    "Taken",
-    "count",
-    "encode",
+    "OrderKind",
+    "OrderReply",
+    "StateRequest",
+    "counts_between",
     "decode",
+    "encode",
 ]
 
+KIND_ORDER = "order"
+"""An `Order`, answered by an `OrderReply`."""
+KIND_STATE = "state"
+"""A `StateRequest`, or nothing, answered by a `GatewayState`."""
+
+
+class OrderKind(StrEnum):
+    """What is ordered; the values are sent."""
+
+    CLAIM = "claim"
+    """Nothing but to accept the fence."""
+    SETTINGS = "settings"
+    """To apply the settings in the body (JSON)."""
+    PROGRAM = "program"
+    """To run the release that the supervisor knows by the name in the body."""
+    RESTART = "restart"
+    """To restart as it is."""
+
 
 class Order(msgspec.Struct, frozen=True, omit_defaults=True):
-    """`fence`: of the controller, none lower is heeded; `name`: of the change; `what`: claim (the fence
-    alone), settings (JSON in `body`), program (a release that the keeper knows, in `body`), restart (as it
-    is)."""
+    """An order of a controller.
+
+    Attributes:
+        fence: the controller's; none lower than the highest seen is accepted.
+        change: the name of the change.
+        kind: of `OrderKind`; a string, as controllers of other releases may know others.
+        body: what the kind says.
+        number: of the order in the record: one that was overtaken is not accepted.
+    """
 
     fence: int
-    name: str
-    what: str = "claim"
+    change: str = msgspec.field(name="name")
+    kind: str = msgspec.field(default="claim", name="what")
     body: bytes = b""
-    number: int = 0  # of the order in the record: one that was overtaken is not heeded
+    number: int = 0
+
 
+class OrderReply(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The reply to an order.
 
-class Taken(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The answer: `fence` is the highest seen; `taken` whether the order is heeded, else why not. `failed`:
-    it was tried and could not be done."""
+    Attributes:
+        fence: the highest seen.
+        accepted: whether the order is followed.
+        failed: it was tried and could not be done.
+        reason: why it is not followed.
+    """
 
     fence: int
-    taken: bool = True
+    accepted: bool = msgspec.field(default=True, name="taken")
     failed: bool = False
-    why: str = ""
+    reason: str = msgspec.field(default="", name="why")
 
 
-class Asked(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Asks a manager how it stands."""
+class StateRequest(msgspec.Struct, frozen=True, omit_defaults=True):
+    """Asks a gateway for its state, with or without its metrics."""
 
-    figures: bool = True
+    with_metrics: bool = msgspec.field(default=True, name="figures")
 
 
-class Group(msgspec.Struct, frozen=True, array_like=True):
-    """Of one service group since the process started."""
+class ClassMetrics(msgspec.Struct, frozen=True, array_like=True):
+    """Totals of one service class since the process started; the fields as in `ClassCounts`."""
 
     ended: int = 0
-    met: float = 0.0
-    errored: int = 0
-    pushed: int = 0
+    earned: float = 0.0
+    failed: int = 0
+    rejected: int = 0
     late: int = 0
-    dispatches: int = 0
-    times: list[int] = []
+    attempts: int = 0
+    latency_counts: list[int] = []
 
 
-class Figures(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Sums since the process started. `memory` and `busy` in parts of the limits; `away`: engines that it
-    does not reach; `held`: what part of all engines our grants and threads fill, a sum over time."""
+class GatewayMetrics(msgspec.Struct, frozen=True, omit_defaults=True):
+    """Totals since the process started.
 
-    groups: dict[str, Group] = {}
+    Attributes:
+        classes: by service class.
+        memory: in parts of the limit, now.
+        cpu_s: processor time.
+        unreachable_engines: engines that the gateway does not reach, now.
+        engine_share: what part of all engines its memory grants and threads fill, a sum over time.
+    """
+
+    classes: dict[str, ClassMetrics] = msgspec.field(default_factory=dict, name="groups")
     memory: float = 0.0
     cpu_s: float = 0.0
-    away: int = 0
-    held: float = 0.0
-
-
-class State(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a manager stands: `started`: its incarnation, another with each process; `fence`: the highest that
-    it has seen; `at_ms`: its clock."""
+    unreachable_engines: int = msgspec.field(default=0, name="away")
+    engine_share: float = msgspec.field(default=0.0, name="held")
+
+
+class GatewayState(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The state of a gateway, or of its supervisor.
+
+    Attributes:
+        name: of the gateway.
+        program: its release.
+        settings: the digest of its settings.
+        state: what it tells the fleet of itself, such as "serving".
+        incarnation: another with each process.
+        fence: the highest that it has seen.
+        last_order: the number of the last order that it accepted under it.
+        sent_at_ms: by its wall clock.
+        release: as its supervisor named it at the start.
+        cores: its limit.
+        metrics: totals since the process started.
+    """
 
     name: str
     program: str
     settings: str
     state: str
-    started: int
+    incarnation: int = msgspec.field(name="started")
     fence: int = 0
-    heeded: int = 0  # number of the last order under it
-    at_ms: int = 0
-    release: str = ""  # as its keeper named it at the start
+    last_order: int = msgspec.field(default=0, name="heeded")
+    sent_at_ms: int = msgspec.field(default=0, name="at_ms")
+    release: str = ""
     cores: float = 1.0
-    figures: Figures = Figures()
+    metrics: GatewayMetrics = msgspec.field(default=GatewayMetrics(), name="figures")
 
 
-def count(now: Group, before: Group) -> ClassCounts:
+def counts_between(now: ClassMetrics, before: ClassMetrics) -> ClassCounts:
     """What came between two readings of one process."""
-    times = [a - b for a, b in zip(now.times, before.times or [0] * len(now.times), strict=False)]
+    latencies_before = before.latency_counts or [0] * len(now.latency_counts)
+    latencies = [a - b for a, b in zip(now.latency_counts, latencies_before, strict=False)]
     return ClassCounts(
         now.ended - before.ended,
-        now.met - before.met,
-        now.errored - before.errored,
-        now.pushed - before.pushed,
+        now.earned - before.earned,
+        now.failed - before.failed,
+        now.rejected - before.rejected,
         now.late - before.late,
-        now.dispatches - before.dispatches,
-        tuple(times),
+        now.attempts - before.attempts,
+        tuple(latencies),
     )
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -1,211 +1,257 @@
-"""A rolling change as operators write it (HCL), read into the plan of `stages.py` and what goes with it."""
+"""Reads a rolling change as operators write it (HCL): the plan, and all that a controller needs beside it."""
 
 from __future__ import annotations
 
 import json
+from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, TypeVar
 
 from vanerelay import settings_validation
+from vanerelay.config_field import config_field
 from vanerelay.fleet import release
 from vanerelay.interface import SECOND, Duration
-from vanerelay.leases.config import LeasesConfig as LeaseParts
-from vanerelay.leases.config import read_config as lease_parts
+from vanerelay.leases import config as leases_config
+from vanerelay.leases.config import LeasesConfig
 from vanerelay.operator_config import BadOptions, Block, read
 from vanerelay.rollout import settings_diff
 from vanerelay.rollout.canary_analysis import AnalysisTerms, Guard
-from vanerelay.rollout.stage_machine import NEW, NEW_STRICT, OLD, OLD_STRICT, Away, Plan, Stage, Worse
+from vanerelay.rollout.change_plan import AvailabilityLimits, FailureAction, Plan, Stage
+from vanerelay.rollout.events import Release
+
+__all__ = ["BadOptions", "Change", "GatewayAddress", "RolloutPlan", "load"]
 
 T = TypeVar("T")
 
+DEFAULT_MAX_AWAY = 60 * SECOND
+DEFAULT_BASELINE_TIME = 20 * SECOND
+STAGE_SIZES = {"managers": "gateways", "part": "fraction", "domain": "domain"}
+"""Keys of a stage, one of which says how far it goes, with the fields that they fill."""
+
 
 @dataclass(frozen=True, slots=True)
-class Reached:
-    """A manager: where its fleet listener is, and its keeper's, if it has one."""
+class GatewayAddress:
+    """A gateway: where its fleet listener is, and its supervisor's, if it has one."""
 
     name: str
     address: str
     domain: str = ""
-    keeper: str = ""
+    supervisor: str = config_field("keeper", default="")
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What changes: `settings`, the file with the new ones (the old ones in `from`, a configuration or
-    settings file), or `program`, the release as keepers know it, and `back`, the one to go back to."""
+    """What changes: settings, or the program.
+
+    Attributes:
+        settings: the file with the new settings.
+        old_settings: the file with those of now, a configuration or settings alone.
+        program: the new release, as supervisors know it.
+        old_program: the release to go back to.
+    """
 
     settings: str = ""
-    before: str = ""
+    old_settings: str = config_field("before", default="")
     program: str = ""
-    back: str = ""
+    old_program: str = config_field("back", default="")
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
-    """A plan ready to go. `bodies`: the settings of each of the four, as JSON; `digests`: by which a manager
-    is known to run each of them; `baseline`: how long all are watched before anything is changed; `record`:
-    the controller's file; `text`: the plan as it was read."""
+class RolloutPlan:
+    """A change that is ready to go.
+
+    Attributes:
+        plan: what the stage machine goes by.
+        terms, guards: what the canary analysis goes by.
+        gateways: by name.
+        change: what changes.
+        bodies: what is ordered for each release: settings as JSON, or the program's name.
+        digests: by which a gateway is known to run each release.
+        baseline_time: how long all are observed before anything is changed.
+        record_path: the controller's record.
+        text: the plan as it was read.
+        shared_settings: those that differ, for people.
+        leases: the lease under which one of all controllers acts; None: by a majority of gateways.
+    """
 
     plan: Plan
     terms: AnalysisTerms
     guards: dict[str, Guard]
-    managers: dict[str, Reached]
+    gateways: dict[str, GatewayAddress]
     change: Change
-    bodies: dict[str, bytes]
-    digests: dict[str, str]
-    baseline: Duration
-    record: str
+    bodies: Mapping[str, bytes]
+    digests: Mapping[str, str]
+    baseline_time: Duration
+    record_path: str
     text: str
-    shared: tuple[str, ...] = ()
-    leases: LeaseParts | None = None  # under which of all controllers one acts; None: by majority of managers
+    shared_settings: tuple[str, ...] = ()
+    leases: LeasesConfig | None = None
 
-    def runs(self, settings: str, program: str) -> frozenset[str]:
-        """Which of the four a manager runs that tells these settings (a digest) and this program (as its
-        keeper knows it)."""
-        told = program if self.change.program else settings
-        return frozenset(name for name, one in self.digests.items() if one == told)
+    def releases_run(self, settings: str, program: str) -> frozenset[str]:
+        """Which releases a gateway runs that reports this settings digest and this program."""
+        reported = program if self.change.program else settings
+        return frozenset(name for name, digest in self.digests.items() if digest == reported)
 
 
-def load(path: str) -> Loaded:
-    """Raises BadOptions with the line of what is wrong: everything is checked before anything moves."""
+def load(path: str) -> RolloutPlan:
+    """Reads and checks everything before anything moves.
+
+    Raises:
+        BadOptions: with the line of what is wrong.
+    """
     document = read(path)
-    change_block, managers = document.only("change"), document.all("member")
-    stages, guards = document.all("stage"), document.all("guard")
-    if change_block is None or not managers or not stages:
+    change_block, members = document.only("change"), document.all("member")
+    stage_blocks, guard_blocks = document.all("stage"), document.all("guard")
+    if change_block is None or not members or not stage_blocks:
         raise document.wrong("no change, member or stage, expected one change and at least one of each")
-    reached = {one.label: _filled(one, Reached, name=one.label) for one in managers}
+    gateways = {block.label: _filled(block, GatewayAddress, name=block.label) for block in members}
     change = _filled(change_block, Change)
-    old, new = _releases(change_block, change, Path(path).parent)
-    plan_stages = tuple(_stage(one, reached) for one in stages)
-    terms = _one(document, "judge", AnalysisTerms, stages=len(plan_stages))
-    away = _one(document, "away", Away)
-    bodies, digests = _runs(change, old, new)
+    old, new = _read_releases(change_block, change, Path(path).parent)
+    stages = tuple(_read_stage(block, gateways) for block in stage_blocks)
+    terms = _only(document, "judge", AnalysisTerms, stages=len(stages))
+    limits = _only(document, "away", AvailabilityLimits)
+    bodies, digests = _orders(change, old, new)
     name = document.take("name", str, Path(path).stem)
     leases = document.only("leases")
-    settings = new or old
-    loaded = Loaded(
-        plan=Plan(
-            name=name,
-            managers=tuple((one.name, one.domain) for one in reached.values()),
-            stages=plan_stages,
-            away=away,
-            worse=_word(document, "worse", Worse.BACK),
-            unclear=_word(document, "unclear", Worse.HOLD),
-            strict=len(set(bodies.values())) > 2,
-            restarts=bool(change.program),
-            control=document.take("control", int, 1 if change.program else 0),
-            longest=terms.longest,
-            away_for=document.take("away_for", Duration, 60 * SECOND),
-        ),
+    plan = Plan(
+        name=name,
+        gateways=tuple((one.name, one.domain) for one in gateways.values()),
+        stages=stages,
+        limits=limits,
+        on_worse=_failure_action(document, "worse", FailureAction.ROLL_BACK),
+        on_unclear=_failure_action(document, "unclear", FailureAction.HOLD),
+        uses_stricter_settings=len(set(bodies.values())) > 2,
+        restarts=bool(change.program),
+        control_restarts=document.take("control", int, 1 if change.program else 0),
+        max_stage_time=terms.max_stage_time,
+        max_away_time=document.take("away_for", Duration, DEFAULT_MAX_AWAY),
+    )
+    class_names = [str(one["name"]) for one in (new or old or {}).get("classes", ())]
+    loaded = RolloutPlan(
+        plan=plan,
         terms=terms,
-        guards=_guards(guards, [str(group["name"]) for group in (settings or {}).get("classes", ())]),
-        managers=reached,
+        guards=_read_guards(guard_blocks, class_names),
+        gateways=gateways,
         change=change,
         bodies=bodies,
         digests=digests,
-        baseline=document.take("baseline", Duration, 20 * SECOND),
-        record=document.take("record", str, str(Path(path).with_suffix(".record"))),
+        baseline_time=document.take("baseline", Duration, DEFAULT_BASELINE_TIME),
+        record_path=document.take("record", str, str(Path(path).with_suffix(".record"))),
         text=Path(path).read_text(encoding="utf-8"),
-        leases=lease_parts(leases) if leases is not None else None,
-        shared=tuple(f"{one.path}: {one.why}" for one in settings_diff.differ(old, new))
-        if old and new
-        else (),
+        leases=leases_config.read_config(leases) if leases is not None else None,
+        shared_settings=_shared_settings(old, new),
     )
     document.done()
     return loaded
 
 
-def _releases(block: Block, change: Change, folder: Path) -> tuple[dict[str, Any], dict[str, Any]]:
+def _shared_settings(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[str, ...]:
+    if not old or not new:
+        return ()
+    return tuple(f"{one.path}: {one.reason}" for one in settings_diff.differences(old, new))
+
+
+def _read_releases(block: Block, change: Change, folder: Path) -> tuple[dict[str, Any], dict[str, Any]]:
+    """The settings of the old and of the new release; empty where the change names none."""
     if bool(change.settings) == bool(change.program):
         raise block.wrong("change: settings or program, expected one of them")
     if change.program:
-        if not change.back:
+        if not change.old_program:
             raise block.wrong("change: no back, expected the release to go back to")
-        return (_settings(block, folder, "before", change.before),) * 2 if change.before else ({}, {})
-    if not change.before:
+        if not change.old_settings:
+            return {}, {}
+        settings = _read_settings(block, folder, "before", change.old_settings)
+        return settings, settings
+    if not change.old_settings:
         raise block.wrong("change: no before, expected the file with the settings of now")
-    old, new = (_settings(block, folder, name, getattr(change, name)) for name in ("before", "settings"))
-    why = settings_validation.find_restart_setting(old, new)
-    if why is not None:
-        raise block.wrong(f"settings: {why}", "settings")
+    old = _read_settings(block, folder, "before", change.old_settings)
+    new = _read_settings(block, folder, "settings", change.settings)
+    reason = settings_validation.find_restart_setting(old, new)
+    if reason is not None:
+        raise block.wrong(f"settings: {reason}", "settings")
     if release.settings(old) == release.settings(new):
         raise block.wrong("settings: the same as before, expected something that changes", "settings")
     return old, new
 
 
-def _settings(block: Block, folder: Path, name: str, path: str) -> dict[str, Any]:
+def _read_settings(block: Block, folder: Path, key: str, path: str) -> dict[str, Any]:
     """Settings, alone or in a configuration."""
     try:
-        told = json.loads((folder / path).read_text(encoding="utf-8"))
-    except (OSError, ValueError) as fault:
-        raise block.wrong(f"{path}: {fault}", name) from None
-    found = told.get("settings", told) if isinstance(told, dict) else told
-    why = settings_validation.find_error(found) or settings_validation.find_doubt(found)
-    if why is not None:
-        raise block.wrong(f"{path}: {why}", name)
-    return dict(found)
+        content = json.loads((folder / path).read_text(encoding="utf-8"))
+    except (OSError, ValueError) as error:
+        raise block.wrong(f"{path}: {error}", key) from error
+    settings = content.get("settings", content) if isinstance(content, dict) else content
+    reason = settings_validation.find_error(settings) or settings_validation.find_doubt(settings)
+    if reason is not None:
+        raise block.wrong(f"{path}: {reason}", key)
+    return dict(settings)
 
 
-def _runs(
+def _orders(
     change: Change, old: dict[str, Any], new: dict[str, Any]
-) -> tuple[dict[str, bytes], dict[str, str]]:
+) -> tuple[Mapping[str, bytes], Mapping[str, str]]:
+    """What is ordered for each release, and by which digest a gateway is known to run it."""
     if change.program:
-        names = {OLD: change.back, OLD_STRICT: change.back, NEW_STRICT: change.program, NEW: change.program}
-        return {name: told.encode() for name, told in names.items()}, names
-    four = {
-        OLD: old,
-        OLD_STRICT: settings_diff.stricter(old, new),
-        NEW_STRICT: settings_diff.stricter(new, old),
-        NEW: new,
-    }
-    bodies = {
-        name: json.dumps({key: value for key, value in told.items() if key not in release.OWN}).encode()
-        for name, told in four.items()
+        programs: dict[str, str] = {
+            Release.OLD: change.old_program,
+            Release.OLD_STRICT: change.old_program,
+            Release.NEW_STRICT: change.program,
+            Release.NEW: change.program,
+        }
+        return {name: program.encode() for name, program in programs.items()}, programs
+    settings: dict[str, dict[str, Any]] = {
+        Release.OLD: old,
+        Release.OLD_STRICT: settings_diff.stricter(old, new),
+        Release.NEW_STRICT: settings_diff.stricter(new, old),
+        Release.NEW: new,
     }
-    return bodies, {name: release.settings(told) for name, told in four.items()}
+    bodies = {name: _shared_body(one) for name, one in settings.items()}
+    return bodies, {name: release.settings(one) for name, one in settings.items()}
+
 
+def _shared_body(settings: Mapping[str, Any]) -> bytes:
+    """Settings as they are ordered: without those that each gateway has of its own."""
+    return json.dumps({key: value for key, value in settings.items() if key not in release.OWN}).encode()
 
-def _stage(block: Block, managers: dict[str, Reached]) -> Stage:
-    found = _filled(block, Stage, name=block.label)
-    given = [name for name in ("managers", "part", "domain") if getattr(found, name)]
+
+def _read_stage(block: Block, gateways: Mapping[str, GatewayAddress]) -> Stage:
+    stage = _filled(block, Stage, name=block.label)
+    given = [key for key, field in STAGE_SIZES.items() if getattr(stage, field)]
     if len(given) != 1:
         raise block.wrong(f"stage {block.label}: expected one of managers, part, domain")
-    if found.domain and found.domain not in {one.domain for one in managers.values()}:
-        raise block.wrong(f"domain: {found.domain!r}, expected that of a member", "domain")
-    if found.part > 1.0:
-        raise block.wrong(f"part: {found.part}, expected 1 at most", "part")
-    return found
+    if stage.domain and stage.domain not in {one.domain for one in gateways.values()}:
+        raise block.wrong(f"domain: {stage.domain!r}, expected that of a member", "domain")
+    if stage.fraction > 1.0:
+        raise block.wrong(f"part: {stage.fraction}, expected 1 at most", "part")
+    return stage
 
 
-def _guards(blocks: list[Block], groups: list[str]) -> dict[str, Guard]:
-    """Of the groups named; where none is, the same for all that the settings tell."""
+def _read_guards(blocks: list[Block], class_names: list[str]) -> dict[str, Guard]:
+    """Of the classes named; where none is, the same for all classes of the settings."""
     if not blocks:
-        return {group: Guard() for group in groups}
-    found = dict[str, Guard]()
+        return {name: Guard() for name in class_names}
+    guards = dict[str, Guard]()
     for block in blocks:
-        if groups and block.label not in groups:
-            raise block.wrong(f"guard {block.label!r}, expected one of {', '.join(groups)}")
-        found[block.label] = _filled(block, Guard)
-    return found
+        if class_names and block.label not in class_names:
+            raise block.wrong(f"guard {block.label!r}, expected one of {', '.join(class_names)}")
+        guards[block.label] = _filled(block, Guard)
+    return guards
 
 
-def _word(document: Block, name: str, default: Worse) -> Worse:
-    told = document.take(name, str, default.value)
-    if told not in {word.value for word in Worse}:
-        raise document.wrong(f"{name}: {told!r}, expected back or hold", name)
-    return Worse(told)
+def _failure_action(document: Block, key: str, default: FailureAction) -> FailureAction:
+    written = document.take(key, str, default.value)
+    if written not in {action.value for action in FailureAction}:
+        raise document.wrong(f"{key}: {written!r}, expected back or hold", key)
+    return FailureAction(written)
 
 
-def _one(document: Block, name: str, kind: type[T], **given: Any) -> T:
+def _only(document: Block, name: str, kind: type[T], **given: Any) -> T:
     block = document.only(name)
     return _filled(block, kind, **given) if block is not None else kind(**given)
 
 
 def _filled(block: Block, kind: type[T], **given: Any) -> T:
-    found = block.fill(kind, **given)
+    filled = block.fill(kind, **given)
     block.done()
-    return found
-
-
-__all__ = ["BadOptions", "Loaded", "Reached", "load"]
+    return filled
--- a/vanerelay/rollout/stage_machine.py
+++ b/vanerelay/rollout/stage_machine.py
@@ -1,401 +1,254 @@
-"""The machine of stages: what is to be done next, and what was recorded. Pure: told the time and who is
-heard.
+"""The machine of stages: what is to be done next in a rolling change. Pure.
 
-Everything that happened is an event; the machine is what its events make of it, so that a controller that was
-killed anywhere goes on from its record. An event is recorded before the deed that it names. A manager that
-was ordered counts as changed, whether or not the order arrived."""
+It is told the time and which gateways are heard, and answers with one step; `change_state` holds what the
+steps so far have made of the change.
+"""
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
 
-import msgspec
-
-from vanerelay.interface import SECOND, Duration
+from vanerelay.interface import SECOND
 from vanerelay.rollout.canary_analysis import Assessment, Verdict
+from vanerelay.rollout.change_plan import FailureAction
+from vanerelay.rollout.change_state import ChangeState
+from vanerelay.rollout.events import NEW_RELEASES, Event, EventKind, Outcome, Release
 
-AGAIN, AGAIN_RESTART = 2 * SECOND, 8 * SECOND  # between orders of the same to one manager
-MAJORITY = 2  # more than one part in so many must be heard, or nothing is moved
-
-
-@dataclass(frozen=True, slots=True)
-class Stage:
-    """Up to which managers the change goes: `managers` by number, `part` of all, or all of `domain`."""
-
-    name: str
-    managers: int = 0
-    part: float = 0.0
-    domain: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class Away:
-    """How many managers may be away at once: `most` in all, `domain` in one failure domain; and only as long
-    as the rest carry what comes: `carry` is the most that they may be busy."""
-
-    most: int = 1
-    domain: int = 1
-    carry: float = 0.85
-
+RETRY_INTERVAL = 2 * SECOND
+"""Between orders of the same to one gateway."""
+RESTART_RETRY_INTERVAL = 8 * SECOND
+"""The same where an order restarts the process."""
+QUORUM_DIVISOR = 2
+"""More than one part in so many must be heard, or nothing is moved."""
 
-class Worse(Enum):
-    """What follows when a stage does worse, or can't be judged in time."""
 
-    BACK = "back"
-    HOLD = "hold"
+def is_quorum(count: int, total: int) -> bool:
+    """Whether so many are more than half of all."""
+    return count * QUORUM_DIVISOR > total
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """`managers`: name and failure domain, in the order of changing. `strict`: the releases differ in
-    something that the fleet shares, so all take the stricter of both first. `restarts`: changing restarts
-    the process; then `control` old managers are restarted as freshly in the first stage, to compare with.
-    `longest`: of a stage; `away_for`: how long a manager may take over a change, or be unheard, before the
-    stage is held."""
-
-    name: str
-    managers: tuple[tuple[str, str], ...]
-    stages: tuple[Stage, ...]
-    away: Away = Away()
-    worse: Worse = Worse.BACK
-    unclear: Worse = Worse.HOLD
-    strict: bool = False
-    restarts: bool = False
-    control: int = 0
-    longest: Duration = 600 * SECOND
-    away_for: Duration = 60 * SECOND
-
-
-# What a manager is to run.
-OLD, OLD_STRICT, NEW_STRICT, NEW = "old", "old strict", "new strict", "new"
-IS_NEW = frozenset({NEW, NEW_STRICT})
-
-
-class Event(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One line of the record. `what`: begun, ordered, confirmed, failed, control, stage, judged, paused,
-    resumed, back, held, ended, note."""
-
-    what: str
-    at: int
-    manager: str = ""
-    fence: int = 0  # of an order, with its number under it
-    number: int = 0
-    to: str = ""
-    stage: int = 0
-    why: str = ""
+class GatewayStatus:
+    """A gateway as it was heard last.
 
+    Attributes:
+        releases: which releases it runs: several where they are the same, none where it runs something else.
+        is_serving: it accepts queries.
+        load: the part of its own cores in use.
+        last_order: fence and number of the last order that it accepted.
+    """
 
-@dataclass(frozen=True, slots=True)
-class Heard:
-    """A manager as it was heard last. `runs`: which of the four it runs (some may be the same), none:
-    something else; `serving`: it takes batches; `busy`: part of its own core in use; `heeded`: fence and
-    number of the last order that it heeded."""
-
-    runs: frozenset[str]
-    serving: bool
-    busy: float = 0.0
-    heeded: tuple[int, int] = (0, 0)
+    releases: frozenset[str]
+    is_serving: bool
+    load: float = 0.0
+    last_order: tuple[int, int] = (0, 0)
 
 
 class Action(Enum):
-    ORDER = "order"  # this manager to run that
-    CONTROL = "control"  # this old manager to restart as it is
-    STAGE = "stage"  # the next one begins
-    JUDGE = "judge"  # ask the judge for its verdict; `why`: what stands against passing
-    UNCLEAR = "unclear"  # it can't be told, and nothing is gained by waiting longer
+    """What a step asks of the controller."""
+
+    ORDER = "order"
+    """Order the gateway to run the target."""
+    RESTART_CONTROL = "control"
+    """Order the old gateway to restart as it is."""
+    BEGIN_STAGE = "stage"
+    """Begin the next stage."""
+    ASSESS = "judge"
+    """Assess the stage; the reason says what stands against passing."""
+    UNCLEAR = "unclear"
+    """It can't be assessed, and nothing is gained by waiting longer."""
     WAIT = "wait"
-    ENDED = "ended"
+    END = "ended"
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    do: Action
-    manager: str = ""
-    to: str = ""
-    why: str = ""
-
-
-class StageMachine:
-    """One rolling change. `apply` takes an event, whether it is new or read back; `next` says what to do."""
-
-    def __init__(self, plan: Plan) -> None:
-        self.plan = plan
-        self.domains = dict(plan.managers)
-        self.wants = dict.fromkeys(self.domains, OLD)  # what each was ordered last
-        self.confirmed = dict.fromkeys(self.domains, True)
-        self.ordered_at = dict[str, int]()  # last
-        self.since = dict[str, int]()  # when what it is to run now was ordered first
-        self.orders = dict[str, tuple[int, int]]()  # fence and number of each manager's last
-        self.controls = dict[str, bool]()  # restarted to compare with: whether it is back
-        self.ever = set[str]()  # managers that the change has reached
-        self.stage, self.stage_at = -1, 0  # -1: before the first
-        self.passed = -1
-        self.paused = self.going_back = self.held = False
-        self.ended, self.why = "", ""
-        self.count = 0  # of events: what orders are numbered by
-
-    # The record.
-
-    def resume(self, now: int) -> None:
-        """Read back by another process: moments of the clock before can't be compared with those of now, so
-        what is waited for is waited for anew."""
-        self.since = dict.fromkeys(self.since, now)
-        self.ordered_at = {name: min(at, now) for name, at in self.ordered_at.items()}
-        self.stage_at = now
-
-    def apply(self, event: Event) -> None:
-        self.count += 1
-        if event.what == "ordered":
-            if self.confirmed[event.manager] or self.wants[event.manager] != event.to:
-                self.since[event.manager] = event.at
-            self.wants[event.manager], self.confirmed[event.manager] = event.to, False
-            self.ordered_at[event.manager] = event.at
-            self.orders[event.manager] = event.fence, event.number
-            if event.to in IS_NEW:
-                self.ever.add(event.manager)
-        elif event.what == "confirmed":
-            if event.manager in self.controls:
-                self.controls[event.manager] = True
-            self.confirmed[event.manager] = True
-        elif event.what == "control":
-            self.controls[event.manager] = False
-            self.orders[event.manager] = event.fence, event.number
-            self.ordered_at[event.manager] = event.at
-        elif event.what == "stage":
-            self.stage, self.stage_at = event.stage, event.at
-        elif event.what == "judged" and event.to == Assessment.FINE.value:
-            self.passed = event.stage
-        elif event.what in ("paused", "resumed"):
-            self.paused = event.what == "paused"
-            if event.what == "resumed":
-                self.held, self.stage_at, self.why = False, event.at, ""
-        elif event.what == "held":
-            self.held, self.why = True, event.why
-        elif event.what == "back":
-            self.going_back, self.held, self.paused, self.why = True, False, False, event.why
-        elif event.what == "ended":
-            self.ended = event.to
-            self.why = event.why or self.why
-
-    @staticmethod
-    def replayed(plan: Plan, events: Iterable[Event]) -> StageMachine:
-        course = StageMachine(plan)
-        for event in events:
-            course.apply(event)
-        return course
-
-    # What is to be.
-
-    @property
-    def new(self) -> list[str]:
-        """Managers that run the new release, or may."""
-        return [name for name in self.domains if self.wants[name] in IS_NEW]
-
-    def aimed(self, stage: int) -> list[str]:
-        """The managers that a stage and those before it may have changed, in order."""
-        names, found = list(self.domains), dict[str, None]()
-        for one in self.plan.stages[: stage + 1]:
-            if one.domain:
-                found |= dict.fromkeys(name for name in names if self.domains[name] == one.domain)
-            number = max(one.managers, int(one.part * len(names) + 1e-9))
-            for name in self._spread(names):
-                if len(found) >= number:
-                    break
-                found[name] = None
-        return list(found)
-
-    def _spread(self, names: list[str]) -> list[str]:
-        """In turn from each failure domain, so that the first few are not all in one."""
-        by = dict[str, list[str]]()
-        for name in names:
-            by.setdefault(self.domains[name], []).append(name)
-        rows = list(by.values())
-        return [
-            row[place] for place in range(max(map(len, rows), default=0)) for row in rows if place < len(row)
-        ]
-
-    def sure(self, name: str, heard: Heard) -> bool:
-        """Whether no earlier order can count any more at the manager. That it runs what it was ordered is not
-        enough: it may have run that before, and an order that lies in a socket would still be heeded."""
-        return heard.heeded >= self.orders.get(name, (0, 0))
-
-    def target(self, name: str) -> str:
-        """What a manager is to run as things stand."""
-        plan = self.plan
-        if self.going_back:
-            return (
-                OLD_STRICT
-                if plan.strict
-                and any(
-                    self.wants[one] in IS_NEW or not self.confirmed[one]
-                    for one in self.domains
-                    if one != name and one in self.ever
-                )
-                else OLD
-            )
-        last = len(plan.stages) - 1
-        if self.passed >= last and self.stage >= last:
-            return NEW
-        if self.stage >= 0 and name in self.aimed(self.stage):
-            return NEW_STRICT if plan.strict else NEW
-        return OLD_STRICT if plan.strict else OLD
-
-    def fresh(self) -> list[str]:
-        """Old managers to compare with: while controls are there, these alone."""
-        old = [name for name in self.domains if self.wants[name] not in IS_NEW]
-        return [name for name in old if name in self.controls] or old
-
-    # What to do.
-
-    def next(self, now: int, heard: Mapping[str, Heard]) -> Step:
-        """The one thing to do now. `heard`: managers heard within the last seconds; whoever is missing
-        counts as neither good nor bad."""
-        if self.ended:
-            return Step(Action.ENDED, why=self.ended)
-        if len(heard) * MAJORITY <= len(self.domains):
-            return Step(
-                Action.WAIT, why=f"{len(heard)} of {len(self.domains)} managers heard: nothing is moved"
-            )
-        wrong = self._mend(now, heard)
-        if wrong is not None:
-            return wrong
-        if self.going_back:
-            return self._back(heard)
-        if self.paused or self.held:
-            return Step(Action.WAIT, why="paused" if self.paused else f"held: {self.why}")
-        return self._forward(now, heard)
-
-    def _mend(self, now: int, heard: Mapping[str, Heard]) -> Step | None:
-        """One that runs something else than it was ordered last is ordered again: the order was lost, or it
-        came back with another release. Never wider than the plan, as what it was ordered counts already."""
-        again = AGAIN_RESTART if self.plan.restarts else AGAIN
-        for name, one in heard.items():
-            wanted = self.wants.get(name)
-            if wanted is None or self.going_back and wanted in IS_NEW:
+    """The one thing to do now."""
+
+    action: Action
+    gateway: str = ""
+    target: str = ""
+    reason: str = ""
+
+
+class StageMachine(ChangeState):
+    """One rolling change: `next_step` says what to do, `assessed` what follows from an assessment."""
+
+    def has_last_order(self, name: str, status: GatewayStatus) -> bool:
+        """Whether no earlier order can count any more at the gateway.
+
+        That it runs what it was ordered is not enough: it may have run that before, and an order that lies
+        in a socket would still be accepted.
+        """
+        return status.last_order >= self.last_orders.get(name, (0, 0))
+
+    def next_step(self, now: int, heard: Mapping[str, GatewayStatus]) -> Step:
+        """The one thing to do now.
+
+        `heard` are the gateways heard within the last seconds; any other counts as neither good nor bad.
+        """
+        if self.outcome:
+            return Step(Action.END, reason=self.outcome)
+        if not is_quorum(len(heard), len(self.domains)):
+            return _wait(f"{len(heard)} of {len(self.domains)} managers heard: nothing is moved")
+        correction = self._correction(now, heard)
+        if correction is not None:
+            return correction
+        if self.is_rolling_back:
+            return self._roll_back(heard)
+        if self.is_paused or self.is_held:
+            return _wait("paused" if self.is_paused else f"held: {self.reason}")
+        return self._go_forward(now, heard)
+
+    def _correction(self, now: int, heard: Mapping[str, GatewayStatus]) -> Step | None:
+        """Orders a gateway again that runs something else than it was ordered last.
+
+        The order was lost, or the gateway came back with another release. This is never wider than the plan,
+        as what it was ordered counts already.
+        """
+        interval = RESTART_RETRY_INTERVAL if self.plan.restarts else RETRY_INTERVAL
+        for name, status in heard.items():
+            ordered = self.ordered.get(name)
+            if ordered is None or self.is_rolling_back and ordered in NEW_RELEASES:
                 continue
-            if wanted in one.runs and (self.confirmed[name] or self.sure(name, one)):
+            if ordered in status.releases and (self.confirmed[name] or self.has_last_order(name, status)):
                 continue
-            if now - self.ordered_at.get(name, -again) >= again:
-                return Step(Action.ORDER, name, wanted, f"runs {min(one.runs, default='another release')}")
+            if now - self.ordered_at.get(name, -interval) >= interval:
+                running = min(status.releases, default="another release")
+                return Step(Action.ORDER, name, ordered, f"runs {running}")
         return None
 
-    def _forward(self, now: int, heard: Mapping[str, Heard]) -> Step:
-        plan = self.plan
+    def _go_forward(self, now: int, heard: Mapping[str, GatewayStatus]) -> Step:
         waiting = [name for name in self.domains if not self.confirmed[name]]
-        overdue = [name for name in waiting if now - self.since[name] > plan.away_for]
-        if overdue:
-            return Step(
-                Action.UNCLEAR,
-                why=f"{overdue[0]} did not take the change within {plan.away_for / SECOND:.0f} s",
-            )
-        behind = [name for name in self.domains if self.wants[name] != self.target(name)]
+        for name in waiting:
+            if now - self.change_started_at[name] > self.plan.max_away_time:
+                seconds = self.plan.max_away_time / SECOND
+                return Step(Action.UNCLEAR, reason=f"{name} did not take the change within {seconds:.0f} s")
+        behind = [name for name in self.domains if self.ordered[name] != self.target(name)]
         if behind:
             return self._order_one(behind, heard)
         if waiting:
-            return Step(Action.WAIT, why=f"waiting for {', '.join(waiting)}")
+            return _wait(f"waiting for {', '.join(waiting)}")
+        last = len(self.plan.stages) - 1
+        if self.passed_stage >= last and self.stage >= last:
+            return Step(Action.END, target=Outcome.DONE)
         unheard = [name for name in self.domains if name not in heard]
-        last = len(plan.stages) - 1
-        if self.passed >= last and self.stage >= last:
-            return Step(Action.ENDED, to="done")
-        if self.stage > self.passed:
-            if len(self.controls) < plan.control and plan.restarts and self.stage == 0:
-                return self._control(heard)
-            coming = [name for name, back in self.controls.items() if not back]
-            if coming:
-                return Step(Action.WAIT, why=f"waiting for {', '.join(coming)}, restarted to compare with")
-            if unheard:
-                return Step(Action.JUDGE, why=f"{', '.join(unheard)} not heard: neither good nor bad")
-            return Step(Action.JUDGE)
+        if self.stage > self.passed_stage:
+            return self._assess(heard, unheard)
+        if unheard:
+            return _wait(f"{', '.join(unheard)} not heard: no further stage")
+        return Step(Action.BEGIN_STAGE)
+
+    def _assess(self, heard: Mapping[str, GatewayStatus], unheard: list[str]) -> Step:
+        """The stage is ordered and confirmed: it is compared, in the first one with controls."""
+        plan = self.plan
+        if len(self.controls) < plan.control_restarts and plan.restarts and self.stage == 0:
+            return self._restart_control(heard)
+        restarting = [name for name, is_back in self.controls.items() if not is_back]
+        if restarting:
+            return _wait(f"waiting for {', '.join(restarting)}, restarted to compare with")
         if unheard:
-            return Step(Action.WAIT, why=f"{', '.join(unheard)} not heard: no further stage")
-        return Step(Action.STAGE)
+            return Step(Action.ASSESS, reason=f"{', '.join(unheard)} not heard: neither good nor bad")
+        return Step(Action.ASSESS)
 
-    def _back(self, heard: Mapping[str, Heard]) -> Step:
-        """Without evidence, and without waiting for those that can't be heard: they are owed."""
-        behind = [name for name in self.domains if self.wants[name] != self.target(name) and name in heard]
+    def _roll_back(self, heard: Mapping[str, GatewayStatus]) -> Step:
+        """Without evidence, and without waiting for those that can't be heard."""
+        behind = [name for name in self.domains if self.ordered[name] != self.target(name) and name in heard]
         if behind:
-            return self._order_one(behind, heard, back=True)
+            return self._order_one(behind, heard)
         waiting = [name for name in self.domains if not self.confirmed[name] and name in heard]
         if waiting:
-            return Step(Action.WAIT, why=f"waiting for {', '.join(waiting)}")
-        owed = self.owed()
-        if owed:
-            return Step(Action.WAIT, why=f"back, but for {', '.join(owed)}: not heard")
-        return Step(Action.ENDED, to="back")
-
-    def owed(self) -> list[str]:
-        """Managers that are still to be brought back."""
-        return [
-            name for name in self.domains if self.wants[name] != self.target(name) or not self.confirmed[name]
-        ]
-
-    def _order_one(self, behind: list[str], heard: Mapping[str, Heard], back: bool = False) -> Step:
-        """The first that may be away now. Where nothing restarts nobody is away, but for the order's own
-        time."""
-        away = {
-            name
-            for name in self.domains
-            if not self.confirmed[name] or name not in heard or not heard[name].serving
-        } | {name for name, there in self.controls.items() if not there}
-        by = Counter(self.domains[name] for name in away)
-        limits = self.plan.away
+            return _wait(f"waiting for {', '.join(waiting)}")
+        remaining = self.not_restored()
+        if remaining:
+            return _wait(f"back, but for {', '.join(remaining)}: not heard")
+        return Step(Action.END, target=Outcome.ROLLED_BACK)
+
+    def _order_one(self, behind: list[str], heard: Mapping[str, GatewayStatus]) -> Step:
+        """Orders the first gateway that may be away now.
+
+        Where nothing restarts nobody is away, but for the time of the order itself.
+        """
+        away = self._away(heard)
+        away_by_domain = Counter(self.domains[name] for name in away)
+        limits = self.plan.limits
         for name in behind:
             if name not in heard:
                 continue
             if name in away:
                 # Away as it is: changing it costs nothing more.
                 return Step(Action.ORDER, name, self.target(name))
-            if len(away) >= limits.most or by[self.domains[name]] >= limits.domain:
+            in_domain = away_by_domain[self.domains[name]]
+            if len(away) >= limits.max_away or in_domain >= limits.max_away_per_domain:
                 break
-            if self.plan.restarts and not back and not self._carried(heard, len(away) + 1):
-                return Step(Action.WAIT, why=f"the others are too busy to do without {name}")
+            must_carry = self.plan.restarts and not self.is_rolling_back
+            if must_carry and not self._can_do_without(heard, len(away) + 1):
+                return _wait(f"the others are too busy to do without {name}")
             return Step(Action.ORDER, name, self.target(name))
-        return Step(
-            Action.WAIT,
-            why=f"{len(away)} away ({', '.join(sorted(away))}): no more at once"
-            if away
-            else f"{behind[0]} not heard",
-        )
-
-    def _carried(self, heard: Mapping[str, Heard], away: int) -> bool:
-        serving = [one.busy for one in heard.values() if one.serving]
-        left = len(self.domains) - away
-        return left > 0 and sum(serving) / left <= self.plan.away.carry
-
-    def _control(self, heard: Mapping[str, Heard]) -> Step:
+        if away:
+            return _wait(f"{len(away)} away ({', '.join(sorted(away))}): no more at once")
+        return _wait(f"{behind[0]} not heard")
+
+    def _away(self, heard: Mapping[str, GatewayStatus]) -> set[str]:
+        """Gateways that do not serve, or may not."""
+        not_serving = {
+            name
+            for name in self.domains
+            if not self.confirmed[name] or name not in heard or not heard[name].is_serving
+        }
+        return not_serving | {name for name, is_back in self.controls.items() if not is_back}
+
+    def _can_do_without(self, heard: Mapping[str, GatewayStatus], away: int) -> bool:
+        """Whether the rest can carry the load of all."""
+        loads = [status.load for status in heard.values() if status.is_serving]
+        remaining = len(self.domains) - away
+        return remaining > 0 and sum(loads) / remaining <= self.plan.limits.max_load
+
+    def _restart_control(self, heard: Mapping[str, GatewayStatus]) -> Step:
+        """Restarts an old gateway as it is: the last in the order of changing."""
         old = [
             name
             for name in reversed(list(self.domains))
-            if self.wants[name] not in IS_NEW and name not in self.controls and name in heard
+            if self.ordered[name] not in NEW_RELEASES and name not in self.controls and name in heard
         ]
-        coming = [name for name, back in self.controls.items() if not back]
-        if coming or not old:
-            return Step(Action.WAIT, why="waiting for controls")
-        if not self._carried(heard, 1):
-            return Step(Action.WAIT, why="the others are too busy for a control restart")
-        return Step(Action.CONTROL, old[0], OLD)
-
-    # What comes of a verdict.
-
-    def judged(self, now: int, verdict: Verdict, unheard: str = "") -> Event | None:
-        """The event that follows; None: keep looking. `unheard`: why nothing can be told for now."""
-        if verdict.word is Assessment.WORSE:
-            why = "; ".join(verdict.why)
-            return Event("back" if self.plan.worse is Worse.BACK else "held", now, why=why, stage=self.stage)
-        if verdict.word is Assessment.FINE and not unheard:
-            return Event("judged", now, to=Assessment.FINE.value, stage=self.stage)
-        if now - self.stage_at > self.plan.longest:
-            return self.unclear(now, unheard or "too little evidence: " + "; ".join(verdict.why))
+        restarting = [name for name, is_back in self.controls.items() if not is_back]
+        if restarting or not old:
+            return _wait("waiting for controls")
+        if not self._can_do_without(heard, 1):
+            return _wait("the others are too busy for a control restart")
+        return Step(Action.RESTART_CONTROL, old[0], Release.OLD)
+
+    # What follows from an assessment.
+
+    def assessed(self, now: int, verdict: Verdict, unheard: str = "") -> Event | None:
+        """The event that follows; None where the stage goes on.
+
+        `unheard`: why nothing can be said for now.
+        """
+        if verdict.assessment is Assessment.WORSE:
+            return self._failure(now, self.plan.on_worse, "; ".join(verdict.reasons))
+        if verdict.assessment is Assessment.FINE and not unheard:
+            fine = Assessment.FINE.value
+            return Event(EventKind.ASSESSED, now, target=fine, stage=self.stage)
+        if now - self.stage_started_at > self.plan.max_stage_time:
+            return self.unclear(now, unheard or "too little evidence: " + "; ".join(verdict.reasons))
         return None
 
-    def unclear(self, now: int, why: str) -> Event:
-        """What follows where nothing can be told."""
-        return Event("back" if self.plan.unclear is Worse.BACK else "held", now, why=why, stage=self.stage)
+    def unclear(self, now: int, reason: str) -> Event:
+        """What follows where the stage can't be assessed."""
+        return self._failure(now, self.plan.on_unclear, reason)
+
+    def failed(self, now: int, gateway: str, reason: str) -> Event:
+        """What follows when a gateway tried the change and could not take it."""
+        return self._failure(now, self.plan.on_worse, f"{gateway}: {reason}", gateway)
+
+    def _failure(self, now: int, action: FailureAction, reason: str, gateway: str = "") -> Event:
+        kind = EventKind.ROLLBACK if action is FailureAction.ROLL_BACK else EventKind.HELD
+        return Event(kind, now, gateway, reason=reason, stage=self.stage)
+
 
-    def failed(self, now: int, manager: str, why: str) -> Event:
-        """What follows when a manager tried the change and could not take it."""
-        what = "back" if self.plan.worse is Worse.BACK else "held"
-        return Event(what, now, manager, why=f"{manager}: {why}", stage=self.stage)
+def _wait(reason: str) -> Step:
+    return Step(Action.WAIT, reason=reason)
--- a/vanerelay/rollout/supervisor.py
+++ b/vanerelay/rollout/supervisor.py
@@ -1,8 +1,8 @@
-"""`vanerelay keep`: keeps one manager running, and puts the next release beside it when ordered. A thin
-driver of `succession.py`.
+"""`vanerelay keep`: keeps one gateway running, and starts the next release beside it when ordered.
 
-The keeper holds the clients' listening socket and hands it down: while one manager leaves and the next takes
-over nobody is refused, whichever of them accepts."""
+A thin driver; `supervisor_state` decides. The supervisor holds the clients' listening socket and hands it
+down: while one process drains and the next takes over nobody is refused, whichever of them accepts.
+"""
 
 from __future__ import annotations
 
@@ -22,251 +22,311 @@
 from twisted.internet.protocol import ProcessProtocol
 
 from vanerelay.clock import Clock
+from vanerelay.config_field import config_field
 from vanerelay.fleet.rpc import RequestRefusedError, RpcNode
-from vanerelay.operator_config import BadOptions, Block, read
+from vanerelay.operator_config import BadOptions, read
 from vanerelay.rollout import messages
-from vanerelay.rollout.agent import RELEASE
+from vanerelay.rollout.agent import RELEASE_VARIABLE
 from vanerelay.rollout.agent_store import AgentStore
-from vanerelay.rollout.fence import Fence, Order
-from vanerelay.rollout.supervisor_state import Child, Patience, SupervisorState
-
-LISTEN_FD, READY_FD = 3, 4  # of a child
-LOOK_S = 0.1
-CURRENT = "release"
-BACKLOG = 1024
-BIND_TRIES, BIND_S = 50, 0.1
+from vanerelay.rollout.fence import Fence, OrderId, fence_text
+from vanerelay.rollout.messages import OrderKind
+from vanerelay.rollout.supervisor_state import GatewayProcess, SupervisorState, Timeouts
+
+__all__ = ["BadOptions", "Supervisor", "SupervisorFile", "load"]
+
+LISTEN_FD, READY_FD = 3, 4
+"""Descriptors of a process: the clients' socket, and the pipe on which it says that it is ready."""
+STDERR_FD = 2
+POLL_S = 0.1
+"""Between two looks at what takes too long."""
+RELEASE_FILE = "release"
+"""The file with the release that is to run."""
+LISTEN_BACKLOG = 1024
+BIND_ATTEMPTS, BIND_RETRY_S = 50, 0.1
+"""A process that an earlier supervisor left behind may hold the socket for a moment."""
+MAX_OUTPUT_BYTES, MAX_LINE_CHARACTERS = 2000, 300
+"""Of a process's last output that is kept, to say how it ended."""
+SUPERVISOR_STATE = "keeps"
+"""The state that a supervisor reports; the value is sent."""
 
 log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
-    """A program to run: `tree` is the folder with the package, `python` its interpreter (empty: this one);
-    `config` and `options` as `serve` takes them."""
+class ReleaseConfig:
+    """A program to run.
+
+    Attributes:
+        name: of the release.
+        folder: with the package.
+        config, options: files, as `serve` takes them.
+        python: its interpreter; empty: this one.
+    """
 
     name: str
-    tree: str
-    config: str
+    folder: str = config_field("tree")
+    config: str = config_field("config")
     python: str = ""
     options: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """`listen`: where orders come; `serve`: where clients connect; `folder`: for what outlives the keeper."""
+class SupervisorConfig:
+    """A supervisor.
+
+    Attributes:
+        name: of the gateway.
+        listen_address: where orders come.
+        client_address: where clients connect.
+        first_release: the release to begin with.
+        folder: for what outlives the supervisor.
+    """
 
     name: str
-    listen: str
-    serve: str
-    first: str
+    listen_address: str = config_field("listen")
+    client_address: str = config_field("serve")
+    first_release: str = config_field("first")
     folder: str = ""
 
 
-def load(path: str) -> tuple[Kept, Patience, dict[str, Release]]:
-    """Raises BadOptions with the line of what is wrong."""
-    document = read(path)
-    patience, releases = document.only("patience"), document.all("release")
-    kept = document.fill(Kept)
-    found = {one.label: one.fill(Release, name=one.label) for one in releases}
-    if kept.first not in found:
-        raise document.wrong(
-            f"first: {kept.first!r}, expected one of {', '.join(found) or 'the releases'}", "first"
-        )
-    told = patience.fill(Patience) if patience is not None else Patience()
-    for one in (document, patience, *releases):
-        if isinstance(one, Block):
-            one.done()
-    return kept, told, found
+@dataclass(frozen=True, slots=True)
+class SupervisorFile:
+    """What the operators' file of a supervisor holds."""
+
+    config: SupervisorConfig
+    timeouts: Timeouts
+    releases: dict[str, ReleaseConfig]
+
 
+def load(path: str) -> SupervisorFile:
+    """Reads the file.
 
-def _listening(host: str, port: int) -> socket.socket:
-    """The clients' socket. A manager that a keeper before us left behind may hold it for a moment. Raises
-    OSError."""
-    for _ in range(BIND_TRIES):
+    Raises:
+        BadOptions: with the line of what is wrong.
+    """
+    document = read(path)
+    timeouts_block, release_blocks = document.only("patience"), document.all("release")
+    config = document.fill(SupervisorConfig)
+    releases = {block.label: block.fill(ReleaseConfig, name=block.label) for block in release_blocks}
+    if config.first_release not in releases:
+        known = ", ".join(releases) or "the releases"
+        raise document.wrong(f"first: {config.first_release!r}, expected one of {known}", "first")
+    timeouts = timeouts_block.fill(Timeouts) if timeouts_block is not None else Timeouts()
+    for block in (document, timeouts_block, *release_blocks):
+        if block is not None:
+            block.done()
+    return SupervisorFile(config, timeouts, releases)
+
+
+def _listen(host: str, port: int) -> socket.socket:
+    """The clients' socket.
+
+    Raises:
+        OSError: it can't be bound.
+    """
+    for _ in range(BIND_ATTEMPTS):
         try:
-            return socket.create_server((host, port), backlog=BACKLOG)
-        except OSError as fault:
-            if fault.errno != errno.EADDRINUSE:
+            return socket.create_server((host, port), backlog=LISTEN_BACKLOG)
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE:
                 raise
-            time.sleep(BIND_S)
-    return socket.create_server((host, port), backlog=BACKLOG)
+            time.sleep(BIND_RETRY_S)
+    return socket.create_server((host, port), backlog=LISTEN_BACKLOG)
 
 
-class Process(ProcessProtocol):
-    """One manager. It says that it is ready on a pipe of its own."""
+class _ProcessDriver(ProcessProtocol):
+    """One process of the gateway, which says on a pipe of its own that it is ready."""
 
     transport: Any
 
-    def __init__(self, ready: Callable[[], None], ended: Callable[[str], None]) -> None:
-        self._ready, self._ended, self._last = ready, ended, b""
+    def __init__(self, on_ready: Callable[[], None], on_ended: Callable[[str], None]) -> None:
+        self._on_ready, self._on_ended, self._last_output = on_ready, on_ended, b""
 
     def childDataReceived(self, childFD: int, data: bytes) -> None:
+        """The process has written something."""
         if childFD == READY_FD:
-            self._ready()
+            self._on_ready()
         else:
-            os.write(2, data)
-            self._last = (self._last + data)[-2000:]
+            os.write(STDERR_FD, data)
+            self._last_output = (self._last_output + data)[-MAX_OUTPUT_BYTES:]
 
     def processEnded(self, reason: Any) -> None:
-        lines = self._last.decode(errors="replace").strip().splitlines()
-        self._ended(f"{reason.getErrorMessage()}{': ' + lines[-1][:300] if lines else ''}")
+        """The process has ended, and its output was read."""
+        lines = self._last_output.decode(errors="replace").strip().splitlines()
+        last_line = f": {lines[-1][:MAX_LINE_CHARACTERS]}" if lines else ""
+        self._on_ended(f"{reason.getErrorMessage()}{last_line}")
 
 
 class Supervisor:
-    """The Hands of a Succession."""
-
-    def __init__(self, reactor: Any, kept: Kept, patience: Patience, releases: dict[str, Release]) -> None:
-        self._reactor, self._kept, self._releases = reactor, kept, releases
-        self._clock, self._links, self._store = Clock(), RpcNode(reactor), AgentStore(kept.folder)
-        self._fence = Fence(self._store.fence())
-        self._processes = dict[Child, Process]()
-        first = self._read() or kept.first
-        self.succession = SupervisorState(self, patience, frozenset(releases), first)
-        host, _, port = kept.serve.rpartition(":")
-        self._socket = _listening(host, int(port))
+    """The supervisor of one gateway, and the process control of its state.
+
+    Attributes:
+        state: which release runs, and what follows it.
+    """
+
+    def __init__(self, reactor: Any, file: SupervisorFile) -> None:
+        """Binds the clients' socket.
+
+        Raises:
+            OSError: it can't be bound.
+        """
+        self._reactor, self._config, self._releases = reactor, file.config, file.releases
+        self._clock, self._node, self._store = Clock(), RpcNode(reactor), AgentStore(file.config.folder)
+        self._fence = Fence(self._store.read_fence())
+        self._drivers = dict[GatewayProcess, _ProcessDriver]()
+        first = self._stored_release() or file.config.first_release
+        self.state = SupervisorState(self, file.timeouts, frozenset(file.releases), first)
+        host, _, port = file.config.client_address.rpartition(":")
+        self._socket = _listen(host, int(port))
         self._socket.setblocking(False)  # of the socket itself, whoever holds it: or accepting would wait
-        self._links.handlers |= {"order": self._order, "state": self._state}
-        self._done: Deferred[None] = Deferred()
+        self._node.handlers |= {
+            messages.KIND_ORDER: self._answer_order,
+            messages.KIND_STATE: self._answer_state,
+        }
+        self._stopped: Deferred[None] = Deferred()
 
     def run(self) -> None:
-        self._links.listen(self._kept.listen)
-        self.succession.begin(self._clock.now())
-        self._look()
+        """Listens for orders and starts the first process."""
+        self._node.listen(self._config.listen_address)
+        self.state.begin(self._clock.now())
+        self._poll()
         self._reactor.addSystemEventTrigger("before", "shutdown", self._stop)
 
-    def _look(self) -> None:
-        self.succession.look(self._clock.now())
-        if self.succession.done and not self._done.called:
-            self._links.stop()
-            self._done.callback(None)
-        self._reactor.callLater(LOOK_S, self._look)
+    def _poll(self) -> None:
+        self.state.check_timeouts(self._clock.now())
+        if self.state.has_stopped and not self._stopped.called:
+            self._node.stop()
+            self._stopped.callback(None)
+        self._reactor.callLater(POLL_S, self._poll)
 
     def _stop(self) -> Deferred[None]:
-        self.succession.stop(self._clock.now())
-        return self._done
+        self.state.stop(self._clock.now())
+        return self._stopped
 
-    # Orders.
+    # Requests of a controller.
 
-    def _order(self, body: bytes) -> bytes | Deferred[bytes]:
-        told = messages.decode(body, messages.Order)
-        if told is None:
+    def _answer_order(self, body: bytes) -> bytes | Deferred[bytes]:
+        order = messages.decode(body, messages.Order)
+        if order is None:
             raise RequestRefusedError("unreadable")
-        order = Order(told.fence, told.name, told.number)
-        why = self._fence.refuses(order)
-        if why is None and order.fence > self._fence.highest:
-            why = self._store.keep(self._fence.after(order))
-            if why is None:
-                self._fence.learn(self._fence.after(order))
-                self.succession.forgive()
-        if why is not None:
-            return messages.encode(messages.Taken(self._fence.highest, False, why=why))
-        self._fence.heed(order)
-        if told.what not in ("program", "restart"):
-            return messages.encode(
-                messages.Taken(self._fence.highest, told.what == "claim", why=f"no {told.what} here")
-            )
-        release = told.body.decode(errors="replace") if told.what == "program" else self.succession.current
-        result: Deferred[bytes] = Deferred()
-
-        def answer(failed: str | None) -> None:
-            if failed is None:
-                log.info("release taken over", release=release, change=told.name)
+        order_id = OrderId(order.fence, order.change, order.number)
+        refusal = self._refusal(order_id)
+        if refusal is not None:
+            return self._reply(accepted=False, reason=refusal)
+        self._fence.accept(order_id)
+        if order.kind not in (OrderKind.PROGRAM, OrderKind.RESTART):
+            return self._reply(accepted=order.kind == OrderKind.CLAIM, reason=f"no {order.kind} here")
+        return self._run_release(order)
+
+    def _refusal(self, order_id: OrderId) -> str | None:
+        """Why an order is refused; None where it is not, and its fence is stored."""
+        reason = self._fence.refusal(order_id)
+        if reason is None and order_id.fence > self._fence.highest:
+            reason = self._store.write_fence(fence_text(order_id))
+            if reason is None:
+                self._fence.learn(fence_text(order_id))
+                self.state.forget_failures()
+        return reason
+
+    def _reply(self, accepted: bool, failed: bool = False, reason: str = "") -> bytes:
+        return messages.encode(messages.OrderReply(self._fence.highest, accepted, failed, reason))
+
+    def _run_release(self, order: messages.Order) -> Deferred[bytes]:
+        """Starts the ordered release; replies once it has taken over, or has failed."""
+        is_program = order.kind == OrderKind.PROGRAM
+        release = order.body.decode(errors="replace") if is_program else self.state.current
+        reply: Deferred[bytes] = Deferred()
+
+        def finished(failure: str | None) -> None:
+            if failure is None:
+                log.info("release taken over", release=release, change=order.change)
             else:
-                log.warning("order failed", release=release, change=told.name, why=failed)
-            result.callback(
-                messages.encode(
-                    messages.Taken(self._fence.highest, failed is None, failed is not None, failed or "")
-                )
-            )
-
-        running = self.succession.serving
-        if told.what == "program" and running is not None and running.ready and running.release == release:
-            answer(None)  # an order that came twice
+                log.warning("order failed", release=release, change=order.change, reason=failure)
+            has_failed = failure is not None
+            reply.callback(self._reply(not has_failed, has_failed, failure or ""))
+
+        serving = self.state.serving
+        if is_program and serving is not None and serving.is_ready and serving.release == release:
+            finished(None)  # an order that came twice
         else:
-            self.succession.order(self._clock.now(), release, answer)
-        return result
-
-    def _state(self, body: bytes) -> bytes:
-        return messages.encode(
-            messages.State(
-                self._kept.name,
-                "",
-                "",
-                "keeps",
-                0,
-                self._fence.highest,
-                self._fence.heeded,
-                release=self.succession.current,
-            )
+            self.state.order(self._clock.now(), release, finished)
+        return reply
+
+    def _answer_state(self, _: bytes) -> bytes:
+        state = messages.GatewayState(
+            name=self._config.name,
+            program="",
+            settings="",
+            state=SUPERVISOR_STATE,
+            incarnation=0,
+            fence=self._fence.highest,
+            last_order=self._fence.last_order,
+            release=self.state.current,
         )
+        return messages.encode(state)
 
-    # The Hands.
+    # Process control.
 
-    def start(self, child: Child) -> None:
-        release = self._releases[child.release]
+    def start(self, process: GatewayProcess) -> None:
+        """Starts a process with the clients' socket and a pipe on which it says that it is ready."""
+        release = self._releases[process.release]
         python = release.python or sys.executable
-        line = [
-            python,
-            "-m",
-            "vanerelay",
-            "serve",
-            "--config",
-            release.config,
-            "--listen",
-            self._kept.serve,
-            "--name",
-            self._kept.name,
-            "--listen-fd",
-            str(LISTEN_FD),
-            "--ready-fd",
-            str(READY_FD),
-        ]
-        if release.options:
-            line += ["--options", release.options]
-        process = Process(
-            lambda: self.succession.ready(self._clock.now(), child), lambda how: self._ended(child, how)
+        driver = _ProcessDriver(
+            lambda: self.state.process_ready(self._clock.now(), process),
+            lambda how: self._process_ended(process, how),
         )
-        self._processes[child] = process
-        log.info("manager starts", release=child.release)
-        environment = {**os.environ, RELEASE: child.release, "PYTHONPATH": release.tree}
+        self._drivers[process] = driver
+        log.info("gateway process starts", release=process.release)
+        environment = {**os.environ, RELEASE_VARIABLE: process.release, "PYTHONPATH": release.folder}
         self._reactor.spawnProcess(
-            process,
+            driver,
             python,
-            line,
+            self._command_line(python, release),
             environment,
-            release.tree,
+            release.folder,
             childFDs={0: "w", 1: "r", 2: "r", LISTEN_FD: self._socket.fileno(), READY_FD: "r"},
         )
 
-    def _ended(self, child: Child, how: str) -> None:
-        self._processes.pop(child, None)
-        log.info("manager ended", release=child.release, how=how)
-        self.succession.ended(self._clock.now(), child, how)
+    def _command_line(self, python: str, release: ReleaseConfig) -> list[str]:
+        line = [python, "-m", "vanerelay", "serve"]
+        line += ["--config", release.config]
+        line += ["--listen", self._config.client_address]
+        line += ["--name", self._config.name]
+        line += ["--listen-fd", str(LISTEN_FD)]
+        line += ["--ready-fd", str(READY_FD)]
+        if release.options:
+            line += ["--options", release.options]
+        return line
 
-    def end(self, child: Child) -> None:
-        self._signal(child, "TERM")
+    def _process_ended(self, process: GatewayProcess, how: str) -> None:
+        self._drivers.pop(process, None)
+        log.info("gateway process ended", release=process.release, how=how)
+        self.state.process_ended(self._clock.now(), process, how)
 
-    def kill(self, child: Child) -> None:
-        self._signal(child, "KILL")
+    def terminate(self, process: GatewayProcess) -> None:
+        """Sends SIGTERM."""
+        self._signal(process, "TERM")
 
-    def _signal(self, child: Child, name: str) -> None:
-        process = self._processes.get(child)
-        if process is not None:
+    def kill(self, process: GatewayProcess) -> None:
+        """Sends SIGKILL."""
+        self._signal(process, "KILL")
+
+    def _signal(self, process: GatewayProcess, name: str) -> None:
+        driver = self._drivers.get(process)
+        if driver is not None:
             try:
-                process.transport.signalProcess(name)
+                driver.transport.signalProcess(name)
             except ProcessExitedAlready:
                 return
 
-    def keep(self, release: str) -> None:
-        if self._kept.folder:
-            why = self._store.write(CURRENT, release)
-            if why is not None:
-                log.warning("release not kept", why=why)
-
-    def _read(self) -> str:
-        path = Path(self._kept.folder, CURRENT) if self._kept.folder else None
-        told = path.read_text(encoding="utf-8").strip() if path is not None and path.exists() else ""
-        return told if told in self._releases else ""
-
-
-__all__ = ["BadOptions", "Supervisor", "load"]
+    def save_release(self, release: str) -> None:
+        """Stores the release that is to run after a restart of the supervisor itself."""
+        if self._config.folder:
+            reason = self._store.write_file(RELEASE_FILE, release)
+            if reason is not None:
+                log.warning("release not stored", reason=reason)
+
+    def _stored_release(self) -> str:
+        path = Path(self._config.folder, RELEASE_FILE) if self._config.folder else None
+        stored = path.read_text(encoding="utf-8").strip() if path is not None and path.exists() else ""
+        return stored if stored in self._releases else ""
