--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -627,7 +627,7 @@
         assert set(loaded.guards) == {"look"} and loaded.digests[Release.NEW] != loaded.digests[Release.OLD]
         assert loaded.digests.keys() >= NEW_RELEASES
         return
-    with pytest.raises(plan_reader.BadOptions, match="line [0-9]+.*" + says):
+    with pytest.raises(plan_reader.OperatorConfigError, match="line [0-9]+.*" + says):
         plan_reader.load(str(tmp_path / "p.hcl"))
 
 
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -35,7 +35,7 @@
 def _load(path: str) -> RolloutPlan:
     try:
         return plan_reader.load(path)
-    except plan_reader.BadOptions as error:
+    except plan_reader.OperatorConfigError as error:
         _fail(str(error))
 
 
@@ -305,6 +305,6 @@
     try:
         one = supervisor.Supervisor(reactor, supervisor.load(path))
         reactor.callWhenRunning(one.run)
-    except (plan_reader.BadOptions, OSError, CannotListenError) as error:
+    except (plan_reader.OperatorConfigError, OSError, CannotListenError) as error:
         _fail(str(error))
     reactor.run()
--- a/vanerelay/rollout/config.py
+++ b/vanerelay/rollout/config.py
@@ -22,7 +22,7 @@
     """Reads the block.
 
     Raises:
-        BadOptions: with the line of what is wrong.
+        OperatorConfigError: with the line of what is wrong.
     """
     config = block.fill(RolloutConfig)
     block.done()
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -14,13 +14,13 @@
 from vanerelay.interface import SECOND, Duration
 from vanerelay.leases import config as leases_config
 from vanerelay.leases.config import LeasesConfig
-from vanerelay.operator_config import BadOptions, Block, read
+from vanerelay.operator_config import Block, OperatorConfigError, read_file
 from vanerelay.rollout import settings_diff
 from vanerelay.rollout.canary_analysis import AnalysisTerms, Guard
 from vanerelay.rollout.change_plan import AvailabilityLimits, FailureAction, Plan, Stage
 from vanerelay.rollout.events import Release
 
-__all__ = ["BadOptions", "Change", "GatewayAddress", "RolloutPlan", "load"]
+__all__ = ["OperatorConfigError", "Change", "GatewayAddress", "RolloutPlan", "load"]
 
 T = TypeVar("T")
 
@@ -98,9 +98,9 @@
     """Reads and checks everything before anything moves.
 
     Raises:
-        BadOptions: with the line of what is wrong.
+        OperatorConfigError: with the line of what is wrong.
     """
-    document = read(path)
+    document = read_file(path)
     change_block, members = document.only("change"), document.all("member")
     stage_blocks, guard_blocks = document.all("stage"), document.all("guard")
     if change_block is None or not members or not stage_blocks:
--- a/vanerelay/rollout/supervisor.py
+++ b/vanerelay/rollout/supervisor.py
@@ -24,7 +24,7 @@
 from vanerelay.clock import Clock
 from vanerelay.config_field import config_field
 from vanerelay.fleet.rpc import RequestRefusedError, RpcNode
-from vanerelay.operator_config import BadOptions, read
+from vanerelay.operator_config import OperatorConfigError, read_file
 from vanerelay.rollout import messages
 from vanerelay.rollout.agent import RELEASE_VARIABLE
 from vanerelay.rollout.agent_store import AgentStore
@@ -32,7 +32,7 @@
 from vanerelay.rollout.messages import OrderKind
 from vanerelay.rollout.supervisor_state import GatewayProcess, SupervisorState, Timeouts
 
-__all__ = ["BadOptions", "Supervisor", "SupervisorFile", "load"]
+__all__ = ["OperatorConfigError", "Supervisor", "SupervisorFile", "load"]
 
 LISTEN_FD, READY_FD = 3, 4
 """Descriptors of a process: the clients' socket, and the pipe on which it says that it is ready."""
@@ -102,9 +102,9 @@
     """Reads the file.
 
     Raises:
-        BadOptions: with the line of what is wrong.
+        OperatorConfigError: with the line of what is wrong.
     """
-    document = read(path)
+    document = read_file(path)
     timeouts_block, release_blocks = document.only("patience"), document.all("release")
     config = document.fill(SupervisorConfig)
     releases = {block.label: block.fill(ReleaseConfig, name=block.label) for block in release_blocks}
