--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -19,7 +19,7 @@
     RetryBudgetTerms,
 )
 from vanerelay.invariants import BUCKET_WIDTH, MIN_ANSWERS, GuardTerms, Invariant, InvariantGuard
-from vanerelay.net.events import BURST, REASONS_MOST, EventLog, Kind
+from vanerelay.net.events import BURST, MAX_REASONS, EventLog, Kind
 
 NOW = 1000 * SECOND
 LIMIT = NOW + 20 * SECOND
@@ -236,10 +236,10 @@
     events.write_counts()
     assert events.counts[Kind.RETRY, "reset"] == 10 * BURST
     assert capsys.readouterr().out.count(Kind.RETRY.value) <= BURST + 1
-    for number in range(10 * REASONS_MOST):
+    for number in range(10 * MAX_REASONS):
         events.note(Kind.CLOSE, f"a frame's length is {number}")
-    assert len(events.counts) <= REASONS_MOST + len(Kind)
-    assert events.counts.total() == 10 * BURST + 10 * REASONS_MOST
+    assert len(events.counts) <= MAX_REASONS + len(Kind)
+    assert events.counts.total() == 10 * BURST + 10 * MAX_REASONS
 
 
 def test_reasons_of_closes_are_few_whatever_clients_send(started):
@@ -254,7 +254,7 @@
     lines = [json.loads(line) for line in node.log.read_text().splitlines()]
     counts = [line for line in lines if line["event"] == "events so far"][-1]
     by_us = [name for name in counts if "client, by us" in name]
-    assert by_us == ["connection closed: client, by us: it does not keep to the protocol"]
+    assert by_us == ["connection closed: client, by us: protocol error"]
 
 
 def test_retries_refusals_closes_and_changes_of_state_are_in_the_log_with_their_reasons(started):
@@ -272,8 +272,8 @@
     lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
     retry = next(line for line in lines if line["event"] == Kind.RETRY.value)
     assert bytes.fromhex(retry["id"]).lstrip(b"\0") == b"a1" and retry["why"] == "error, written whole"
-    refusal = [line for line in lines if line["event"] == Kind.REFUSAL.value]
-    assert [line["why"] for line in refusal] == ["pushed back by the module", "failed by the module"]
+    refusal = [line for line in lines if line["event"] == Kind.REJECTION.value]
+    assert [line["why"] for line in refusal] == ["rejected by the decisions", "failed by the decisions"]
     assert any(line["event"] == Kind.CLOSE.value and "client, by us" in line["why"] for line in lines)
     state = next(line for line in lines if line["event"] == Kind.STATE.value)
     assert state["engine"] == "s-1" and state["why"] == "engine up to draining"
--- a/vanerelay/net/client_listener.py
+++ b/vanerelay/net/client_listener.py
@@ -57,8 +57,8 @@
         self._frame_due: OrderedDict[ClientConnection, float] = OrderedDict()
         self._port: Any = None
         self._accept_failed_at: int | None = None
-        self.protocol_errors = RateLimitedLog(reactor, "client does not keep to the protocol")
-        self._share_full = RateLimitedLog(reactor, "clients hold their share of the descriptors")
+        self.protocol_errors = RateLimitedLog(reactor, "client protocol error")
+        self._share_full = RateLimitedLog(reactor, "client connections at their limit")
         reactor.callLater(SWEEP_S, self._sweep)
 
     def buildProtocol(self, addr: object) -> ClientConnection:
@@ -165,7 +165,7 @@
             self._connections.move_to_end(connection)
 
     def expect_frame(self, connection: ClientConnection, expected: bool) -> None:
-        """Whether it owes the rest of a frame, or its first one; told again, the time runs on."""
+        """Whether it owes the rest of a frame, or its first one; said again, the time runs on."""
         if not expected:
             self._frame_due.pop(connection, None)
         elif connection not in self._frame_due and connection in self._connections:
@@ -177,7 +177,7 @@
         self.reactor.callLater(SWEEP_S, self._sweep)
         while self._frame_due and next(iter(self._frame_due.values())) <= now:
             connection, _ = self._frame_due.popitem(last=False)
-            connection.refuse("nothing whole came")
+            connection.refuse("no complete frame came")
         for connection in list(self._connections):
             if now - connection.used_at < FORGOTTEN_S:
                 break
@@ -203,4 +203,4 @@
             try:
                 call(connection)
             except Exception:
-                log.exception("a client's connection met a fault")
+                log.exception("error in a client's connection")
