--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 from vanerelay.adapter.wire import cost
 from vanerelay.settings import ticks_ceil, ticks_floor
 
-PROFILE = {
+RAW_SETTINGS = {
     "az": 0,
     "groupSize": 2,
     "position": 0,
@@ -59,7 +59,7 @@
 
 def started(manager=0, page=0):
     return [
-        event("up", manager, initSeed=7, profileData=PROFILE),
+        event("up", manager, initSeed=7, profileData=RAW_SETTINGS),
         event("rosterChange", manager, form="cached", page=page, rev=1),
     ]
 
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -6,9 +6,10 @@
 import random
 
 import pytest
-from helpers import SLOW_START, World, entry
+from helpers import ROOT, SLOW_START, World, entry
 
 from vanerelay.estimation import SlidingSums
+from vanerelay.fleet.release import POLICY
 from vanerelay.interface import (
     SECOND,
     AttemptResult,
@@ -699,3 +700,8 @@
     assert len(query.attempts) == again
     world.advance(2 * SECOND)
     assert len(query.attempts) == 2
+
+
+def test_the_digest_of_a_release_covers_every_module_that_decides():
+    modules = {f"policy/{path.name}" for path in (ROOT / "vanerelay" / "policy").glob("*.py")}
+    assert set(POLICY) == {"estimation.py"} | modules - {"policy/__init__.py"}
--- a/vanerelay/policy/engine_registry.py
+++ b/vanerelay/policy/engine_registry.py
@@ -49,6 +49,7 @@
     that leaves the list is kept until it runs none of ours.
 
     Attributes:
+        order: The listed engines in this gateway's order of preference.
         pool: What we hold of all listed engines together.
         awaited_reports: Load reports that were polled for and have not come. The admission queue is served
             once one comes, or with the next review.
