--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -185,8 +185,8 @@
     out = io.StringIO()
     assert main(io.StringIO('{"clockUs":0,"input":[]}\n' + line + "\n"), out) == 1
     assert out.getvalue() == '{"orders":[]}\n'
-    told = capsys.readouterr().err
-    assert told.count("\n") == 1 and "malformed" in told and "Traceback" not in told
+    printed = capsys.readouterr().err
+    assert printed.count("\n") == 1 and "malformed" in printed and "Traceback" not in printed
 
 
 def test_a_fault_in_the_decisions_is_reported_with_its_cause():
--- a/tests/test_asked.py
+++ b/tests/test_asked.py
@@ -140,8 +140,8 @@
 @pytest.mark.parametrize(("gateways", "looks"), [(3, 40), (80, 40), (81, 20), (162, 10), (300, 10)])
 def test_large_fleets_review_their_engines_less_often_and_answer_in_time(gateways, looks, monkeypatch):
     world, seen = World(engines=0, gateways=gateways), []
-    whole = world.gateway._review
-    monkeypatch.setattr(world.gateway, "_review", lambda *told: (seen.append(told), whole(*told)))
+    review = world.gateway._review
+    monkeypatch.setattr(world.gateway, "_review", lambda *values: (seen.append(values), review(*values)))
     query = world.submit(time_limit=SECOND)
     world.advance(SECOND)
     assert query.is_ended and len(world.calls_of("reject")) == 1
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -31,7 +31,6 @@
 from vanerelay.policy.retry_budget import RetryBudget
 from vanerelay.policy.slow_start import SlowStart
 
-O = Outcome  # noqa: E741
 BUSY = 13_000.0  # MB: over a slice of a third, so that one query fills an engine
 
 
@@ -40,13 +39,13 @@
     [(100, 0, 0, 1, 1), (100, 0, 79, 1, 1), (100, 0, 100, 1, 0), (100, 0, 95, 1, 0), (100, 0, 110, 0, 0)],
 )
 def test_sliding_sums_never_forget_early_nor_count_late(span, at, now, whole, short):
-    ring = SlidingSums(span, 1)
-    ring.add(at, 1)
-    assert (ring.total(now, 0), ring.total(now, 0, short=True)) == (whole, short)
+    sums = SlidingSums(span, 1)
+    sums.add(at, 1)
+    assert (sums.total(now, 0), sums.total(now, 0, short=True)) == (whole, short)
 
 
 @pytest.mark.parametrize(
-    ("runs", "told", "cap", "low", "high"),
+    ("runs", "estimate", "cap", "low", "high"),
     [
         ([], 1000.0, 9e9, 1250, 1401),  # no peak: the client's estimate with the margin, up a bucket
         ([(1000.0, 400.0)] * 9, 1000.0, 9e9, 500, 640),  # peak x margin
@@ -57,11 +56,11 @@
         ([], 0.0, 9e9, 0, 0),  # nothing known: the engine's own choice
     ],
 )
-def test_grant_size(runs, told, cap, low, high):
+def test_grant_size(runs, estimate, cap, low, high):
     memory = MemoryEstimator(1)
-    for was_told, peak in runs:
-        memory.learn(0, 0, 5, was_told, peak)
-    assert low <= memory.size(1, 0, 5, told, cap) <= high
+    for run_estimate, peak in runs:
+        memory.learn(0, 0, 5, run_estimate, peak)
+    assert low <= memory.size(1, 0, 5, estimate, cap) <= high
 
 
 @pytest.mark.parametrize("forget", [lambda memory: memory.forget_table_group(5), lambda memory: None])
@@ -117,9 +116,9 @@
     [(0, 1, 0.3), (5, 1, 0.65), (10, 1, 1.0), (0, 3, 0.3), (0, 50, 0.3), (5, 200, 0.65), (0, 200, 0.3)],
 )
 def test_slow_start_budget_holds_for_all_gateways_and_admits_queries(age, gateways, share):
-    cold, work, sent, used = SlowStartTerms(0.3, 10 * SECOND, 3.0, 2 * SECOND), 5000, 0, 0
+    terms, work, sent, used = SlowStartTerms(0.3, 10 * SECOND, 3.0, 2 * SECOND), 5000, 0, 0
     for number in range(gateways):
-        slow_start = SlowStart(cold, "e7", 16, FleetPosition(number, gateways, 0), 2 * SECOND, 0)
+        slow_start = SlowStart(terms, "e7", 16, FleetPosition(number, gateways, 0), 2 * SECOND, 0)
         assert slow_start.engine_started(100 * SECOND)
         now = 100 * SECOND + age * SECOND
         assert slow_start.ramp_share(now) == pytest.approx(share)
@@ -139,18 +138,18 @@
     step, cost, sent = SECOND // 10, 100, []
     began = 1000 * SECOND
 
-    def world(number, now):
-        one = World(engines=0, gateways=30, index=number, now=now)
-        one.gateway.update_engines([entry(0, started_at=began)], True)
-        return one
+    def started_at(number, now):
+        world = World(engines=0, gateways=30, index=number, now=now)
+        world.gateway.update_engines([entry(0, started_at=began)], True)
+        return world
 
-    worlds = [world(number, began) for number in range(30)]
+    worlds = [started_at(number, began) for number in range(30)]
     for now in range(began, began + 4 * SECOND, step):
         if now == began + round(at * SECOND):
-            worlds[:restarted] = [world(number, now) for number in range(restarted)]
-        for one in worlds:
-            one.advance(now - one.now)
-            for query in [one.submit(cost=cost, memory=1.0) for _ in range(12)]:
+            worlds[:restarted] = [started_at(number, now) for number in range(restarted)]
+        for world in worlds:
+            world.advance(now - world.now)
+            for query in [world.submit(cost=cost, memory=1.0) for _ in range(12)]:
                 if query.attempts:
                     sent.append(now)
                     query.attempt_ended(0, AttemptResult(Outcome.COMPLETED, cost, cost, 1.0), True)
@@ -184,7 +183,7 @@
 
 
 @pytest.mark.parametrize(
-    ("gateways", "peers", "heard", "span", "parts"),
+    ("gateways", "may_gossip", "heard", "span", "parts"),
     [
         (3, True, (1, 2), 900, 3),
         (3, True, (1, 2), 1500, 1),
@@ -195,16 +194,16 @@
         (1, True, (), 1500, 1),
     ],
 )
-def test_the_slice_of_an_absent_gateway_is_divided_among_the_others(gateways, peers, heard, span, parts):
+def test_the_slice_of_an_absent_gateway_is_divided_among_the_others(gateways, may_gossip, heard, span, parts):
     """Seen on sockets: a tenth was rejected while one restarted, with a third of each engine left to nobody.
     A peer never heard from counts as present: messages may be lost, and it starts when it starts."""
-    world = World(gateways=gateways, capabilities={"may_gossip": peers})
+    world = World(gateways=gateways, capabilities={"may_gossip": may_gossip})
     for number in heard:
         world.gateway.receive_from_peer(number, b"\0\0\0\1")
     for _ in range(span // 50):
         world.advance(500)
     assert world.gateway._capacity.slice == pytest.approx(1 / parts)
-    assert (len(world.calls_of("send_to_peers")) >= span // 250) == (peers and 1 < gateways < 9)
+    assert (len(world.calls_of("send_to_peers")) >= span // 250) == (may_gossip and 1 < gateways < 9)
     for number in heard:
         world.gateway.receive_from_peer(number, b"\0\0\0\1")
     world.advance(3000)
@@ -245,17 +244,17 @@
 
 @pytest.mark.parametrize(("gateways", "engines"), [(50, 12), (200, 40), (200, 33), (160, 25)])
 def test_candidates_are_spread_evenly_and_few_change_when_an_engine_leaves(gateways, engines):
-    keepers, moved = [0] * engines, 0
+    gateways_of, replaced = [0] * engines, 0
     for number in range(gateways):
         world = World(engines=engines, gateways=gateways, index=number)
         before = {e.entry.index for e in world.gateway._engines.candidates(world.now, ANYWHERE)}
         world.gateway.update_engines([dataclasses.replace(world.entries[0], state=EngineState.GONE)], False)
         after = {e.entry.index for e in world.gateway._engines.candidates(world.now, ANYWHERE)}
-        moved += len(after - before)
+        replaced += len(after - before)
         for engine in before:
-            keepers[engine] += 1
-    assert moved == keepers[0] and max(keepers) < 1.6 * sum(keepers) / engines
-    assert min(keepers) > 0.5 * sum(keepers) / engines
+            gateways_of[engine] += 1
+    assert replaced == gateways_of[0] and max(gateways_of) < 1.6 * sum(gateways_of) / engines
+    assert min(gateways_of) > 0.5 * sum(gateways_of) / engines
 
 
 @pytest.mark.parametrize(("gateways", "most"), [(1, 12), (3, 12), (50, 12), (200, 12)])
@@ -263,16 +262,16 @@
     trials = 0.0
     for number in range(min(gateways, 8)):
         world = World(engines=2, gateways=gateways, index=number)
-        sick = world.engine(0)
-        sick.health.is_lost = True
-        sick.health.level = 0.0
-        sick.health.tried_at = world.now
-        world.gateway._monitor.watch(sick)
+        ejected = world.engine(0)
+        ejected.health.is_lost = True
+        ejected.health.level = 0.0
+        ejected.health.tried_at = world.now
+        world.gateway._monitor.watch(ejected)
         for _ in range(200):
             world.advance(500)
             query = world.submit()
             if query.attempts and query.attempts[0].in_flight and query.attempts[0].engine.entry.index == 1:
-                world.end_attempt(query, O.COMPLETED)
+                world.end_attempt(query, Outcome.COMPLETED)
         tried = sum(d[1] == 0 for d in world.calls_of("send_attempt"))
         trials += tried / 10 * gateways / min(gateways, 8)
     assert trials <= most
@@ -309,7 +308,7 @@
         group = count % 2
         query = world.submit(memory=50.0, service_class=group, table_group=count % 4 // 2)
         sides[group][count % 4 // 2].add(query.attempts[0].engine.entry.index)
-        world.end_attempt(query, O.COMPLETED)
+        world.end_attempt(query, Outcome.COMPLETED)
     assert all(len(sides[0][t] & sides[1][t]) <= 1 for t in (0, 1))
     assert not any(engine.health.has_pace for engine in world.engines())  # they may stand still
 
@@ -319,9 +318,9 @@
     first = world.submit(memory=9000.0)
     held = [world.submit(memory=m) for m in (9000.0, 3000.0, 9000.0)]
     assert len(world.calls_of("send_attempt")) == 1 and all(not b.attempts for b in held)
-    world.end_attempt(first, O.COMPLETED, memory=0.0)
+    world.end_attempt(first, Outcome.COMPLETED, memory=0.0)
     assert [d[0] for d in world.calls_of("send_attempt")] == [1, 2]
-    world.end_attempt(held[0], O.COMPLETED, memory=0.0)
+    world.end_attempt(held[0], Outcome.COMPLETED, memory=0.0)
     assert [d[0] for d in world.calls_of("send_attempt")][:3] == [1, 2, 3]
 
 
@@ -339,17 +338,17 @@
 @pytest.mark.parametrize(
     ("effect", "scope", "outcome", "again", "answer"),
     [
-        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, O.FAILED, True, "reject"),
-        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, O.TIMED_OUT, True, "reject"),
-        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.REJECTED, True, "reject"),
-        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.NO_CONNECTION, True, "reject"),
-        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.FAILED, False, "fail"),
-        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.TIMED_OUT, False, "fail"),
-        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.RESET, False, "fail"),
-        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, O.CANCELLED, False, "fail"),
-        (Idempotency.DEDUPLICATED, DeduplicationScope.ALL, O.RESET, True, "reject"),
-        (Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, O.RESET, True, "fail"),
-        (Idempotency.DEDUPLICATED, DeduplicationScope.CELL, O.FAILED, True, "fail"),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, Outcome.FAILED, True, "reject"),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, Outcome.TIMED_OUT, True, "reject"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.REJECTED, True, "reject"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.NO_CONNECTION, True, "reject"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.FAILED, False, "fail"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.TIMED_OUT, False, "fail"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.RESET, False, "fail"),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.CANCELLED, False, "fail"),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ALL, Outcome.RESET, True, "reject"),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ZONE, Outcome.RESET, True, "fail"),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.CELL, Outcome.FAILED, True, "fail"),
     ],
 )
 def test_no_effect_twice(effect, scope, outcome, again, answer):
@@ -382,11 +381,11 @@
     )
     query = world.submit()
     home = getattr(query.attempts[0].engine.entry, field)
-    world.end_attempt(query, O.FAILED)
+    world.end_attempt(query, Outcome.FAILED)
     assert all(getattr(attempt.engine.entry, field) == home for attempt in query.attempts)
     late = world.submit()
     world.advance(2 * SECOND)
-    world.end_attempt(late, O.FAILED, duration=2 * SECOND)
+    world.end_attempt(late, Outcome.FAILED, duration=2 * SECOND)
     assert len(late.attempts) == 1 and (late.arrival.index,) in world.calls_of("fail")
 
 
@@ -408,7 +407,7 @@
     world.gateway.update_engines([entry(2, zone=1, machine_kind=1)], False)
     query = world.submit()
     assert world.calls_of("send_attempt")[-1][1] == 2
-    world.end_attempt(query, O.FAILED)
+    world.end_attempt(query, Outcome.FAILED)
     world.gateway.update_engines([entry(2, zone=1, machine_kind=1, state=EngineState.GONE)], False)
     world.submit()
     world.advance(12 * SECOND)
@@ -421,11 +420,11 @@
     queries = [world.submit(order_key=5) for _ in range(3)]
     other = world.submit(order_key=6)
     assert [len(b.attempts) for b in (*queries, other)] == [1, 0, 0, 1]
-    world.end_attempt(queries[0], O.COMPLETED)
+    world.end_attempt(queries[0], Outcome.COMPLETED)
     assert [len(b.attempts) for b in queries] == [1, 1, 0]
     queries[1].client_left()
     assert not queries[2].attempts  # an attempt without an outcome is still in flight
-    world.end_attempt(queries[1], O.RESET)
+    world.end_attempt(queries[1], Outcome.RESET)
     world.advance(SECOND - 100)
     assert not queries[2].attempts
     world.advance(400)
@@ -449,7 +448,7 @@
                     d[0] == query.arrival.index and attempt.sent_at + d[2] <= world.now
                     for d in world.calls_of("send_attempt")
                 ):
-                    query.attempt_ended(number, AttemptResult(O.TIMED_OUT, 1), False)
+                    query.attempt_ended(number, AttemptResult(Outcome.TIMED_OUT, 1), False)
         for name in ("reject", "fail"):
             for call in world.calls_of(name):
                 answered.setdefault(call[0], world.now)
@@ -466,13 +465,15 @@
         world.advance(200)
         for query in [world.submit(), world.submit()]:
             if query.attempts and query.attempts[0].engine.entry.index == 1:
-                world.end_attempt(query, O.COMPLETED)
+                world.end_attempt(query, Outcome.COMPLETED)
     late = [d for d in world.calls_of("send_attempt")[-60:] if d[1] == 0]
     assert len(late) <= 3
 
 
-@pytest.mark.parametrize(("sick", "outcome"), [(0, O.FAILED), (1, O.FAILED), (0, O.RESET)])
-def test_errors_common_to_all_engines_are_not_held_against_them(sick, outcome):
+@pytest.mark.parametrize(
+    ("failing", "outcome"), [(0, Outcome.FAILED), (1, Outcome.FAILED), (0, Outcome.RESET)]
+)
+def test_errors_common_to_all_engines_are_not_held_against_them(failing, outcome):
     """Seen on sockets: queries of bad clients fail wherever they go, and the slice of every engine that was
     used shrank with its health. One that fails more than the others is found all the same."""
     world = World(engines=5)
@@ -480,10 +481,10 @@
         world.advance(200)
         query = world.submit()
         engine = query.attempts[0].engine.entry.index
-        bad = count % 3 == 0 or engine < sick
-        query.attempt_ended(0, AttemptResult(outcome if bad else O.COMPLETED, 100), True)
+        bad = count % 3 == 0 or engine < failing
+        query.attempt_ended(0, AttemptResult(outcome if bad else Outcome.COMPLETED, 100), True)
     levels = [engine.health.level for _, engine in sorted(world.gateway._engines._engines.items())]
-    assert min(levels[sick:]) > 0.5 and max(levels[:sick], default=0.0) < 0.3
+    assert min(levels[failing:]) > 0.5 and max(levels[:failing], default=0.0) < 0.3
 
 
 def test_engines_that_are_gone_are_forgotten_once_they_run_none_of_ours():
@@ -498,7 +499,7 @@
     assert set(world.gateway._engines._engines) - {0, 1} == {39} and kept <= set(
         world.gateway._engines._engines
     )
-    world.end_attempt(query, O.COMPLETED)
+    world.end_attempt(query, Outcome.COMPLETED)
     world.gateway.update_engines([entry(40)], True)
     assert set(world.gateway._engines._engines) == {40} and set(world.gateway._monitor._watched) <= {40}
 
@@ -510,18 +511,18 @@
     query = world.submit()
     query.client_left()
     assert world.calls_of("cancel_attempt") == ([(1, 0)] if may_cancel else [])
-    world.end_attempt(query, O.CANCELLED)
+    world.end_attempt(query, Outcome.CANCELLED)
     assert world.gateway._engines.pool.running == 0 and len(world.calls_of("send_attempt")) == 1
 
 
 def test_a_lost_engine_is_tried_and_recovers_in_slow_start():
     world = World(engines=1, latency_objective=5 * SECOND)
     query, other = world.submit(), world.submit()
-    world.end_attempt(other, O.RESET)
+    world.end_attempt(other, Outcome.RESET)
     world.advance(200)
     assert world.engine(0).health.level > 0.1  # one reset connection is no dead process
-    world.end_attempt(query, O.NO_CONNECTION)
-    world.end_attempt(other, O.NO_CONNECTION)
+    world.end_attempt(query, Outcome.NO_CONNECTION)
+    world.end_attempt(other, Outcome.NO_CONNECTION)
     other.client_left()
     assert world.engine(0).health.level == 0.0
     world.advance(600)
@@ -543,7 +544,7 @@
         bad = query.attempts[0].engine.entry.index == 0
         sent += 1 if bad else 0
         report = LoadReport(running=0.0 if bad else 20.0)
-        outcome = O.FAILED if bad and count % 10 < share * 10 else O.COMPLETED
+        outcome = Outcome.FAILED if bad and count % 10 < share * 10 else Outcome.COMPLETED
         query.attempt_ended(0, AttemptResult(outcome, 50 if bad else 1500, load_report=report), True)
     assert sent <= most * 600
 
@@ -552,7 +553,7 @@
     world = World(engines=1)
     query = world.submit(memory=1000.0)
     query.attempt_progressed(0, ProgressKind.SPILL, 3000.0)
-    world.end_attempt(query, O.COMPLETED, memory=0.0)
+    world.end_attempt(query, Outcome.COMPLETED, memory=0.0)
     world.submit(memory=1000.0)
     first, second = (call[1] for call in world.calls_of("grant_memory"))
     assert second > first
@@ -659,8 +660,8 @@
         for _ in range(400):
             world.submit(cost=20_000)
         sent.append(world.engine(0).slow_start.sent_work(world.now))
-        (cold,) = world.gateway.engine_statuses()
-        assert not cold.warmed_up and cold.ramp_share == pytest.approx(0.3)
+        (warming_up,) = world.gateway.engine_statuses()
+        assert not warming_up.warmed_up and warming_up.ramp_share == pytest.approx(0.3)
     assert 0.0 < sent[1] <= sent[0] / 2 + 20_000
 
 
@@ -681,16 +682,16 @@
     assert to.count(0) < 20 and to.count(1) > 180  # taken by proxies, as they reported
     world.now += 20 * SECOND  # a report that old says nothing
     assert go(200).count(0) > 60
-    sick = World(4)
+    ejected = World(4)
     for _ in range(5):
-        sick.gateway.update_proxy_load(2, 0.0, 40.0, 40.0)  # all that they send there fails
-        sick.advance(SECOND)
-    assert [c.entry.index for c in sick.gateway.engine_statuses() if not c.usable] == [2]
-    sick.gateway.update_proxy_load(99, 1.0, 1.0, 1.0)  # not listed: nothing
-    assert sick.gateway.shed_share(0) == 0.0 and sick.gateway.typical_grant(0) >= 0.0
+        ejected.gateway.update_proxy_load(2, 0.0, 40.0, 40.0)  # all that they send there fails
+        ejected.advance(SECOND)
+    assert [c.entry.index for c in ejected.gateway.engine_statuses() if not c.usable] == [2]
+    ejected.gateway.update_proxy_load(99, 1.0, 1.0, 1.0)  # not listed: nothing
+    assert ejected.gateway.shed_share(0) == 0.0 and ejected.gateway.typical_grant(0) >= 0.0
 
 
-@pytest.mark.parametrize(("outcome", "again"), [(O.REJECTED, 1), (O.NOT_SENT, 2)])
+@pytest.mark.parametrize(("outcome", "again"), [(Outcome.REJECTED, 1), (Outcome.NOT_SENT, 2)])
 def test_an_engine_that_rejects_takes_none_past_our_slice_for_a_while(outcome, again):
     """Seen with 32 gateways under settings of our own: full engines were tried again at once by every one."""
     world = World(engines=1, gateways=200, latency_objective=8 * SECOND)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -41,7 +41,7 @@
 
 
 def attempt(guard, record, number, outcome, at=NOW, engine=0):
-    """Begins an attempt and ends it as told."""
+    """Begins an attempt and ends it with this outcome."""
     assert guard.begin_attempt(at, record, number, engine) is None
     guard.attempt_ended(record, number, outcome, 0)
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -98,7 +98,7 @@
 def switch(world: World, memory: float = 32000.0, **group) -> Gateway:
     """Has another gateway take over in this world, under other settings; returns the one before it."""
     old, groups = world.gateway, [dataclasses.replace(world.service_class, **group), SERVICE_CLASS]
-    cold = SlowStartTerms(0.3, 10 * SECOND, 2.0, SECOND)
+    slow_start = SlowStartTerms(0.3, 10 * SECOND, 2.0, SECOND)
     world.gateway = Gateway(
         world,
         7,
@@ -107,7 +107,7 @@
             [MachineKind(16, memory)],
             FleetPosition(0, 1, 0),
             CAPABILITIES,
-            cold,
+            slow_start,
             RetryBudgetTerms(0, 0, 0.0),
             SECOND,
             50,
@@ -122,14 +122,14 @@
     world = World(engines=2)
     for _ in range(60):
         world.end_attempt(world.submit(memory=500.0), Outcome.COMPLETED, memory=2000.0)
-    query, sick = world.submit(memory=500.0), world.engine(0)
-    sick.health.level = 0.4
+    query, unhealthy = world.submit(memory=500.0), world.engine(0)
+    unhealthy.health.level = 0.4
     old, engines = switch(world, **change), world.engines()
     assert sum(e.reservations.granted for e in engines) == query.attempts[0].grant and not old.is_finished()
     assert world.gateway._retry_budget._counts is old._retry_budget._counts
     old._monitor._watched.clear()
     world.advance(SECOND)
-    assert sick.health is world.engine(0).health and sick.health.level > 0.7
+    assert unhealthy.health is world.engine(0).health and unhealthy.health.level > 0.7
     assert (world.submit(memory=500.0).attempts[0].grant > 1500.0) is learned
     switch(world, memory=16000.0)
     assert sum(e.reservations.granted for e in world.engines()) == 0.0
