--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from bench import plays
-from tests.histories import deeds, reads
+from tests.histories import operations, reads
 from vanerelay.extension import QueryInfo
 from vanerelay.freshness import dissemination, messages
 from vanerelay.freshness.config import FreshnessConfig, Watch
@@ -97,13 +97,13 @@
         for seed, done in zip(
             seeds, pool.map(lambda seed: moment(seed, managers, bool(hints)), seeds), strict=True
         ):
-            wrong = reads.wrong(done.rows)
+            wrong = reads.violations(done.rows)
             read += sum(
                 row["op"] == "query" and row["result"] == "returned" and bool(row["hint"])
                 for row in done.rows
             )
             old += bool(wrong)
-            found = [*(wrong if hints else ()), *deeds.wrong(done.rows)]
+            found = [*(wrong if hints else ()), *operations.violations(done.rows)]
             if found or done.findings:
                 bad += 1
                 print(f"seed {seed}: {found[:3]} {done.findings[:3]}", flush=True)
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -17,7 +17,7 @@
 import structlog
 
 from bench import plays
-from tests.histories import deeds, register
+from tests.histories import operations, register
 from vanerelay.interface import SECOND
 from vanerelay.lab.lease_simulation import (
     Fault,
@@ -86,7 +86,7 @@
     settings = schedule_settings(seed)
     simulation = run_schedule(seed, draw_faults(seed, settings), settings)
     taken = sum(row["op"] == "order" and row["result"] == "ok" for row in simulation.rows)
-    return ScheduleResult(seed, violations(simulation), taken, len(deeds.beyond(simulation.rows)))
+    return ScheduleResult(seed, violations(simulation), taken, len(operations.outdated(simulation.rows)))
 
 
 def schedules(count: int) -> None:
@@ -114,7 +114,11 @@
 
 def violations(simulation: Simulation) -> list[str]:
     """What the checkers and the simulation itself found wrong."""
-    return [*deeds.wrong(simulation.rows), *register.wrong(simulation.rows), *simulation.violations]
+    return [
+        *operations.violations(simulation.rows),
+        *register.violations(simulation.rows),
+        *simulation.violations,
+    ]
 
 
 def gaps(count: int) -> None:
@@ -158,10 +162,10 @@
         seeds = range(first, first + count)
         played = pool.map(lambda seed: plays.play(scenario(seed, managers), seed), seeds)
         for seed, done in zip(seeds, played, strict=True):
-            found = [*deeds.wrong(done.rows), *register.wrong(done.rows)]
+            found = [*operations.violations(done.rows), *register.violations(done.rows)]
             orders = [row["result"] for row in done.rows if row["op"] == "order"]
             taken, refused = taken + orders.count("ok"), refused + orders.count("refused")
-            late += len(deeds.beyond(done.rows))
+            late += len(operations.outdated(done.rows))
             if found or done.findings or not orders:
                 bad += 1
                 print(f"seed {seed}: {found[:3]} {done.findings[:3]} {len(orders)} orders", flush=True)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.histories import deeds, reads, register, warms
+from tests.histories import operations, prefetches, reads, register
 
 A, B, C = "a/1", "b/2", "c/3"
 
@@ -41,20 +41,20 @@
 RIGHT = {
     "one holder": [order(0, 1, 1), order(5, 1, 2)],
     "taken over": [order(0, 1, 1), order(5, 2, 1, B), order(9, 2, 2, B)],
-    "a refused one is no deed": [order(0, 2, 1, B), order(5, 1, 9, result="refused")],
+    "a refused one is no operation": [order(0, 2, 1, B), order(5, 1, 9, result="refused")],
     "two tasks at once": [order(0, 5, 1, A, task="t"), order(1, 1, 1, B, task="u")],
     "two receivers, each in its order": [order(0, 1, 1), order(1, 2, 1, B, "e2")],
-    "one holder's deeds may overlap": [order(0, 1, 1, end=9), order(2, 1, 2, end=5)],
+    "one holder's operations may overlap": [order(0, 1, 1, end=9), order(2, 1, 2, end=5)],
 }
 WRONG = {
     "two at once": [order(0, 1, 1, end=9), order(5, 2, 1, B)],
     "two at once, the later one first": [order(0, 2, 1, B, end=9), order(5, 1, 1)],
-    "a number that falls": [order(0, 2, 1, B), order(5, 1, 1)],
-    "a number that falls much later": [order(0, 1, 1), order(5, 3, 1, B), order(50, 2, 1, C)],
-    "one number, two holders": [order(0, 1, 1), order(5, 1, 2, B)],
-    "one number, two holders at two receivers": [order(0, 1, 1), order(5, 1, 1, B, "e2")],
-    "a deed twice": [order(0, 1, 1), order(5, 1, 1)],
-    "a deed that was overtaken": [order(0, 1, 2), order(5, 1, 1)],
+    "a token that falls": [order(0, 2, 1, B), order(5, 1, 1)],
+    "a token that falls much later": [order(0, 1, 1), order(5, 3, 1, B), order(50, 2, 1, C)],
+    "one token, two holders": [order(0, 1, 1), order(5, 1, 2, B)],
+    "one token, two holders at two receivers": [order(0, 1, 1), order(5, 1, 1, B, "e2")],
+    "an operation twice": [order(0, 1, 1), order(5, 1, 1)],
+    "an operation that was overtaken": [order(0, 1, 2), order(5, 1, 1)],
     "one that ends before it begins": [order(5, 1, 1, end=4)],
     "the old one again after the new": [order(0, 1, 1), order(5, 2, 1, B), order(9, 1, 2)],
     "at once in the second task": [
@@ -66,38 +66,40 @@
 
 
 @pytest.mark.parametrize("name", RIGHT)
-def test_deeds_that_are_right(name):
-    assert deeds.wrong(RIGHT[name]) == []
+def test_operations_that_are_right(name):
+    assert operations.violations(RIGHT[name]) == []
 
 
 @pytest.mark.parametrize("name", WRONG)
-def test_deeds_that_are_wrong(name):
-    assert deeds.wrong(WRONG[name]) != [] and deeds.wrong(list(reversed(WRONG[name]))) != []
+def test_operations_that_are_wrong(name):
+    assert (
+        operations.violations(WRONG[name]) != [] and operations.violations(list(reversed(WRONG[name]))) != []
+    )
 
 
 IN_ORDER = {
     "held and renewed": [op("acquire", 0, 2, 1), op("renew", 5, 6, 1), op("renew", 8, 9, 1)],
     "taken over": [op("acquire", 0, 2, 1), op("acquire", 9, 11, 2, B), op("renew", 12, 13, 2, B)],
-    "numbers may be left out": [op("acquire", 0, 2, 1), op("acquire", 9, 11, 7, B)],
+    "tokens may be left out": [op("acquire", 0, 2, 1), op("acquire", 9, 11, 7, B)],
     "a renewal that is answered late": [
         op("acquire", 0, 2, 1),
         op("renew", 5, 30, 1),
         op("acquire", 9, 11, 2, B),
     ],
-    "two ask at once": [op("acquire", 0, 9, 2), op("acquire", 1, 8, 1, B)],
-    "one that nobody heard the end of": [op("asked", 0, 1, 1), op("acquire", 5, 6, 2, B)],
+    "two request at once": [op("acquire", 0, 9, 2), op("acquire", 1, 8, 1, B)],
+    "one whose end nobody knows": [op("asked", 0, 1, 1), op("acquire", 5, 6, 2, B)],
     "... and that was": [op("asked", 0, 1, 1, B), op("acquire", 5, 6, 2)],
-    "given back": [op("acquire", 0, 2, 1), op("release", 3, 3, 1), op("acquire", 4, 5, 2, B)],
+    "released": [op("acquire", 0, 2, 1), op("release", 3, 3, 1), op("acquire", 4, 5, 2, B)],
     "two tasks": [op("acquire", 0, 2, 1), op("acquire", 0, 2, 1, B, "u"), op("renew", 3, 4, 1)],
 }
 OUT_OF_ORDER = {
     "renewed after another had it": [op("acquire", 0, 2, 1), op("acquire", 5, 6, 2, B), op("renew", 7, 8, 1)],
-    "a number that falls": [op("acquire", 0, 2, 2), op("acquire", 5, 6, 1, B)],
-    "a number twice": [op("acquire", 0, 2, 1), op("acquire", 5, 6, 1, B)],
-    "a number twice by one": [op("acquire", 0, 2, 1), op("acquire", 5, 6, 1)],
+    "a token that falls": [op("acquire", 0, 2, 2), op("acquire", 5, 6, 1, B)],
+    "a token twice": [op("acquire", 0, 2, 1), op("acquire", 5, 6, 1, B)],
+    "a token twice by one": [op("acquire", 0, 2, 1), op("acquire", 5, 6, 1)],
     "renewed by one that never had it": [op("acquire", 0, 2, 1), op("renew", 3, 4, 1, B)],
     "renewed before it was held": [op("renew", 0, 1, 1), op("acquire", 2, 3, 1)],
-    "renewed under another's number": [
+    "renewed under another's token": [
         op("acquire", 0, 2, 1),
         op("acquire", 3, 4, 2, B),
         op("renew", 5, 6, 2),
@@ -125,13 +127,13 @@
 
 
 @pytest.mark.parametrize("name", IN_ORDER)
-def test_a_register_that_could_be(name):
-    assert register.wrong(IN_ORDER[name]) == []
+def test_a_linearizable_register(name):
+    assert register.violations(IN_ORDER[name]) == []
 
 
 @pytest.mark.parametrize("name", OUT_OF_ORDER)
-def test_a_register_that_could_not_be(name):
-    assert register.wrong(OUT_OF_ORDER[name]) != []
+def test_a_register_that_is_not_linearizable(name):
+    assert register.violations(OUT_OF_ORDER[name]) != []
 
 
 def test_there_are_wrong_histories_enough():
@@ -147,9 +149,9 @@
         rows += [op("renew", at + 6 + turn, at + 12 + turn, number, holder) for turn in range(9)]
         at += 30
     began = time.monotonic()
-    assert register.wrong(rows) == []
+    assert register.violations(rows) == []
     rows.append(op("renew", at, at + 1, 1000, A))
-    assert register.wrong(rows) != []
+    assert register.violations(rows) != []
     assert time.monotonic() - began < 60
 
 
@@ -231,13 +233,13 @@
 
 
 @pytest.mark.parametrize("name", READ_RIGHT)
-def test_reads_that_are_as_asked_are_let_be(name):
-    assert reads.wrong(READ_RIGHT[name]) == []
+def test_reads_that_are_as_fresh_as_asked_pass(name):
+    assert reads.violations(READ_RIGHT[name]) == []
 
 
 @pytest.mark.parametrize("name", READ_WRONG)
 def test_reads_that_are_not_are_found(name):
-    assert len(reads.wrong(READ_WRONG[name])) >= 1
+    assert len(reads.violations(READ_WRONG[name])) >= 1
 
 
 def warm(begin, number, serial, task="t"):
@@ -248,17 +250,17 @@
 TAKEN = [order(0, 1, 1), order(50, 2, 1, B)]
 WARM_WRONG = {
     "never taken": [*TAKEN, warm(10, 1, 2)],
-    "after another was followed": [*TAKEN, warm(60, 1, 1)],
+    "after a successor acted": [*TAKEN, warm(60, 1, 1)],
     "too many at once": [*TAKEN, *(warm(at, 1, 1) for at in range(10, 45))],
     "too many in a while": [order(0, 1, 1), *(warm(at * 1000, 1, 1) for at in range(1, 100))],
 }
 
 
-def test_warming_by_number_and_within_the_budget_is_let_be():
+def test_prefetches_by_token_and_within_the_budget_pass():
     rows = [*TAKEN, warm(10, 1, 1), warm(11, 1, 1), warm(60, 2, 1)]
-    assert warms.wrong(rows, cost=1.0, budget=1.0, saves=2.0) == []
+    assert prefetches.violations(rows, cost=1.0, budget=1.0, saves=2.0) == []
 
 
 @pytest.mark.parametrize("name", WARM_WRONG)
-def test_warming_past_number_or_budget_is_found(name):
-    assert warms.wrong(WARM_WRONG[name], cost=1.0, budget=1.0, saves=2.0)
+def test_prefetches_past_token_or_budget_are_found(name):
+    assert prefetches.violations(WARM_WRONG[name], cost=1.0, budget=1.0, saves=2.0)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import fail, succeed
 from twisted.internet.task import Clock
 
-from tests.histories import deeds, register
+from tests.histories import operations, register
 from vanerelay.fleet.failure_detector import Member, MemberState
 from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.interface import SECOND
@@ -60,7 +60,11 @@
 
 
 def violations(simulation):
-    return [*deeds.wrong(simulation.rows), *register.wrong(simulation.rows), *simulation.violations]
+    return [
+        *operations.violations(simulation.rows),
+        *register.violations(simulation.rows),
+        *simulation.violations,
+    ]
 
 
 @pytest.mark.parametrize("first", range(0, SEEDS * EACH, EACH))
@@ -186,12 +190,12 @@
     setting = SimulationSettings(receivers_refuse=False)
     for seed in range(6):
         cuts = [Fault("cut", f"m{n}", 1.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5)]
-        assert deeds.wrong(run_schedule(seed, cuts, setting).rows) == []
+        assert operations.violations(run_schedule(seed, cuts, setting).rows) == []
     frozen = [Fault("freeze", f"m{n}", 1.0 + 2.9 * n + 0.001, 2.6) for n in (1, 2, 3, 4, 5)]
     # With this seed a process freezes just between check and operation.
     unprotected, protected = run_schedule(7, frozen, setting).rows, run_schedule(7, frozen).rows
-    assert deeds.beyond(unprotected) and deeds.wrong(unprotected)
-    assert deeds.beyond(protected) and deeds.wrong(protected) == []
+    assert operations.outdated(unprotected) and operations.violations(unprotected)
+    assert operations.outdated(protected) and operations.violations(protected) == []
 
 
 # Voters.
--- a/tests/test_plays.py
+++ b/tests/test_plays.py
@@ -15,7 +15,7 @@
 
 from bench import releases
 from tests.helpers import ROOT
-from tests.histories import deeds, reads, register, warms
+from tests.histories import operations, prefetches, reads, register
 from vanerelay.history import read
 from vanerelay.interface import SECOND
 
@@ -117,7 +117,7 @@
 def test_nobody_acts_beside_a_holder_in_what_all_parties_wrote(plays, name):
     folder = plays[name].result()[1]
     rows = [row for path in (folder / "history").glob("*.jsonl") for row in read(path)]
-    assert deeds.wrong(rows) == [] and register.wrong(rows) == []
+    assert operations.violations(rows) == [] and register.violations(rows) == []
     taken = [row for row in rows if row["op"] == "order" and row["result"] == "ok"]
     assert len(taken) > 50 and len({row["holder"] for row in taken}) > 1
 
@@ -129,7 +129,7 @@
 def test_no_read_is_older_than_its_hint_asks_by_the_sources_own_record(plays, name):
     folder = plays[name].result()[1]
     rows = [row for path in (folder / "history").glob("*.jsonl") for row in read(path)]
-    assert reads.wrong(rows) == [] and deeds.wrong(rows) == []
+    assert reads.violations(rows) == [] and operations.violations(rows) == []
     judged = [row for row in rows if row["op"] == "query" and row["result"] == "returned" and row["hint"]]
     assert len(judged) > 300 and {row.get("pin") for row in judged} > {"new", "kept", "lost"}
     assert len({row["holder"] for row in rows if row["op"] == "order"}) > 1, "the watch has changed hands"
@@ -138,7 +138,10 @@
 def test_warming_orders_are_obeyed_by_number_and_within_their_budget(plays):
     folder = plays["warm-first"].result()[1]
     rows = [row for path in (folder / "history").glob("*.jsonl") for row in read(path)]
-    assert warms.wrong(rows, cost=0.4, budget=4.0, saves=10.0) == [] and deeds.wrong(rows) == []
+    assert (
+        prefetches.violations(rows, cost=0.4, budget=4.0, saves=10.0) == []
+        and operations.violations(rows) == []
+    )
     done = [row for row in rows if row["op"] == "warm" and row["result"] == "ok"]
     assert len(done) > 30 and len({row["number"] for row in done}) > 1
 
