--- a/tests/histories/register.py
+++ b/tests/histories/register.py
@@ -1,9 +1,9 @@
 """The lease as a register: whether its history is linearizable.
 
 That is: whether there is an order of all operations, each at some moment between its begin and its end, that
-a lease kept in one place could have gone through. Wing and Gong's search (1993) with Lowe's memory of what was
-tried (2017), task by task: leases of different tasks have nothing to do with each other (P-compositionality,
-Horn and Kroening 2015).
+a lease kept in one place could have gone through. Wing and Gong's search (1993) with Lowe's memory of what
+was tried (2017), task by task: leases of different tasks have nothing to do with each other
+(P-compositionality, Horn and Kroening 2015).
 """
 
 from collections import defaultdict
