--- a/vanerelay/net/decisions.py
+++ b/vanerelay/net/decisions.py
@@ -90,9 +90,9 @@
         try:
             method(*arguments, **named)
         except Exception:
-            log.exception("the decision module met a fault")
+            log.exception("error in the decisions")
             if query is not None and not query.ended:
-                self._answers.note_rejection(query, "a fault")
+                self._answers.note_rejection(query, "error in the decisions")
                 self._answers.answer(query, AnswerStatus.FAILED)
             return False
         return True
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -40,8 +40,8 @@
 class RejectionReason(Enum):
     """Why a request is answered without being held. The values stand in the event log."""
 
-    UNUSABLE = "no engine could use it"
-    NO_CAPACITY = "no room for one more"
+    UNUSABLE = "unusable request"
+    NO_CAPACITY = "no capacity"
     UNSATISFIABLE = "its constraint cannot be satisfied"
 
 
@@ -51,7 +51,7 @@
 
     Attributes:
         reference: The reference of the request, as far as it could be read.
-        explanation: What its client is told, where something is.
+        explanation: What its client gets to read; None for nothing.
     """
 
     reason: RejectionReason
@@ -205,7 +205,7 @@
         # Other settings may have come into force while it waited.
         service_class = self._settings.current.rows.get(query.service_class.decode())
         if service_class is None:
-            self._answers.note_rejection(query, "its class is gone")
+            self._answers.note_rejection(query, "service class removed")
             self._answers.answer(query, AnswerStatus.REJECTED)
         else:
             query.arrival.service_class = service_class
@@ -216,7 +216,7 @@
     def reject_constrained(self, query: ClientQuery, retry_after: int) -> None:
         """See `QueryOwner.reject_constrained`."""
         if not query.ended and query.handle is None:
-            self._answers.note_rejection(query, "by who leads it")
+            self._answers.note_rejection(query, "rejected by its constraint")
             retry_after = min(retry_after, self._settings.current.max_retry_after)
             shown = retry_after if retry_after >= request_codec.TICKS_PER_MS else 0
             fields = request_codec.retry_after_fields(shown)
@@ -232,7 +232,7 @@
             return Rejection(RejectionReason.UNUSABLE, reference)
         if not self._has_capacity(len(request.body)):
             return Rejection(RejectionReason.NO_CAPACITY, request.reference)
-        # The client counts from when it sent, which nobody tells: the earliest moment known stands for it.
+        # The client counts from when it sent. That is not known: the earliest moment known stands for it.
         deadline = received_after + request.time_limit
         constraint = self._constrain(request, service_class, deadline)
         if isinstance(constraint, str):
@@ -276,7 +276,7 @@
         status = rejection.status
         self._answers.report_unheld(request_codec.service_class(frame.fields), status)
         if rejection.reason is not RejectionReason.UNSATISFIABLE:
-            self._events.note(Kind.REFUSAL, rejection.reason.value, id=rejection.reference)
+            self._events.note(Kind.REJECTION, rejection.reason.value, id=rejection.reference)
         fields = request_codec.explanation_fields(rejection.explanation)
         client.answer(frame.stream, status, fields, b"")
         unusable = rejection.reason is RejectionReason.UNUSABLE
@@ -297,7 +297,7 @@
         self._deadlines.add(query)
 
     def _arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
-        """The query as the decisions are told of it."""
+        """The query as the decisions get it."""
         request = admitted.request
         return QueryArrival(
             index=query.index,
