--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -79,7 +79,7 @@
         common: float = 0.0,  # noqa: B008
         **seen: Any,
     ) -> dict[str, GatewaySample]:
-        """`seen`: other generator that the new ones tell."""
+        """A second's samples; `common` happens to all alike, `seen` are other figures of the new gateways."""
         return {
             name: GatewaySample(
                 {
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -170,7 +170,7 @@
     return row | {"life": life, "number": number}
 
 
-def query(begin, end, hint, ref=REF, engine="e1", session="", **told):
+def query(begin, end, hint, ref=REF, engine="e1", session="", **answer):
     row = {
         "party": "clients",
         "op": "query",
@@ -180,7 +180,7 @@
         "table": 7,
         "hint": hint,
     }
-    return row | {"result": "returned", "engine": engine, "session": session, **told}
+    return row | {"result": "returned", "engine": engine, "session": session, **answer}
 
 
 LOADS = [load(1000, 1), load(2000, 2), load(3000, 3)]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -146,15 +146,15 @@
 
 
 def test_messages_at_rest_do_not_grow_with_gateways():
-    told = {}
+    rates = {}
     for gateways in (3, 12, 60):
         simulation = Simulation(1, SimulationSettings(gateways=gateways, voters=3, tasks=6))
         simulation.start_all()
         simulation.run([], 10.0)
         before, at = simulation.messages, simulation.clock.seconds()
         simulation.run([], 10.0)
-        told[gateways] = (simulation.messages - before) / (simulation.clock.seconds() - at)
-    assert told[60] <= 1.8 * told[12] and told[60] < 200, told
+        rates[gateways] = (simulation.messages - before) / (simulation.clock.seconds() - at)
+    assert rates[60] <= 1.8 * rates[12] and rates[60] < 200, rates
 
 
 def test_voters_change_by_a_joint_step_while_tasks_are_held():
@@ -206,10 +206,12 @@
     assert voter.prepare(1, 1, "t", Ballot(1, "x", 1)).answer is VoterAnswer.REFUSED
     assert not voter.may_recover(TERMS.max_term - 1) and voter.may_recover(TERMS.max_term)
     grant = Grant(7, "m", 1, SECOND, Ballot(4, "m", 1))
-    told = {"b": VoterState(3, 1, {"t": VoterRecord(Ballot(5, "n", 1), Grant())})}
-    assert not voter.recover(30000, told)  # one of three: it may be the one that did not hear
-    assert not voter.recover(30000, {**told, "a": VoterState(9, 1)})  # itself counts for nothing
-    assert voter.recover(30000, {**told, "c": VoterState(2, 1, {"t": VoterRecord(Ballot(4, "m", 1), grant)})})
+    states = {"b": VoterState(3, 1, {"t": VoterRecord(Ballot(5, "n", 1), Grant())})}
+    assert not voter.recover(30000, states)  # one of three: it may be the one that did not hear
+    assert not voter.recover(30000, {**states, "a": VoterState(9, 1)})  # itself counts for nothing
+    assert voter.recover(
+        30000, {**states, "c": VoterState(2, 1, {"t": VoterRecord(Ballot(4, "m", 1), grant)})}
+    )
     assert voter.era == 3 and voter.records["t"] == VoterRecord(Ballot(5, "n", 1), grant, 30000 + SECOND)
 
 
@@ -412,18 +414,18 @@
 
 
 def test_what_is_put_outlives_the_process_and_a_full_disk_is_reported(tmp_path):
-    disk = DurableStore(DirectReactor(), str(tmp_path))
-    disk._pool.callInThread = lambda call, *values: call(*values)
-    told = []
-    disk.put("a", {"x": b"1", "y": b"2"}).addCallback(told.append)
-    disk.put("a", {"y": None}).addCallback(told.append)
-    disk.put("a", {}).addCallback(told.append)
-    assert told == [None] * 3
-    disk._connection.execute("pragma max_page_count = 3")
+    store = DurableStore(DirectReactor(), str(tmp_path))
+    store._pool.callInThread = lambda call, *values: call(*values)
+    results = []
+    store.put("a", {"x": b"1", "y": b"2"}).addCallback(results.append)
+    store.put("a", {"y": None}).addCallback(results.append)
+    store.put("a", {}).addCallback(results.append)
+    assert results == [None] * 3
+    store._connection.execute("pragma max_page_count = 3")
     failed = []
-    disk.put("a", {"z": b"0" * 100_000}).addErrback(lambda fault: failed.append(fault.value))
-    assert isinstance(failed[0], StoreError) and disk.load("a") == {"x": b"1"}
-    disk.close()
+    store.put("a", {"z": b"0" * 100_000}).addErrback(lambda fault: failed.append(fault.value))
+    assert isinstance(failed[0], StoreError) and store.load("a") == {"x": b"1"}
+    store.close()
     again = DurableStore(DirectReactor(), str(tmp_path))
     assert again.load("a") == {"x": b"1"} and again.load("b") == {}
     again.close()
@@ -454,17 +456,17 @@
 
 
 def test_what_a_full_disk_did_not_store_is_stored_before_anything_else_is_answered():
-    disk = FailingStore()
-    voting = VoterService(Clock(), "a", TERMS, THREE, disk, lambda: 0, None)
+    store = FailingStore()
+    voting = VoterService(Clock(), "a", TERMS, THREE, store, lambda: 0, None)
     ask = messages.VoteRequest(1, [("t", Ballot(1, "x", 1))])
-    disk.full, refused, told = True, [], []
+    store.full, refused, responses = True, [], []
     voting.answer(ask).addErrback(lambda fault: refused.append(fault.value))
-    assert isinstance(refused[0], RequestRefusedError) and disk.records == {} and voting.reason == "full"
-    disk.full = False
-    voting.answer(messages.VoteRequest(1, [("u", Ballot(1, "x", 1))])).addCallback(told.append)
+    assert isinstance(refused[0], RequestRefusedError) and store.records == {} and voting.reason == "full"
+    store.full = False
+    voting.answer(messages.VoteRequest(1, [("u", Ballot(1, "x", 1))])).addCallback(responses.append)
     assert (
-        set(disk.records) == {"t", "u"}
-        and told[0].prepares[0].answer is VoterAnswer.GRANTED
+        set(store.records) == {"t", "u"}
+        and responses[0].prepares[0].answer is VoterAnswer.GRANTED
         and voting.reason == ""
     )
 
@@ -515,6 +517,6 @@
 def test_a_faulty_block_is_reported_in_one_line(tmp_path, change):
     old, new = change.split("|")
     assert old in GOOD
-    with pytest.raises(OperatorConfigError) as told:
+    with pytest.raises(OperatorConfigError) as error:
         filled(tmp_path, GOOD.replace(old, new))
-    assert BAD[change] in str(told.value) and "\n" not in str(told.value)
+    assert BAD[change] in str(error.value) and "\n" not in str(error.value)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -102,14 +102,14 @@
 
 
 @pytest.mark.parametrize(
-    "loss, other, word, says",
+    "loss, other, assessment, says",
     [
         (Loss(), {"deaths": 1}, Assessment.WORSE, "ended by themselves"),
         (Loss(), {"memory": 0.9}, Assessment.WORSE, "memory"),
         (Loss(late=0.3), {"unreachable_engines": 3}, Assessment.WAIT, "reach"),
     ],
 )
-def test_processes_and_links(loss, other, word, says):
+def test_processes_and_links(loss, other, assessment, says):
     gateways, analysis = generator_of(2), CanaryAnalysis({"look": Guard()}, AnalysisTerms(settle_time=2))
     new, old = gateways.names[:2], gateways.names[2:]
     analysis.add_baseline_slice(gateways.second())
@@ -118,7 +118,7 @@
     for number in range(3, 40):
         analysis.add_stage_slice(number, gateways.second(new, loss, **other), new, old)
     verdict = analysis.verdict(new)
-    assert verdict.assessment is word and any(says in why for why in verdict.reasons), verdict
+    assert verdict.assessment is assessment and any(says in reason for reason in verdict.reasons), verdict
 
 
 def test_a_release_that_crowds_the_others_out_is_found():
@@ -266,8 +266,8 @@
     return events
 
 
-def verdict(word):
-    return lambda machine: Verdict(word, ("why",))
+def verdict(assessment):
+    return lambda machine: Verdict(assessment, ("why",))
 
 
 def test_a_good_change_goes_through_all_stages():
--- a/vanerelay/fleet/commands.py
+++ b/vanerelay/fleet/commands.py
@@ -192,7 +192,7 @@
             row.name: row.address for view in views.values() for row in view.rows if _is_reachable(row)
         }
         requests = [
-            node.call(addresses[name], lease_messages.KIND_STATUS, b"", REPLY_TIMEOUT_S)
+            node.call(addresses[name], lease_messages.STATUS_KIND, b"", REPLY_TIMEOUT_S)
             for name in sorted(addresses)
         ]
 
--- a/vanerelay/leases/fencing.py
+++ b/vanerelay/leases/fencing.py
@@ -8,8 +8,6 @@
 
 from __future__ import annotations
 
-from collections import OrderedDict
-from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from vanerelay.leases.claim import Claim
@@ -113,8 +111,8 @@
 class FencingGate:
     """A receiver's side: refuses operations of a holder that has a successor, late ones and repeated ones."""
 
-    def __init__(self, accepted: Mapping[str, AcceptedOperation] | None = None) -> None:
-        self._accepted: OrderedDict[str, AcceptedOperation] = OrderedDict(accepted or {})
+    def __init__(self) -> None:
+        self._accepted = dict[str, AcceptedOperation]()  # by task
 
     def refusal(self, task: str, token: int, serial: int, holder: str) -> str | None:
         """Why an operation is refused.
@@ -148,8 +146,3 @@
         """The highest token that was accepted for a task; 0 where none was."""
         known = self._accepted.get(task)
         return known.token if known is not None else 0
-
-    @property
-    def accepted(self) -> Mapping[str, AcceptedOperation]:
-        """The last accepted operation of each task."""
-        return self._accepted
--- a/vanerelay/leases/messages.py
+++ b/vanerelay/leases/messages.py
@@ -12,9 +12,9 @@
 from vanerelay.leases.voter import Ballot, Grant, Reply, VoterAnswer, VoterMemory, VoterRecord
 
 __all__ = [
-    "KIND_RELEASED",
-    "KIND_STATUS",
-    "KIND_VOTE",
+    "RELEASED_KIND",
+    "STATUS_KIND",
+    "VOTE_KIND",
     "MAX_MESSAGE_BYTES",
     "MAX_TASKS_PER_MESSAGE",
     "LeasesStatus",
@@ -27,11 +27,11 @@
     "encode",
 ]
 
-KIND_VOTE = "lease"
+VOTE_KIND = "lease"
 """A `VoteRequest` to a voter, answered by a `VoteResponse`."""
-KIND_RELEASED = "lease-free"
+RELEASED_KIND = "lease-free"
 """A notice to the task's preferred gateway that its lease was given back: the task's name."""
-KIND_STATUS = "leases"
+STATUS_KIND = "leases"
 """An empty request, answered by a `LeasesStatus`."""
 
 MAX_TASKS_PER_MESSAGE = 200
--- a/vanerelay/leases/service.py
+++ b/vanerelay/leases/service.py
@@ -98,9 +98,9 @@
             )
             self._voters.local = self.voter_service
         fleet.rpc.handlers |= {
-            messages.KIND_VOTE: self._answer_vote,
-            messages.KIND_RELEASED: self._answer_released,
-            messages.KIND_STATUS: self._answer_status,
+            messages.VOTE_KIND: self._answer_vote,
+            messages.RELEASED_KIND: self._answer_released,
+            messages.STATUS_KIND: self._answer_status,
         }
 
     @property
@@ -326,7 +326,7 @@
             if preferred not in ("", self.name) and self.config.voters.is_quorum(released):
                 released.clear()
                 body = task.encode()
-                notice = self._fleet.call(preferred, messages.KIND_RELEASED, body, RELEASE_NOTICE_TIMEOUT_S)
+                notice = self._fleet.call(preferred, messages.RELEASED_KIND, body, RELEASE_NOTICE_TIMEOUT_S)
                 notice.addErrback(ignore_no_reply)
 
         return replied
--- a/vanerelay/leases/voter_client.py
+++ b/vanerelay/leases/voter_client.py
@@ -56,7 +56,7 @@
             except RequestRefusedError as error:
                 return fail(error)
         body = messages.encode(request)
-        reply = self._fleet.call(voter, messages.KIND_VOTE, body, self._timeout_s)
+        reply = self._fleet.call(voter, messages.VOTE_KIND, body, self._timeout_s)
         return reply.addCallback(_read_response)
 
     def request_all(self, request: messages.VoteRequest, handle: ResponseHandler) -> None:
--- a/vanerelay/rollout/agent.py
+++ b/vanerelay/rollout/agent.py
@@ -54,8 +54,8 @@
         if self.fence.text:
             fleet.announce(orders=self.fence.text)
         fleet.rpc.handlers |= {
-            messages.KIND_STATE: self._answer_state,
-            messages.KIND_ORDER: self._answer_order,
+            messages.STATE_KIND: self._answer_state,
+            messages.ORDER_KIND: self._answer_order,
         }
         self._add_engine_share()
 
--- a/vanerelay/rollout/controller.py
+++ b/vanerelay/rollout/controller.py
@@ -273,7 +273,7 @@
         DeferredList(requests, consumeErrors=True).addCallback(replied)
 
     def _send_claim(self, address: str, claim: bytes) -> Deferred[bytes]:
-        return self._node.call(address, messages.KIND_ORDER, claim, CLAIM_TIMEOUT_S)
+        return self._node.call(address, messages.ORDER_KIND, claim, CLAIM_TIMEOUT_S)
 
     # Orders.
 
@@ -313,7 +313,7 @@
         address = gateway.supervisor if restarts else gateway.address
         timeout_s = SUPERVISOR_ORDER_TIMEOUT_S if restarts else ORDER_TIMEOUT_S
         reply: Deferred[Any] = self._node.call(
-            address, messages.KIND_ORDER, messages.encode(order), timeout_s
+            address, messages.ORDER_KIND, messages.encode(order), timeout_s
         )
 
         def no_reply(failure: Failure) -> None:
--- a/vanerelay/rollout/gateway_observer.py
+++ b/vanerelay/rollout/gateway_observer.py
@@ -89,7 +89,7 @@
         reply.addBoth(finished)
 
     def _request_state(self, address: str, body: bytes) -> Deferred[bytes]:
-        return self._node.call(address, messages.KIND_STATE, body, STATE_TIMEOUT_S)
+        return self._node.call(address, messages.STATE_KIND, body, STATE_TIMEOUT_S)
 
     def _state_received(self, name: str, body: bytes) -> None:
         state, gateway, now = messages.decode(body, GatewayState), self._gateways[name], self._clock.now()
--- a/vanerelay/rollout/messages.py
+++ b/vanerelay/rollout/messages.py
@@ -14,8 +14,8 @@
 from vanerelay.rollout.canary_metrics import ClassCounts
 
 __all__ = [
-    "KIND_ORDER",
-    "KIND_STATE",
+    "ORDER_KIND",
+    "STATE_KIND",
     "MAX_MESSAGE_BYTES",
     "ClassMetrics",
     "GatewayMetrics",
@@ -29,9 +29,9 @@
     "encode",
 ]
 
-KIND_ORDER = "order"
+ORDER_KIND = "order"
 """An `Order`, answered by an `OrderReply`."""
-KIND_STATE = "state"
+STATE_KIND = "state"
 """A `StateRequest`, or nothing, answered by a `GatewayState`."""
 
 
--- a/vanerelay/rollout/supervisor.py
+++ b/vanerelay/rollout/supervisor.py
@@ -180,8 +180,8 @@
         self._socket = _listen(host, int(port))
         self._socket.setblocking(False)  # of the socket itself, whoever holds it: or accepting would wait
         self._node.handlers |= {
-            messages.KIND_ORDER: self._answer_order,
-            messages.KIND_STATE: self._answer_state,
+            messages.ORDER_KIND: self._answer_order,
+            messages.STATE_KIND: self._answer_state,
         }
         self._stopped: Deferred[None] = Deferred()
 
