--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -16,7 +16,7 @@
 from types import SimpleNamespace
 
 from bench import plays
-from tests.histories import deeds, reads
+from tests.histories import operations, reads
 from vanerelay.extension import QueryInfo
 from vanerelay.freshness import dissemination, messages
 from vanerelay.freshness.config import FreshnessConfig, WatchConfig
@@ -102,13 +102,13 @@
         for seed, done in zip(
             seeds, pool.map(lambda seed: moment(seed, gateways, bool(hints)), seeds), strict=True
         ):
-            violations = reads.wrong(done.rows)
+            violations = reads.violations(done.rows)
             hinted_reads += sum(
                 row["op"] == "query" and row["result"] == "returned" and bool(row["hint"])
                 for row in done.rows
             )
             stale_runs += bool(violations)
-            found = [*(violations if hints else ()), *deeds.wrong(done.rows)]
+            found = [*(violations if hints else ()), *operations.violations(done.rows)]
             if found or done.findings:
                 failed += 1
                 print(f"seed {seed}: {found[:3]} {done.findings[:3]}", flush=True)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -13,6 +13,7 @@
 from vanerelay.interface import NEVER_RAN, EngineState, Outcome, ProgressKind
 from vanerelay.net import discovery_codec, frames, resp_codec
 from vanerelay.net.buffers import BLOCK, Gather, Pool
+from vanerelay.net.frames import FrameKind
 from vanerelay.net.statements import table_group, table_groups
 
 
@@ -41,7 +42,7 @@
 
 
 def test_a_dropped_gather_gives_its_blocks_back():
-    pool = Pool(kept=1)
+    pool = Pool(max_idle=1)
     held = Gather(pool)
     held.feed(bytes(3 * BLOCK))
     held.keep()
@@ -60,7 +61,7 @@
 
 
 def request(stream, body=b"SELECT 1", **fields):
-    return frames.frame(frames.REQUEST, stream, call(stream, body, **fields)[0])
+    return frames.frame(FrameKind.REQUEST, stream, call(stream, body, **fields)[0])
 
 
 @SIZES
@@ -68,8 +69,8 @@
     reader, big = frames.FrameReader(Pool()), b"x" * (3 * BLOCK)
     data = (
         request(1, ref="a1", allow="1500")
-        + frames.frame(frames.LEAVE, 1)
-        + frames.frame(frames.READY, 0, b"\0")
+        + frames.frame(FrameKind.CANCEL, 1)
+        + frames.frame(FrameKind.READINESS_CHECK, 0, b"\0")
         + request(9, big)
     )
     if size:  # byte by byte, but for the long body
@@ -78,10 +79,10 @@
         tail = []
     got = [f for piece in pieces(data, size) + tail for f in reader.feed(piece)]
     assert got == [
-        frames.Frame(frames.REQUEST, 1, {"ref": "a1", "allow": "1500"}, b"SELECT 1"),
-        frames.Frame(frames.LEAVE, 1, {}, b""),
-        frames.Frame(frames.READY, 0, {}, b""),
-        frames.Frame(frames.REQUEST, 9, {}, big),
+        frames.Frame(FrameKind.REQUEST, 1, {"ref": "a1", "allow": "1500"}, b"SELECT 1"),
+        frames.Frame(FrameKind.CANCEL, 1, {}, b""),
+        frames.Frame(FrameKind.READINESS_CHECK, 0, {}, b""),
+        frames.Frame(FrameKind.REQUEST, 9, {}, big),
     ]
 
 
@@ -119,7 +120,7 @@
 
 
 def test_an_answer_is_laid_out_as_the_page_says():
-    assert frames.answer(frames.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
+    assert frames.answer(FrameKind.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
         b"\0\0\0\x16\4\0\0\0\7\1\1\x08cooldown\0\x03250b"
     )
 
@@ -133,17 +134,17 @@
 
 def exchange(most=4, may_cancel=True):
     talk = resp_codec.Exchange(Pool(), most, may_cancel)
-    talk.serve(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
+    talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
     talk.out.clear()
     return talk
 
 
 def test_a_dispatch_is_laid_out_as_the_page_says():
     talk = resp_codec.Exchange(Pool(), 4, True)
-    talk.serve(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
-    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
+    talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
     assert talk.out[0] == b"*4\r\n$5\r\nserve\r\n$1\r\nq\r\n$25\r\nsort=report,patience=1500\r\n$1\r\nS\r\n"
-    talk.serve(b"s", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 2))
+    talk.send_query(b"s", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 2))
     assert b"sort=report,patience=1500,pool=96\r\n" in talk.out[1]
     assert b"sort=report,patience=1500,pool=96,band=2\r\n" in talk.out[2]
 
@@ -250,7 +251,7 @@
     assert talk.give_up(b"q") is AttemptStage.WRITTEN
     assert talk.out == ([resp_codec.command(b"cancel", b"q")] if may_cancel else [])
     assert talk.takes(b"q") == may_cancel and talk.takes(b"r")
-    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     assert talk.takes(b"s") == may_cancel  # one that the engine may still run counts among the most
     assert list(talk.feed(said(b"q", b"OK", "total=1", b"x"))) == [] and b"r" in talk.open
     assert talk.takes(b"q") and talk.takes(b"s")
@@ -278,7 +279,7 @@
 
 def test_an_unreadable_answer_ends_all_that_is_open_and_the_connection_takes_no_more():
     talk = exchange()
-    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     got = list(talk.feed(b"?"))
     assert [(i, e.cause) for i, e in got] == [(b"q", EndCause.MALFORMED), (b"r", EndCause.MALFORMED)]
     assert talk.broken and not talk.takes(b"s") and list(talk.feed(said(b"q", b"ERR"))) == []
@@ -293,7 +294,7 @@
         assert list(talk.feed(piece)) == [] and talk.awaits is not None
         seen.add(talk.awaits)
     assert len(seen) == 2  # going on with the pages is another thing to await than the first message
-    assert [e.stage for _, e in talk.spoil("stopped")] == [
+    assert [e.stage for _, e in talk.break_off("stopped")] == [
         AttemptStage.PARTIAL_ANSWER
     ] and talk.awaits is None
     assert list(talk.feed(PAGE)) == [] and not talk.takes(b"r")
@@ -301,7 +302,7 @@
 
 def test_what_is_lost_tells_how_far_it_had_come():
     talk = exchange()
-    talk.serve(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     assert list(talk.feed(PAGE)) == []
     assert talk.lost() == {b"q": AttemptStage.PARTIAL_ANSWER, b"r": AttemptStage.WRITTEN} and not talk.open
 
@@ -467,9 +468,9 @@
     ],
 )
 def test_events_are_applied_once_and_a_gap_is_noticed(held, numbers, applied, gap):
-    numbering = discovery_codec.Numbering()
+    numbering = discovery_codec.EventNumbers()
     numbering.held = held
-    new, missing = numbering.fresh(
+    new, missing = numbering.take_new(
         [EngineListChange(abs(n), n < 0, []) for n in numbers]
     )  # below 0: a whole list
     assert ([change.number for change in new], missing) == (applied, gap)
@@ -530,7 +531,7 @@
 @pytest.mark.parametrize("part", ["(from ", "from ", "'a''", "/*", "a.", "((", "join(", "x_1.", '"a".'])
 def test_the_longest_statement_is_gone_through_once(part):
     """At each FROM the lexer looked back for its bracket: the longest frame held the loop for minutes."""
-    assert table_groups(part * (frames.LONGEST // len(part))) in ([], [1])
+    assert table_groups(part * (frames.MAX_LENGTH // len(part))) in ([], [1])
 
 
 # Time.
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -1,7 +1,7 @@
 """Every decision about a query: what runs, where, with how much memory, and what is given up.
 
 `Gateway.admit` is the ordinary path. The concerns it goes by stand in modules of their own beside this one.
-All of it is pure: the transport tells the time and carries out what was decided.
+All of it is pure: the transport has the time and carries out what was decided.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from vanerelay.policy.attempt import Attempt, AttemptTable
 from vanerelay.policy.attempt_supervisor import AttemptSupervisor
 from vanerelay.policy.attempt_timeout import AttemptTimeouts
-from vanerelay.policy.capacity_share import CapacityShare
+from vanerelay.policy.capacity_slice import CapacitySlice
 from vanerelay.policy.engine import Engine
 from vanerelay.policy.engine_monitor import EngineMonitor
 from vanerelay.policy.engine_registry import EngineRegistry
@@ -51,10 +51,10 @@
 HIGH_PRIORITY = 2
 
 RETRY_AFTER = SECOND
-"""What clients of rejected queries are asked to wait, where they are told a time."""
+"""The Retry-After of rejected queries, where one may be sent."""
 
 LIST_RETRY_INTERVAL = SECOND
-"""Time until the engine list is asked for again."""
+"""Time until the engine list is requested again."""
 
 
 class Gateway:
@@ -89,7 +89,7 @@
         """What knows the engines, and what of them is ours."""
         transport, capabilities, position = self._transport, self._capabilities, settings.position
         self._housekeeping = Housekeeping(transport.now, position.gateway_count)
-        self._capacity = CapacityShare(transport.now, position, capabilities.may_gossip)
+        self._capacity = CapacitySlice(transport.now, position, capabilities.may_gossip)
         self._monitor = EngineMonitor(transport, capabilities.polls_load)
         self._engines = EngineRegistry(transport, settings, self._monitor)
         self._fitting = Fitting(
@@ -274,7 +274,7 @@
         self._supervisor.progressed(query, number, kind, value)
 
     def client_left(self, query: Query) -> None:
-        """The client wants no answer any more: what runs is cancelled, as it takes the room of others."""
+        """The client wants no answer any more: what runs is cancelled, as it takes the capacity of others."""
         query.is_ended = True
         self._retry_budget.credit_withdrawn(self._transport.now, not query.arrival.earns_no_retries)
         self._supervisor.cancel_all(query)
@@ -288,7 +288,7 @@
         self._queue.serve(self.admit)
 
     def engine_list_failed(self) -> None:
-        """The engine list could not be had: it is asked for again."""
+        """The engine list could not be had: it is requested again."""
         self._transport.call_later(LIST_RETRY_INTERVAL, self._transport.subscribe_to_engine_list)
 
     def probe_completed(self, index: int, outcome: Outcome, report: LoadReport | None) -> None:
@@ -300,10 +300,10 @@
 
     def receive_from_peer(self, gateway: int, message: bytes) -> None:
         """A datagram came from another gateway."""
-        self._capacity.peer_told(self._transport.now, gateway, message)
+        self._capacity.peer_reported(self._transport.now, gateway, message)
 
     def set_proxy_share(self, share: float) -> None:
-        """Leaves a part of our share, and of our budgets for engines that warm up, to proxies."""
+        """Leaves a part of our slice, and of our budgets for engines that warm up, to proxies."""
         self._capacity.unproxied = 1.0 - share
 
     def update_proxy_load(self, engine: int, running: float, ended: float, errors: float) -> None:
@@ -326,7 +326,7 @@
             self._transport.call_later(HOUSEKEEPING_INTERVAL, self._keep_house)
 
     def _review(self, now: int) -> None:
-        """Looks over the engines, the attempts, the queue and our share."""
+        """Looks over the engines, the attempts, the queue and our slice."""
         is_stalled, is_slow_review = self._housekeeping.is_stalled, self._housekeeping.is_slow_review_due
         if is_slow_review:
             self._monitor.update_baselines(now, self._engines.baseline())
@@ -397,4 +397,4 @@
     def engine_statuses(self) -> list[EngineStatus]:
         """How each listed engine is seen."""
         now = self._transport.now
-        return [engine.status(now, self._capacity.share) for engine in self._engines.listed()]
+        return [engine.status(now, self._capacity.slice) for engine in self._engines.listed()]
