--- a/vanerelay/policy/attempt_timeout.py
+++ b/vanerelay/policy/attempt_timeout.py
@@ -9,7 +9,7 @@
 from vanerelay.policy.housekeeping import HOUSEKEEPING_INTERVAL
 from vanerelay.policy.query import Query
 from vanerelay.policy.retry_budget import RetryBudget
-from vanerelay.policy.runtime_estimator import RuntimeEstimator
+from vanerelay.policy.runtime_estimator import QUICK_RUN_DIVISOR, RuntimeEstimator
 
 EARLY_END = 0.7
 """Part of the time to the latency objective after which an early timeout ends, to leave time for a retry."""
@@ -58,7 +58,7 @@
             conclusive = expected_duration * math.exp(spread * LOSSY_SURE_SPREADS)
             early = max(early, conclusive)
             earns_until = left if query.service_class.late_value else query.objective_at - now
-            is_last = is_last or early + expected_duration / 2 > earns_until
+            is_last = is_last or early + expected_duration / QUICK_RUN_DIVISOR > earns_until
         else:
             conclusive = expected_duration * max(SURE_RUNS, math.exp(spread * SURE_SPREADS))
         if is_last or conclusive > early:
--- a/vanerelay/policy/fitting.py
+++ b/vanerelay/policy/fitting.py
@@ -17,7 +17,10 @@
 """Largest grant as a part of an engine's memory, so that three fit."""
 
 MAX_HEAD_WAIT = 2 * SECOND
-"""A query that was held for longer, or for half of its time, goes with a reduced grant."""
+"""A query that was held for longer goes with a reduced grant: it stands before all others."""
+
+HEAD_WAIT_DIVISOR = 2
+"""So does one that was held for its time to the deadline over this."""
 
 MIN_REDUCED_GRANT = 0.5
 """Least part of a grant that it is reduced to. Without it, the queue emptied into full engines."""
@@ -82,7 +85,7 @@
         self, now: int, query: Query, engines: Sequence[Engine], shares: Sequence[float], grant: Grant
     ) -> Fit | None:
         """A query held for long goes to the engine with most free memory, its grant reduced to that."""
-        max_wait = min(MAX_HEAD_WAIT, (query.arrival.deadline - query.submitted_at) // 2)
+        max_wait = min(MAX_HEAD_WAIT, (query.arrival.deadline - query.submitted_at) // HEAD_WAIT_DIVISOR)
         if now - query.held_since < max_wait:
             return None
         share, engine = max(
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import math
 import random
 from collections.abc import Sequence
 
@@ -375,7 +374,7 @@
 
     def typical_grant(self, service_class: int) -> float:
         """The grant of a query that nothing is estimated of; 0 where nothing is known."""
-        return self._memory.size(self._transport.now, service_class, -1, 0.0, math.inf)
+        return self._memory.typical_size(self._transport.now, service_class)
 
     def shed_share(self, service_class: int) -> float:
         """The part of a class's queries that is shed now; 0 where the class is admitted."""
--- a/vanerelay/policy/memory_estimator.py
+++ b/vanerelay/policy/memory_estimator.py
@@ -31,6 +31,9 @@
 SHAPE_RUNS = 20
 """Runs that a shape's offset averages. With the last peak alone half of all grants fell short."""
 
+NO_TABLE_GROUP = -1
+"""Stands for a query of which not even the table group is known."""
+
 SHAPE_PRIOR_RUNS = 2
 """Runs' worth of weight on no offset at all, when a shape is new."""
 
@@ -64,6 +67,10 @@
         steps = math.ceil(wanted / BUCKET_STEP - ROUNDING_SLACK)
         return min(cap, math.exp(BUCKET_STEP * steps))
 
+    def typical_size(self, now: int, service_class: int) -> float:
+        """The grant of a query that nothing is known of but its class; 0 where nothing was learned."""
+        return self.size(now, service_class, NO_TABLE_GROUP, 0.0, math.inf)
+
     def reserved(
         self, now: int, service_class: int, table_group: int, estimated: float, grant: float
     ) -> float:
--- a/vanerelay/policy/placement.py
+++ b/vanerelay/policy/placement.py
@@ -29,6 +29,12 @@
 CACHED_FACTOR = 16.0
 """Most that an engine is preferred for a table group that it is likely to have cached."""
 
+HASH_RANGE = 2**64
+"""Number of values of a stable hash."""
+
+MIN_CACHE_DISTANCE = 1e-9
+"""Keeps the preference for a cached table group finite."""
+
 
 class Placement:
     """A weighted draw: engines that are less loaded, healthier, nearer or likely to have the tables cached.
@@ -68,8 +74,8 @@
         table_group = query.arrival.table_group
         if not table_group or query.service_class.is_data_load:
             return 1.0
-        draw = stable_hash(engine.entry.name, table_group) / 2**64
-        return min(CACHED_FACTOR, 1 / max(1e-9, 1 - draw))
+        draw = stable_hash(engine.entry.name, table_group) / HASH_RANGE
+        return min(CACHED_FACTOR, 1 / max(MIN_CACHE_DISTANCE, 1 - draw))
 
     def _side_factor(self, engine: Engine, query: Query) -> float:
         """A query behind a data load stands still: every other engine by name is for data loads."""
--- a/vanerelay/policy/retry_policy.py
+++ b/vanerelay/policy/retry_policy.py
@@ -6,10 +6,7 @@
 from vanerelay.policy.engine_registry import EngineRegistry
 from vanerelay.policy.query import Query
 from vanerelay.policy.retry_budget import RetryBudget
-from vanerelay.policy.runtime_estimator import RuntimeEstimator
-
-LEAST_RUN = 2
-"""A retry may earn something where its expected duration over this still fits: it may be quicker."""
+from vanerelay.policy.runtime_estimator import QUICK_RUN_DIVISOR, RuntimeEstimator
 
 
 class RetryPolicy:
@@ -38,7 +35,7 @@
         return (
             len(query.attempts) < self._capabilities.max_attempts
             and self._budget.allows(now, query.is_low_value)
-            and now + self._runtime.duration_of(now, query) / LEAST_RUN < earns_until
+            and now + self._runtime.duration_of(now, query) / QUICK_RUN_DIVISOR < earns_until
             and now < query.repeatable_until()
             and any(True for _ in self._engines.candidates(now, query.constraints()))
         )
--- a/vanerelay/policy/runtime_estimator.py
+++ b/vanerelay/policy/runtime_estimator.py
@@ -20,6 +20,9 @@
 UNKNOWN_WORK_DIVISOR = 4
 """Work is taken for this part of the latency objective where nothing is estimated or learned."""
 
+QUICK_RUN_DIVISOR = 2
+"""A retry may still earn something where its expected duration over this fits: many runs are quicker."""
+
 LIGHT_QUERY_DIVISOR = 4
 """A query that runs alone in less than its objective over this is light."""
 
