--- a/vanerelay/estimation.py
+++ b/vanerelay/estimation.py
@@ -10,8 +10,7 @@
 from collections.abc import Iterable
 
 REMEMBERED_PAIRS = 200
-"""Pairs that an `EstimateCorrection` averages: enough to smooth runs that spread widely, few enough to follow
-a class whose queries change."""
+"""Pairs that count in an `EstimateCorrection`; older ones fade."""
 
 PRIOR_PAIRS = 2.0
 """Weight of the given estimate itself, in pairs, so that the first few pairs do not overrule it."""
--- a/vanerelay/policy/fitting.py
+++ b/vanerelay/policy/fitting.py
@@ -17,7 +17,7 @@
 """Largest grant as a part of an engine's memory, so that three fit."""
 
 MAX_HEAD_WAIT = 2 * SECOND
-"""A query that was held for longer goes with a reduced grant: it stands before all others."""
+"""A query that was held for longer goes with a reduced grant."""
 
 HEAD_WAIT_DIVISOR = 2
 """So does one that was held for its time to the deadline over this."""
--- a/vanerelay/policy/load_shedding.py
+++ b/vanerelay/policy/load_shedding.py
@@ -13,7 +13,7 @@
 """Further wait, in the same unit, at which `MAX_SHED_SHARE` would be reached or passed."""
 
 MAX_SHED_SHARE = 0.95
-"""Most of the traffic that is shed: the rest shows when the overload ends."""
+"""Most of the traffic that is shed, however long the wait."""
 
 SMOOTHING = 0.0963
 """Part of the way to the wanted share that one step goes, or it swings between all and nothing."""
--- a/vanerelay/policy/memory_estimator.py
+++ b/vanerelay/policy/memory_estimator.py
@@ -16,7 +16,7 @@
 """Least factor of a grant over the expected peak; wider where peaks spread more."""
 
 BUCKET_STEP = math.log(1.12)
-"""Log of the factor between two sizes of grants. Few sizes keep grants comparable between queries."""
+"""Log of the factor between two sizes of grants. Grants are rounded up to such a size."""
 
 ROUNDING_SLACK = 1e-9
 """In steps: a size that is a bucket's, but for rounding, stays in that bucket."""
@@ -26,7 +26,7 @@
 falls short spills."""
 
 SHAPE_LIFETIME = 30 * SECOND
-"""How long a shape counts after its last run. Tables change."""
+"""How long a shape counts after its last run."""
 
 SHAPE_RUNS = 20
 """Runs that a shape's offset averages. With the last peak alone half of all grants fell short."""
--- a/vanerelay/policy/outlier_detection.py
+++ b/vanerelay/policy/outlier_detection.py
@@ -42,7 +42,7 @@
 """Log of how much slower than the usual engine one may run without a sign of trouble."""
 
 MIN_RUN_SLOWDOWN = 0.1
-"""Least slowdown that a run may show: estimates that lie far too high would make it 0."""
+"""Least slowdown that a run counts with, as its log is taken."""
 
 FAULT_EXPONENT = 3
 """The level falls with this power of the part of attempts that do not fail beyond the usual."""
--- a/vanerelay/policy/runtime_estimator.py
+++ b/vanerelay/policy/runtime_estimator.py
@@ -15,13 +15,13 @@
 """Span over which a class's slowdown under load is measured."""
 
 MIN_SLOWDOWN = 1.5
-"""Least factor of an expected duration over the one alone: engines are seldom empty."""
+"""Least factor of an expected duration over the one alone, whatever was observed."""
 
 UNKNOWN_WORK_DIVISOR = 4
 """Work is taken for this part of the latency objective where nothing is estimated or learned."""
 
 QUICK_RUN_DIVISOR = 2
-"""A retry may still earn something where its expected duration over this fits: many runs are quicker."""
+"""A retry counts as able to earn something where its expected duration over this still fits."""
 
 LIGHT_QUERY_DIVISOR = 4
 """A query that runs alone in less than its objective over this is light."""
@@ -49,7 +49,7 @@
         return expected or self._classes[service_class].latency_objective / UNKNOWN_WORK_DIVISOR
 
     def budgeted_work(self, service_class: int, estimated: int) -> float:
-        """The work to charge against budgets: never less than the class's mean, as estimates fall short."""
+        """The work to charge against budgets: never less than the class's mean."""
         expected = self.expected_work(service_class, estimated)
         return max(expected, self._corrections[service_class].mean())
 
--- a/vanerelay/policy/slow_start.py
+++ b/vanerelay/policy/slow_start.py
@@ -13,7 +13,7 @@
 from vanerelay.interface import FleetPosition, SlowStartTerms
 
 BUSY_CORES = 0.85
-"""Part of the cores that work at capacity; the rest waits for disks."""
+"""Part of the cores that are busy at capacity."""
 
 BUDGET_CAUTION = 0.7
 """Part of the budget that is used, as real costs differ from those expected."""
