--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -14,16 +14,16 @@
 from vanerelay.leases.voter import Ballot, Grant, VoterAnswer
 from vanerelay.membership import control_protocol
 from vanerelay.rollout import messages as rollout
-from vanerelay.rollout.canary_analysis import Baseline
-from vanerelay.rollout.stage_machine import Event
+from vanerelay.rollout.canary_baseline import Baseline
+from vanerelay.rollout.events import Event
 from vanerelay.warming import messages as warming
 
 MEMBER = fleet.Row("m1", 1700000000001, 5, 2, "east", "127.0.0.1:7946", "0.2.0-abc", "def", "serving", "7/c")
 FEW = fleet.Row("m2", 3)
 BALLOT = Ballot(4, "m1", 991)
 GRANT = Grant(2**32 + 6, "m1", 991, 30000, BALLOT)
-GROUP = rollout.Group(9, 7.5, 1, 2, 3, 11, [0, 4, 2])
-FIGURES = rollout.Figures({"look": GROUP, "order": rollout.Group()}, 0.25, 12.5, 3, 4.75)
+GROUP = rollout.ClassMetrics(9, 7.5, 1, 2, 3, 11, [0, 4, 2])
+FIGURES = rollout.GatewayMetrics({"look": GROUP, "order": rollout.ClassMetrics()}, 0.25, 12.5, 3, 4.75)
 
 
 def msgpack_samples() -> dict[str, Any]:
@@ -60,9 +60,9 @@
             "m1", ["m1", "m2", "m3"], ["m4"], 2, "knows", 1, [leases.TaskStatus("tidy")], 44, "disk full"
         ),
         "leases.view.least": leases.LeasesStatus("m1"),
-        "freshness.pull": freshness.Pull(3, 5, 70),
-        "freshness.pull.least": freshness.Pull(0),
-        "freshness.news": freshness.News(
+        "freshness.pull": freshness.ShardUpdateRequest(3, 5, 70),
+        "freshness.pull.least": freshness.ShardUpdateRequest(0),
+        "freshness.news": freshness.ShardUpdateMessage(
             5,
             "m1",
             71,
@@ -71,36 +71,36 @@
             [(0, 4, 70, 2, 900, 1), (1, 4, 71, -1, -1, -1)],
             [(0, 33), (1, 44)],
         ),
-        "freshness.news.least": freshness.News(),
-        "freshness.pin-ask": freshness.PinAsk("closing-17", 300000),
-        "freshness.pin-put": freshness.PinPut("closing-17", 300000, "e1", 6, 2, 118),
-        "freshness.pin-put.least": freshness.PinPut("closing-17", 300000, "e1", 6),
-        "freshness.pin-told": freshness.PinTold("e1", 6, 2, 118, True),
-        "freshness.pin-told.least": freshness.PinTold(),
-        "freshness.load-ask": freshness.LoadAsk("00c0ffee"),
-        "freshness.load-put": freshness.LoadPut("00c0ffee", 4, 2, 117),
-        "freshness.load-told": freshness.LoadTold(4, 2, 117),
-        "freshness.load-told.least": freshness.LoadTold(),
-        "warming.ask": warming.Ask(12),
-        "warming.slice": warming.SliceTold(12, 900, b"\x01\x02", b"\x03", [4, 5]),
-        "warming.told": warming.Told(
-            [warming.SliceTold(12, 900, b"\x01\x02", b"\x03", [4, 5])], 13, [(4, "e1", 2500)]
+        "freshness.news.least": freshness.ShardUpdateMessage(),
+        "freshness.pin-ask": freshness.SessionLookupRequest("closing-17", 300000),
+        "freshness.pin-put": freshness.SessionStoreRequest("closing-17", 300000, "e1", 6, 2, 118),
+        "freshness.pin-put.least": freshness.SessionStoreRequest("closing-17", 300000, "e1", 6),
+        "freshness.pin-told": freshness.SessionReply("e1", 6, 2, 118, True),
+        "freshness.pin-told.least": freshness.SessionReply(),
+        "freshness.load-ask": freshness.LoadLookupRequest("00c0ffee"),
+        "freshness.load-put": freshness.LoadStoreRequest("00c0ffee", 4, 2, 117),
+        "freshness.load-told": freshness.LoadReply(4, 2, 117),
+        "freshness.load-told.least": freshness.LoadReply(),
+        "warming.ask": warming.PopularityRequest(12),
+        "warming.slice": warming.SliceMessage(12, 900, b"\x01\x02", b"\x03", [4, 5]),
+        "warming.told": warming.PopularityReply(
+            [warming.SliceMessage(12, 900, b"\x01\x02", b"\x03", [4, 5])], 13, [(4, "e1", 2500)]
         ),
-        "warming.do": warming.Do("warm/east", 7, 3, "m1", 50000, [(4, "e1"), (5, "e2")]),
-        "warming.done": warming.Done(2, 8),
+        "warming.do": warming.PrefetchRequest("warm/east", 7, 3, "m1", 50000, [(4, "e1"), (5, "e2")]),
+        "warming.done": warming.PrefetchReply(2, 8),
         "rollout.order": rollout.Order(7, "change", "settings", b'{"a":1}', 3),
         "rollout.order.least": rollout.Order(7, "change"),
-        "rollout.taken": rollout.Taken(7, False, True, "no room"),
-        "rollout.taken.least": rollout.Taken(7),
-        "rollout.asked": rollout.Asked(False),
-        "rollout.asked.least": rollout.Asked(),
+        "rollout.taken": rollout.OrderReply(7, False, True, "no room"),
+        "rollout.taken.least": rollout.OrderReply(7),
+        "rollout.asked": rollout.StateRequest(False),
+        "rollout.asked.least": rollout.StateRequest(),
         "rollout.group": GROUP,
         "rollout.figures": FIGURES,
-        "rollout.figures.least": rollout.Figures(),
-        "rollout.state": rollout.State(
+        "rollout.figures.least": rollout.GatewayMetrics(),
+        "rollout.state": rollout.GatewayState(
             "m1", "0.2.0-abc", "def", "serving", 1700000000001, 7, 3, 1700000009999, "new", 2.0, FIGURES
         ),
-        "rollout.state.least": rollout.State("m1", "", "", "keeps", 0),
+        "rollout.state.least": rollout.GatewayState("m1", "", "", "keeps", 0),
     }
 
 
--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -20,14 +20,15 @@
 from vanerelay.fleet import config as fleet_parts
 from vanerelay.fleet import rpc
 from vanerelay.fleet.service import FleetService
-from vanerelay.freshness import config as freshness_parts
-from vanerelay.freshness.service import Freshness
+from vanerelay.freshness import config as freshness_config
+from vanerelay.freshness.service import FreshnessService
 from vanerelay.leases import config as lease_parts
 from vanerelay.leases.service import Leases
 from vanerelay.leases.voter import LeaseTerms, Voters
-from vanerelay.rollout.agent import ClassTotals, RolloutAgent
+from vanerelay.rollout.agent import RolloutAgent
 from vanerelay.rollout.agent_store import AgentStore
-from vanerelay.warming import extension as warming_join
+from vanerelay.rollout.class_totals import ClassTotals
+from vanerelay.warming import extension as warming_extension
 
 GOLDEN = json.loads((ROOT / "tests/data/messages.json").read_text())
 MSGPACK = message_samples.msgpack_samples()
@@ -102,10 +103,10 @@
 
 def freshness_kinds() -> set[str]:
     one = fleet()
-    watch = freshness_parts.Watch(("copies", "@ID@"))
+    watch = freshness_config.WatchConfig(("copies", "@ID@"))
     leases = leases_of(one)
     before = set(one.rpc.handlers)
-    Freshness(FakeReactor(), one, leases, freshness_parts.FreshnessConfig(watch))
+    FreshnessService(FakeReactor(), one, leases, freshness_config.FreshnessConfig(watch))
     return set(one.rpc.handlers) - before
 
 
@@ -122,8 +123,8 @@
     host, joined = MagicMock(), MagicMock()
     joined.fleet.rpc.handlers = handlers = {}
     host.settings, host.zones = {"classes": [{"name": "warm"}]}, {}
-    parts = warming_join.WarmingConfig("warm", "SELECT @GROUP@")
-    warming_join.WarmingExtension(host, parts, joined, MagicMock(), None).open()
+    parts = warming_extension.WarmingConfig("warm", "SELECT @GROUP@")
+    warming_extension.WarmingExtension(host, parts, joined, MagicMock(), None).open()
     return set(handlers)
 
 
@@ -144,5 +145,5 @@
 def test_each_figure_of_a_service_class_has_its_place_in_the_array():
     tally = ClassTotals()
     for code, value, answered_after in ((0, 1.0, 20), (0, 0.5, 90), (1, 0.25, 5), (2, 0.0, 5), (2, 0.0, 5)):
-        tally.answered("look", value, code, answered_after, 3)
-    assert packed(tally.told()) == GOLDEN["tally"]
+        tally.query_answered("look", value, code, answered_after, 3)
+    assert packed(tally.metrics()) == GOLDEN["tally"]
--- a/vanerelay/lab/child_process.py
+++ b/vanerelay/lab/child_process.py
@@ -14,7 +14,7 @@
 
 PACKAGE_TREE = Path(__file__).resolve().parent.parent.parent
 """The folder with the package."""
-RELEASE_EVENTS = (b'"settings switched"', b'"release taken over"', b'"manager ended"')
+RELEASE_EVENTS = (b'"settings switched"', b'"release taken over"', b'"gateway process ended"')
 """In the log of a gateway or of its supervisor: the lines that name a release."""
 
 
--- a/vanerelay/lab/client_connection.py
+++ b/vanerelay/lab/client_connection.py
@@ -9,7 +9,7 @@
 from vanerelay.lab.event_log import QueryResult
 from vanerelay.lab.faulty_connection import FaultyConnection
 from vanerelay.lab.schedule import ClientRequest
-from vanerelay.net.frames import ANSWER, LAST, LEAVE, OPEN_MOST, REQUEST, frame
+from vanerelay.net.frames import MAX_OPEN_REQUESTS, FrameKind, frame
 
 FRAME_HEAD = struct.Struct(">IBI")
 LENGTH_BYTES = 4
@@ -86,19 +86,19 @@
     @property
     def is_free(self) -> bool:
         """Whether it takes one more query."""
-        return not self.is_closing and len(self._open) < OPEN_MOST
+        return not self.is_closing and len(self._open) < MAX_OPEN_REQUESTS
 
     def send(self, query: ClientQuery, payload: bytes) -> None:
         """Sends a query."""
         self._last_stream += 1
         query.stream = self._last_stream
         self._open[query.stream] = query
-        self._connection.send(self, frame(REQUEST, query.stream, payload))
+        self._connection.send(self, frame(FrameKind.REQUEST, query.stream, payload))
 
     def cancel(self, query: ClientQuery) -> None:
         """The client gives a query up."""
         if self._open.pop(query.stream, None) is not None:
-            self._connection.send(self, frame(LEAVE, query.stream))
+            self._connection.send(self, frame(FrameKind.CANCEL, query.stream))
 
     def deliver(self, data: bytes) -> None:
         """The gateway has sent (a part of) frames."""
@@ -112,10 +112,10 @@
             self._handle(kind, stream, payload)
 
     def _handle(self, kind: int, stream: int, payload: bytes) -> None:
-        if kind == LAST:
+        if kind == FrameKind.GO_AWAY:
             self.is_closing = True
             self._handler.closing(self.gateway)
-        elif kind == ANSWER and stream in self._open:
+        elif kind == FrameKind.ANSWER and stream in self._open:
             answer = Answer.read(payload)
             self._handler.answered(self._open.pop(stream), answer)
 
--- a/vanerelay/lab/gateway_process.py
+++ b/vanerelay/lab/gateway_process.py
@@ -18,7 +18,7 @@
 from vanerelay.lab.event_log import EventKind
 from vanerelay.lab.faulty_connection import FaultyConnection
 from vanerelay.lab.run_context import RunContext
-from vanerelay.net.frames import READINESS, READY, frame
+from vanerelay.net.frames import FrameKind, frame
 
 PROBE_INTERVAL_S = 0.25
 """Between probes of a gateway that the clients' front does not use."""
@@ -57,13 +57,13 @@
 
     def send(self) -> None:
         """Asks."""
-        self._connection.send(self, frame(READY, 0, b"\0"))
+        self._connection.send(self, frame(FrameKind.READINESS_CHECK, 0, b"\0"))
 
     def deliver(self, data: bytes) -> None:
         """The gateway has sent (a part of) its reply."""
         self._received += data
         if len(self._received) >= READINESS_BYTES:
-            if self._received[KIND_AT] == READINESS and self._received[VERDICT_AT] == 0:
+            if self._received[KIND_AT] == FrameKind.READINESS and self._received[VERDICT_AT] == 0:
                 self._gateway.probe_succeeded()
             self._connection.close(self)
 
@@ -143,7 +143,7 @@
         }
 
     def _release_logged(self, line: dict[str, Any]) -> None:
-        if line.get("event") == "manager ended":
+        if line.get("event") == "gateway process ended":
             reason = str(line.get("how"))
             if not self._is_asked_to_end and "exit code 0" not in reason:
                 self._host.supervised_process_died(self.name, str(line.get("release")), reason)
--- a/vanerelay/policy/slow_start.py
+++ b/vanerelay/policy/slow_start.py
@@ -13,7 +13,7 @@
 from vanerelay.interface import FleetPosition, SlowStartTerms
 
 BUSY_CORES = 0.85
-"""Part of the cores that work at capacity; the rest waits for disks."""
+"""Part of the cores that are busy at capacity."""
 
 BUDGET_CAUTION = 0.7
 """Part of the budget that is used, as real costs differ from those expected."""
@@ -56,7 +56,7 @@
         return rank < self._sharers
 
     def engine_started(self, at: int) -> bool:
-        """The engine tells when it started; whether that is a later start than the one known."""
+        """The engine's start was reported; whether that is a later start than the one known."""
         if at <= self.began:
             return False
         self.began = at
