--- a/vanerelay/lab/deployment.py
+++ b/vanerelay/lab/deployment.py
@@ -18,9 +18,9 @@
 from vanerelay.lab.link_faults import Parties
 from vanerelay.lab.process_files import ProcessFiles
 from vanerelay.lab.program_process import ProgramProcess
-from vanerelay.lab.replication_model import Copies
+from vanerelay.lab.replication_model import ReplicationModel
 from vanerelay.lab.run_context import RunContext
-from vanerelay.lab.scenario_config import GatewayGroup, Program, Release, Scenario
+from vanerelay.lab.scenario_config import GatewayGroup, Program, Release, ReplicaRole, Scenario
 
 DISCOVERY = "feed"
 """The name of the discovery service as a party."""
@@ -45,7 +45,7 @@
         histories = folder / "history"
         shutil.rmtree(histories, ignore_errors=True)  # of a run before
         writes_histories = LEASES_BLOCK in scenario.gateways.operator_file
-        replication = Copies(scenario.clients.table_count, began=self.clock.now())
+        replication = ReplicationModel(scenario.clients.table_count, incarnation_began=self.clock.now())
         self.context = RunContext(
             self.network,
             EventLog(),
@@ -120,7 +120,8 @@
         self.engines[name] = engine
         self.discovery.entries[name] = engine.entry
         if group.replica_role:
-            self.context.replication.join(name, group.replica_role, group.replication_lag)
+            is_source = group.replica_role == ReplicaRole.SOURCE
+            self.context.replication.add(name, is_source, group.replication_lag)
         self.parties.zones[name] = zone
         for gateway in self.gateways:
             listener = self.network.listen(gateway, name, self.network.new_host(), engine.accept)
--- a/vanerelay/lab/engine_server.py
+++ b/vanerelay/lab/engine_server.py
@@ -22,6 +22,7 @@
 )
 from vanerelay.lab.faulty_connection import FaultyConnection
 from vanerelay.lab.listener import Listener
+from vanerelay.lab.replication_model import ReplicaPosition
 from vanerelay.lab.run_context import RunContext
 from vanerelay.lab.scenario_config import EngineGroup
 from vanerelay.leases.fencing import FencingGate
@@ -76,7 +77,7 @@
     service_class: str
     statement: Statement
     is_cold_read: bool = False
-    position: tuple[int, int] | None = None
+    position: ReplicaPosition | None = None
     began: int = 0
 
     @property
@@ -225,13 +226,15 @@
     def _positions(self, first_table: int) -> tuple[bytes, bytes]:
         """Up to where table groups are held, one page of them: the fields and the body of a reply."""
         replication, now = self._context.replication, self._context.now()
-        end = min(replication.tables, first_table + POSITIONS_PER_PAGE)
-        if not replication.knows(self.name):
+        end = min(replication.table_count, first_table + POSITIONS_PER_PAGE)
+        if not replication.has(self.name):
             return b"total=1", b""
         role = b"source" if replication.source == self.name else b"copy"
-        positions = [(table, *replication.point(now, self.name, table)) for table in range(first_table, end)]
+        positions = [
+            (table, *replication.position(now, self.name, table)) for table in range(first_table, end)
+        ]
         page = b"".join(b"%d\t%d:%d\t%b\n" % (*position, role) for position in positions)
-        return (b"total=1,next=%d" % end if end < replication.tables else b"total=1"), page
+        return (b"total=1,next=%d" % end if end < replication.table_count else b"total=1"), page
 
     def cancel(self, session: EngineSession, ident: bytes) -> None:
         """Stops an attempt."""
@@ -282,8 +285,8 @@
     def _began(self, attempt: Attempt, now: int) -> None:
         self._log(EventKind.BEGAN, attempt)
         table, replication = attempt.statement.table, self._context.replication
-        if table >= 0 and replication.knows(self.name):
-            attempt.position = replication.point(now, self.name, table)
+        if table >= 0 and replication.has(self.name):
+            attempt.position = replication.position(now, self.name, table)
             attempt.began = self._history.now()
 
     def _ended(self, attempt: Attempt, job: Job) -> None:
@@ -310,7 +313,7 @@
     @property
     def _is_replica(self) -> bool:
         replication = self._context.replication
-        return replication.knows(self.name) and replication.source != self.name
+        return replication.has(self.name) and replication.source != self.name
 
     def _update_caches(self, attempt: Attempt, cache: TableCache) -> None:
         """A load makes what all engines have cached of its table group useless; a read caches it."""
@@ -323,11 +326,11 @@
         now = self._history.now()
         self._history.add("found", now, now, ref=attempt.query, table=table, cold=attempt.is_cold_read)
 
-    def _position_field(self, attempt: Attempt, position: tuple[int, int]) -> bytes:
+    def _position_field(self, attempt: Attempt, position: ReplicaPosition) -> bytes:
         """Up to where a query that has ended saw or wrote its table group, for its answer and the history."""
         statement = attempt.statement
         if statement.is_load:
-            position = self._context.replication.load(self._context.now(), statement.table)
+            position = self._context.replication.end_load(self._context.now(), statement.table)
         incarnation, number = position
         self._history.add(
             "commit" if statement.is_load else "read",
--- a/vanerelay/lab/fault_injection.py
+++ b/vanerelay/lab/fault_injection.py
@@ -194,7 +194,7 @@
             model.speed = 1.0 / fault.factor if is_on else 1.0
         elif action == FaultAction.ERRORS:
             model.error_rate = fault.factor if is_on else 0.0
-        elif action in REPLICATION_ACTIONS and self._context.replication.knows(engine.name):
+        elif action in REPLICATION_ACTIONS and self._context.replication.has(engine.name):
             self._apply_to_replication(fault, engine, is_on)
         elif action in (FaultAction.DRAIN, FaultAction.REPLACE) and is_on:
             self._drain(fault, engine)
@@ -220,19 +220,19 @@
         replication, now = self._context.replication, self._context.now()
         name, lag, action = engine.name, engine.group.replication_lag, fault.action
         if action == FaultAction.LEAD and is_on:
-            replication.lead(now, name, lag)
+            replication.promote(now, name, lag)
             return
-        if name not in replication.followers:
+        if name not in replication.replicas:
             return
         if action == FaultAction.LAG:
-            replication.slow(now, name, fault.delay if is_on else lag)
+            replication.set_lag(now, name, fault.delay if is_on else lag)
         elif action == FaultAction.STICK:
-            replication.stick(now, name, is_on)
+            replication.set_stuck(now, name, is_on)
         elif action == FaultAction.RESTORE and is_on:
-            replication.restore(now, name, int(fault.factor))
+            replication.go_back(now, name, int(fault.factor))
         elif action == FaultAction.RESTORE:
-            replication.followers[name].lag = lag
-            replication.stick(now, name, False)
+            replication.replicas[name].lag = lag
+            replication.set_stuck(now, name, False)
 
 
 def _link_changes(fault: Fault) -> dict[str, Any]:
--- a/vanerelay/lab/replication_model.py
+++ b/vanerelay/lab/replication_model.py
@@ -1,89 +1,129 @@
-"""Table groups and their copies, as they truly are: the source's numbered loads, how far each copy follows.
+"""Table groups and their replicas, as they truly are: the loads at the source, how far each replica follows.
 
-Pure: told the time in the module's unit. What managers believe of it is judged against this."""
+Pure: told the time in ticks. What gateways believe of it is checked against this.
+"""
 
 from __future__ import annotations
 
 from bisect import bisect_right
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+
+class ReplicaPosition(NamedTuple):
+    """Up to where a table group is held: so many loads of an incarnation of its source."""
+
+    incarnation: int
+    number: int
+
+
+NOTHING_HELD = ReplicaPosition(0, 0)
 
 
 @dataclass(slots=True)
-class Follower:
-    """One engine that follows: `lag` behind; `stuck_at`: since when it does so no more, -1: it does; `held`:
-    by table group, life and number that it had when it was looked at last."""
+class Replica:
+    """One engine that follows the source.
+
+    Attributes:
+        lag: how far behind, in ticks.
+        stuck_since: since when it follows no more; -1: it follows.
+        positions: by table group, when it was asked last.
+    """
 
     lag: int
-    stuck_at: int = -1
-    held: dict[int, tuple[int, int]] = field(default_factory=dict)
+    stuck_since: int = -1
+    positions: dict[int, ReplicaPosition] = field(default_factory=dict)
 
+    @property
+    def is_stuck(self) -> bool:
+        """Whether it follows no more."""
+        return self.stuck_since >= 0
 
-@dataclass(slots=True)
-class Copies:
-    """All table groups 0 to `tables`, each with a source and its loads' times under the life in force."""
 
-    tables: int
+@dataclass(slots=True)
+class ReplicationModel:
+    """All table groups, each with one source and its loads.
+
+    Attributes:
+        table_count: table groups are numbered from 0 to below it.
+        source: the engine where loads end.
+        incarnation: of the source: another one with each new source.
+        incarnation_began: when, in ticks.
+        load_times: by table group: when the loads of this incarnation ended.
+        replicas: by engine.
+    """
+
+    table_count: int
     source: str = ""
-    life: int = 1
-    began: int = 0  # of the life
-    loads: dict[int, list[int]] = field(default_factory=dict)
-    followers: dict[str, Follower] = field(default_factory=dict)
-
-    def join(self, engine: str, role: str, lag: int) -> None:
-        if role == "source" and not self.source:
+    incarnation: int = 1
+    incarnation_began: int = 0
+    load_times: dict[int, list[int]] = field(default_factory=dict)
+    replicas: dict[str, Replica] = field(default_factory=dict)
+
+    def add(self, engine: str, is_source: bool, lag: int) -> None:
+        """Adds an engine; the first source is the one."""
+        if is_source and not self.source:
             self.source = engine
         else:
-            self.followers[engine] = Follower(lag)
+            self.replicas[engine] = Replica(lag)
 
-    def knows(self, engine: str) -> bool:
-        return engine == self.source or engine in self.followers
+    def has(self, engine: str) -> bool:
+        """Whether the engine is the source or a replica."""
+        return engine == self.source or engine in self.replicas
 
-    def load(self, now: int, table: int) -> tuple[int, int]:
-        """A load ends at the source: the point that it ends at."""
-        ended = self.loads.setdefault(table, [])
-        ended.append(now)
-        return self.life, len(ended)
+    def end_load(self, now: int, table: int) -> ReplicaPosition:
+        """A load ends at the source: the position that it ends at."""
+        load_times = self.load_times.setdefault(table, [])
+        load_times.append(now)
+        return ReplicaPosition(self.incarnation, len(load_times))
 
-    def point(self, now: int, engine: str, table: int) -> tuple[int, int]:
+    def position(self, now: int, engine: str, table: int) -> ReplicaPosition:
         """Up to where the engine holds a table group now."""
-        ended = self.loads.get(table, [])
+        load_times = self.load_times.get(table, [])
         if engine == self.source:
-            return self.life, len(ended)
-        one = self.followers[engine]
-        upto = (one.stuck_at if one.stuck_at >= 0 else now) - one.lag
-        life, number = one.held.get(table, (0, 0))
-        if upto >= self.began:
-            found = bisect_right(ended, upto)
-            if life < self.life or found > number:
-                life, number = self.life, found
-        one.held[table] = life, number
-        return life, number
-
-    # What scripts turn.
-
-    def stick(self, now: int, engine: str, on: bool) -> None:
-        """It answers, and follows no more."""
-        self.followers[engine].stuck_at = now if on else -1
-
-    def slow(self, now: int, engine: str, lag: int) -> None:
-        for table in range(self.tables):
-            self.point(now, engine, table)
-        self.followers[engine].lag = lag
-
-    def restore(self, now: int, engine: str, back: int) -> None:
-        """It is as it was so many loads ago, and follows no more until it is let."""
-        one = self.followers[engine]
-        for table in range(self.tables):
-            life, number = self.point(now, engine, table)
-            one.held[table] = life, max(0, number - back)
-        one.stuck_at = now if one.stuck_at < 0 else one.stuck_at
-        one.lag = max(one.lag, now)  # nothing of before comes again while it stands
-
-    def lead(self, now: int, engine: str, lag: int) -> None:
-        """It takes the source's place: numbers begin again, under a new life."""
-        self.followers.pop(engine)
-        self.followers[self.source] = Follower(lag)
-        for table in range(self.tables):
-            self.followers[self.source].held[table] = self.life, len(self.loads.get(table, []))
-        self.source, self.life, self.began = engine, self.life + 1, now
-        self.loads = {}
+            return ReplicaPosition(self.incarnation, len(load_times))
+        replica = self.replicas[engine]
+        followed_until = (replica.stuck_since if replica.is_stuck else now) - replica.lag
+        held = replica.positions.get(table, NOTHING_HELD)
+        if followed_until >= self.incarnation_began:
+            number = bisect_right(load_times, followed_until)
+            if held.incarnation < self.incarnation or number > held.number:
+                held = ReplicaPosition(self.incarnation, number)
+        replica.positions[table] = held
+        return held
+
+    # What faults change.
+
+    def set_stuck(self, now: int, engine: str, is_stuck: bool) -> None:
+        """The replica answers and follows no more, or follows again."""
+        self.replicas[engine].stuck_since = now if is_stuck else -1
+
+    def set_lag(self, now: int, engine: str, lag: int) -> None:
+        """The replica follows with another lag; what it holds it keeps."""
+        for table in range(self.table_count):
+            self.position(now, engine, table)
+        self.replicas[engine].lag = lag
+
+    def go_back(self, now: int, engine: str, loads: int) -> None:
+        """The replica is as it was so many loads ago, and follows no more until it is let."""
+        replica = self.replicas[engine]
+        for table in range(self.table_count):
+            incarnation, number = self.position(now, engine, table)
+            replica.positions[table] = ReplicaPosition(incarnation, max(0, number - loads))
+        replica.stuck_since = replica.stuck_since if replica.is_stuck else now
+        # Nothing of before comes again while it is stuck.
+        replica.lag = max(replica.lag, now)
+
+    def promote(self, now: int, engine: str, lag_of_old_source: int) -> None:
+        """The replica takes the source's place: numbers begin again, under a new incarnation."""
+        self.replicas.pop(engine)
+        old_source = Replica(lag_of_old_source)
+        for table in range(self.table_count):
+            load_count = len(self.load_times.get(table, []))
+            old_source.positions[table] = ReplicaPosition(self.incarnation, load_count)
+        self.replicas[self.source] = old_source
+        self.source, self.incarnation, self.incarnation_began = engine, self.incarnation + 1, now
+        self.load_times = {}
+
+
+__all__ = ["Replica", "ReplicaPosition", "ReplicationModel"]
--- a/vanerelay/lab/run_context.py
+++ b/vanerelay/lab/run_context.py
@@ -11,7 +11,7 @@
 from vanerelay.lab.cache_model import TableCache
 from vanerelay.lab.event_log import Event, EventKind, EventLog
 from vanerelay.lab.fault_network import Network
-from vanerelay.lab.replication_model import Copies
+from vanerelay.lab.replication_model import ReplicationModel
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
     event_log: EventLog
     load_start: int = 0
     history_folder: str = ""
-    replication: Copies = field(default_factory=lambda: Copies(0))
+    replication: ReplicationModel = field(default_factory=lambda: ReplicationModel(0))
     caches: list[TableCache] = field(default_factory=list)
 
     def now(self) -> int:
--- a/vanerelay/lab/staleness_simulation.py
+++ b/vanerelay/lab/staleness_simulation.py
@@ -17,7 +17,7 @@
 from vanerelay.freshness.replication_positions import Position, ReplicaState, ReplicationPositions
 from vanerelay.freshness.shard_updates import ShardState, ShardUpdate
 from vanerelay.interface import SECOND
-from vanerelay.lab.replication_model import Copies
+from vanerelay.lab.replication_model import ReplicationModel
 
 TABLE_GROUPS, ENGINES, GATEWAYS = 2, 4, 4
 
@@ -106,10 +106,10 @@
     def __post_init__(self) -> None:
         self.chance = random.Random(self.seed)
         chance = self.chance
-        self.replicas = Copies(TABLE_GROUPS)
+        self.replication = ReplicationModel(TABLE_GROUPS)
         self.engines = [f"e{number}" for number in range(ENGINES)]
         for name in self.engines:
-            self.replicas.join(name, "source", chance.randrange(SECOND))
+            self.replication.add(name, True, chance.randrange(SECOND))
         self.gateways = [
             SimulatedGateway(
                 f"m{number}", 1 + chance.uniform(-TRUE_DRIFT, TRUE_DRIFT), chance.randrange(10**6)
@@ -137,12 +137,12 @@
         engine = chance.choice(self.engines)
         if draw < 0.25:
             group = chance.randrange(TABLE_GROUPS)
-            self.ended_loads[group].append(EndedLoad(now, self.replicas.load(now, group)))
+            self.ended_loads[group].append(EndedLoad(now, self.replication.end_load(now, group)))
         elif draw < 0.55:
             self._poll(engine)
         elif draw < 0.85:
             self._fetch_update()
-        elif draw < 0.97 and engine in self.replicas.followers:
+        elif draw < 0.97 and engine in self.replication.replicas:
             self._disturb(engine, draw)
         elif draw > 0.98:
             self.token += 1
@@ -153,22 +153,22 @@
         """Something happens to an engine that follows the source."""
         chance, now = self.chance, self.now
         if draw < 0.89:
-            self.replicas.slow(now, engine, chance.randrange(3 * SECOND))
+            self.replication.set_lag(now, engine, chance.randrange(3 * SECOND))
         elif draw < 0.92:
-            self.replicas.stick(now, engine, self.replicas.followers[engine].stuck_at < 0)
+            self.replication.set_stuck(now, engine, not self.replication.replicas[engine].is_stuck)
         elif draw < 0.95:
-            self.replicas.restore(now, engine, chance.randrange(4))
+            self.replication.go_back(now, engine, chance.randrange(4))
         else:
-            self.replicas.lead(now, engine, chance.randrange(SECOND))
+            self.replication.promote(now, engine, chance.randrange(SECOND))
 
     def _reported_incarnation(self, incarnation: int) -> int:
         return FLAWED_INCARNATION if self.flaw is Flaw.ONE_INCARNATION else incarnation
 
     def _report(self, engine: str) -> dict[int, ReplicaState]:
-        is_source = engine == self.replicas.source
+        is_source = engine == self.replication.source
         states = dict[int, ReplicaState]()
         for group in range(TABLE_GROUPS):
-            incarnation, number = self.replicas.point(self.now, engine, group)
+            incarnation, number = self.replication.position(self.now, engine, group)
             position = Position(self._reported_incarnation(incarnation), number)
             states[group] = ReplicaState(position, is_source)
         return states
@@ -221,7 +221,7 @@
             if not eligibility.satisfies(gateway.positions, engine, required):
                 continue
             known = gateway.positions.position(engine, group)
-            incarnation, number = self.replicas.point(self.now, engine, group)
+            incarnation, number = self.replication.position(self.now, engine, group)
             answered = Position(self._reported_incarnation(incarnation), number)
             trusted = self.flaw is Flaw.TRUST_ANSWERS
             if not trusted and not eligibility.answer_satisfies(answered, known, required, None):
@@ -238,7 +238,7 @@
         required: eligibility.ReadRequirement,
         staleness: int,
     ) -> None:
-        incarnation, number = held = self.replicas.point(self.now, engine, group)
+        incarnation, number = held = self.replication.position(self.now, engine, group)
         since = self.now - staleness * JUDGED_DRIFT - 2
         missed = [load.end for load in self.ended_loads[group] if load.ended_at < since and load.end > held]
         too_many = len(missed) > required.max_loads_behind
