--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,11 +1,13 @@
-"""Membership at size: time from a change to in force, longest pass of the loop, memory an engine; files
-against feed.
+"""Membership at size: time from a change to in force, longest pass of the loop, memory an engine.
+
+List files against the discovery service.
 
 python -m bench.membership [--engines 10 --engines 1000 ...] [--rounds 20] [--base DIR]
 
 Starts the program itself on loopback, with eight stand-in engines that answer and a client that keeps
 sending, and the rest of the list at addresses where nobody listens, in another location. `--base`: a checkout
-of an earlier state, whose start without options is shown beside this one's."""
+of an earlier state, whose start without options is shown beside this one's.
+"""
 
 from __future__ import annotations
 
@@ -52,9 +54,10 @@
 
 
 class Watched(Node):
-    """A node whose portions and passes are told."""
+    """A gateway that reports its portions and the passes of its loop."""
 
     def start(self) -> None:
+        """Starts the program that reports."""
         self.told: list[dict[str, Any]] = []
         host, _, port = self.listen.rpartition(":")
         config = json.loads(self.config.read_text())
@@ -77,10 +80,12 @@
             self.told.append(json.loads(line))
 
     def memory(self) -> int:
+        """In bytes."""
         return resident(self.process.pid)
 
 
 def resident(pid: int) -> int:
+    """The resident memory of a process, in bytes."""
     status = Path(f"/proc/{pid}/status").read_text()
     return int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1]) * 1024
 
@@ -123,6 +128,7 @@
             self.longest = max(self.longest, time.monotonic() - began)
 
     def stop(self) -> None:
+        """Stops sending."""
         self._ended.set()
         self._thread.join()
 
@@ -200,8 +206,7 @@
 
 
 def module(count: int) -> tuple[float, float]:
-    """Seconds that the module takes for one change of one engine, and for one coming and going, among
-    many."""
+    """Seconds that the decisions take for one change of one engine, and for one that comes, among many."""
     from tests.helpers import World, entry
 
     world = World(0, gateways=200)
@@ -218,8 +223,7 @@
 
 
 def starts(root: Path, rounds: int) -> tuple[float, float]:
-    """Medians of the time from the start of a program without options to its line `serving`, and of its
-    memory."""
+    """Medians of a program without options: of its time to the line `serving`, and of its memory."""
     times, memories = [], []
     for _ in range(rounds):
         with tempfile.TemporaryDirectory() as name:
@@ -260,6 +264,7 @@
 
 
 def told_ms(seconds: list[float]) -> str:
+    """Median and 99th percentile."""
     ordered = sorted(seconds)
     most = ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))]
     return f"{statistics.median(ordered) * 1000:.0f} / {most * 1000:.0f}"
@@ -270,6 +275,7 @@
 @click.option("--rounds", default=20, type=click.IntRange(1))
 @click.option("--base", type=click.Path(exists=True, path_type=Path))
 def main(engines: tuple[int, ...], rounds: int, base: Path | None) -> None:
+    """Prints all tables."""
     print(f"{rounds} changes of each kind; times in ms, median / 99th percentile, from sockets")
     print("source   engines   one engine     all engines    longest pass  portion  memory MB  batches sent")
     smallest: dict[bool, int] = {}
--- a/bench/plays.py
+++ b/bench/plays.py
@@ -1,4 +1,4 @@
-"""Plays of real processes for benchmarks: one script in, what was found and written out."""
+"""Runs of scenarios with real processes for benchmarks: one scenario in, what was found and written out."""
 
 from __future__ import annotations
 
@@ -19,7 +19,13 @@
 
 @dataclass
 class Played:
-    """`told`: what the command said, as JSON; `rows`: of all histories."""
+    """What came of a run.
+
+    Attributes:
+        told: what the command printed, as JSON; empty where the scenario could not be run.
+        rows: of all histories.
+        error: the end of what it wrote to the standard error output.
+    """
 
     told: dict[str, Any]
     rows: list[dict[str, Any]]
@@ -27,10 +33,12 @@
 
     @property
     def findings(self) -> list[Any]:
+        """What broke a rule, or why it could not be run."""
         return self.told["findings"] if self.told else [self.error]
 
 
 def play(text: str, seed: int) -> Played:
+    """Runs the scenario with this text."""
     with tempfile.TemporaryDirectory() as spare:
         folder = Path(spare)
         (folder / "script.hcl").write_text(text)
@@ -46,15 +54,15 @@
 
 
 def faults(seed: int, managers: int, more: Sequence[tuple[str, str]] = (), length: float = 11.0) -> str:
-    """Three faults of managers at moments drawn from the seed, and one of `more`: a name, and its words."""
-    chance, blocks, lost = random.Random(f"{seed}/moments"), list[str](), 0
+    """Three faults of gateways at moments drawn from the seed, and two of `more`: a name and attributes."""
+    random_source, blocks, lost = random.Random(f"{seed}/moments"), list[str](), 0
     for number in range(3):
         who, at, lasting = (
-            chance.randrange(managers) + 1,
-            chance.uniform(3.0, length),
-            chance.choice((1, 2, 3, 4)),
+            random_source.randrange(managers) + 1,
+            random_source.uniform(3.0, length),
+            random_source.choice((1, 2, 3, 4)),
         )
-        what = chance.choice(("kill", "lost", "freeze", "end", "cut", "deaf", "slow"))
+        what = random_source.choice(("kill", "lost", "freeze", "end", "cut", "deaf", "slow"))
         lost += what == "lost"
         if what == "lost" and lost > 1:
             what = "kill"
@@ -66,11 +74,12 @@
         }.get(what, f'managers = "m{who}"\n  do = "{what}"')
         blocks.append(block(f"{number}: {what} m{who}", at, lasting, words))
     for number in range(2 if more else 0):
-        name, words = chance.choice(more)
-        at = chance.uniform(3.0, length)
-        blocks.append(block(f"{number + 3}: {name}", at, chance.choice((1, 2, 3, 4)), words))
+        name, words = random_source.choice(more)
+        at = random_source.uniform(3.0, length)
+        blocks.append(block(f"{number + 3}: {name}", at, random_source.choice((1, 2, 3, 4)), words))
     return "\n".join(blocks)
 
 
 def block(name: str, at: float, lasting: int, words: str) -> str:
+    """A fault as scenarios have it."""
     return f'fault "{name}" {{\n  at = "{at:.1f}s"\n  lasting = "{lasting}s"\n  {words}\n}}\n'
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -1,10 +1,10 @@
-"""Rolling changes on the laboratory: twelve managers at six tenths of the load, good and bad releases.
+"""Rolling changes on the laboratory: twelve gateways at six tenths of the load, good and bad releases.
 
     python -m bench.releases [--seed 1] [--at-once 3] [--only NAME]
 
-Each is a play of real processes: managers under keepers, engines, clients, a controller. The table says how
-it ended, how many managers the change had reached, what part of the utility was reached, and what broke a
-rule."""
+Each is a run of real processes: gateways under supervisors, engines, clients, a controller. The table says
+how it ended, how many gateways it had reached, what part of the value was earned, and what broke a rule.
+"""
 
 from __future__ import annotations
 
@@ -166,7 +166,7 @@
 def text(
     name: str, shim: str, length: int, managers: int = 12, change: bool = True, load: float = 0.6
 ) -> str:
-    """A script; the load is a part of what the engines, one of four cores for each manager, can do."""
+    """A scenario; the load is a part of what the engines, one of four cores for each manager, can do."""
     part = load * managers * 4 / 0.6 / 48  # at 12 managers and 0.6: 1
     site = SITE.format(
         name=name,
@@ -182,6 +182,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Played:
+    """What came of a run: a row of the table."""
+
     name: str
     how: str
     reached: int
@@ -192,6 +194,7 @@
 
 
 def play(name: str, shim: str, seed: int, length: int, change: bool = True) -> Played:
+    """Runs one release."""
     with tempfile.TemporaryDirectory() as folder:
         script = Path(folder, "script.hcl")
         script.write_text(text(name, shim, length, change=change), encoding="utf-8")
@@ -252,6 +255,7 @@
 
 
 def main() -> None:
+    """Prints the table."""
     options = argparse.ArgumentParser(description=__doc__)
     options.add_argument("--seed", type=int, default=1)
     options.add_argument("--length", type=int, default=220)
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from tests.soak.run import BROKEN_MOST, Verdict, play
+from tests.soak.run import MAX_VIOLATIONS_SHOWN, Verdict, play
 
 
 def seeds(told: str) -> list[int]:
@@ -37,9 +37,9 @@
         for future in waiting:
             verdict = future.result()
             print(verdict.line(), flush=True)
-            for line in verdict.breaks[:BROKEN_MOST] if verdict.judged else ():
+            for line in verdict.violations[:MAX_VIOLATIONS_SHOWN] if verdict.judged else ():
                 print(f"  {line}", flush=True)
-            broken += bool(verdict.breaks) or not verdict.judged
+            broken += bool(verdict.violations) or not verdict.judged
     print(f"{len(told.seeds) - broken} sound of {len(told.seeds)}")
     return 1 if broken else 0
 
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of one process: they hold connections open, ask, leave, write slowly, crowd and send nonsense."""
+"""Clients of one process: they ask, cancel, write slowly, fill connections and send garbage."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import struct
 from collections.abc import Callable
 
-from tests.soak.oracle import COUNTED_S, CROSSING_S, Effect, Oracle, Request
+from tests.soak.checker import CROSSING_S, REQUESTS_OWED_AFTER_SIGTERM_S, Checker, Effect, Request
 
 ANSWER, LEAVE, REQUEST, LAST = 4, 8, 2, 64
 HEAD = struct.Struct(">IBI")
 CLASSES = {"look": Effect.PURE, "mark": Effect.TOKEN, "load": Effect.ONCE}
-OPEN_MOST = 32
-CONNECTIONS = 3  # that the clients of a process hold
-CONNECTS_S = 0.3  # after SIGTERM within which new connections come
+MAX_OPEN_REQUESTS = 32
+MAX_CONNECTIONS = 3  # that the clients of a process hold
+ACCEPTS_AFTER_SIGTERM_S = 0.3  # after SIGTERM within which new connections come
 
 
 def frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
@@ -24,8 +24,8 @@
 def request_payload(request: Request, service: str) -> bytes:
     told = {
         "service": service,
-        "ref": request.ident,
-        "allow": str(round(request.allow_s * 1000)),
+        "ref": request.reference,
+        "allow": str(round(request.deadline_s * 1000)),
         "project": "acme",
         "effort": "50",
         "space": "40",
@@ -40,10 +40,10 @@
     """One connection of a client."""
 
     def __init__(self, clients: Clients) -> None:
-        self._clients, self._held = clients, bytearray()
+        self._clients, self._received = clients, bytearray()
         self.transport: asyncio.Transport | None = None
         self.open: dict[int, Request] = {}
-        self._stream, self.over, self.life = 0, False, clients.life()
+        self._stream, self.over, self.incarnation = 0, False, clients.incarnation()
         self._rested = False  # whether it has been of use before
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -53,7 +53,7 @@
     @property
     def usable(self) -> bool:
         going = self.transport is not None and not self.transport.is_closing()
-        return going and not self.over and len(self.open) < OPEN_MOST
+        return going and not self.over and len(self.open) < MAX_OPEN_REQUESTS
 
     def ask(self, request: Request, service: str, pieces: int = 1) -> None:
         self._stream += 1
@@ -79,34 +79,34 @@
             self.open.pop(stream, None)
             return
         request.sent_at = self._clients.now()
-        self._clients.oracle.sent(request)
+        self._clients.checker.sent(request)
         self.transport.write(data)
 
     def cancel(self) -> None:
         """Nobody waits for one of its requests any more."""
         for stream, request in list(self.open.items())[:1]:
             if request.sent_at:
-                request.gone_at = self._clients.now()
+                request.cancelled_at = self._clients.now()
                 del self.open[stream]
                 self._write(frame(LEAVE, stream))
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """The client closes with all that it had asked."""
         self.over = True
         for request in self.open.values():
-            request.gone_at = self._clients.now()
+            request.cancelled_at = self._clients.now()
         self.open.clear()
         if self.transport is not None:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        self._held += data
-        while len(self._held) >= HEAD.size:
-            size, kind, stream = HEAD.unpack_from(self._held)
-            if len(self._held) < 4 + size:
+        self._received += data
+        while len(self._received) >= HEAD.size:
+            size, kind, stream = HEAD.unpack_from(self._received)
+            if len(self._received) < 4 + size:
                 return
-            payload = bytes(self._held[HEAD.size : 4 + size])
-            del self._held[: 4 + size]
+            payload = bytes(self._received[HEAD.size : 4 + size])
+            del self._received[: 4 + size]
             if kind == ANSWER and stream in self.open:
                 self._answered(self.open.pop(stream), payload)
 
@@ -116,7 +116,7 @@
             end = at + 1 + payload[at]
             at = end + 2 + int.from_bytes(payload[end : end + 2], "big")
         self._rested = True
-        self._clients.oracle.answered(request.ident, payload[0], payload[at:])
+        self._clients.checker.answered(request.reference, payload[0], payload[at:])
         if self.over and not self.open and self.transport is not None:
             self.transport.close()
 
@@ -125,8 +125,10 @@
         opened, self.open = list(self.open.values()), {}
         sent = [request for request in opened if request.sent_at]
         for request in sent:
-            request.ended_at = self._clients.now()
-            request.excuse = request.excuse or self._clients.excuse(request, self.life, sent, self._rested)
+            request.closed_at = self._clients.now()
+            request.excuse = request.excuse or self._clients.excuse(
+                request, self.incarnation, sent, self._rested
+            )
 
 
 class Clients:
@@ -136,56 +138,58 @@
         self,
         process: str,
         address: tuple[str, int],
-        oracle: Oracle,
-        chance: random.Random,
+        checker: Checker,
+        random_source: random.Random,
         now: Callable[[], float],
         slack: Callable[[], float],
-        life: Callable[[], int],
+        incarnation: Callable[[], int],
     ) -> None:
-        self.process, self.oracle, self.now, self.life = process, oracle, now, life
-        self._address, self._chance, self._slack = address, chance, slack
+        self.process, self.checker, self.now, self.incarnation = process, checker, now, incarnation
+        self._address, self._random, self._slack = address, random_source, slack
         self.connections: list[Connection] = []
         self.crowd: list[Connection] = []
         self.crowded = False
-        self.terminated_at: float | None = None  # of the life that ends
-        self.killed: set[int] = set()  # lives that were killed without a warning
-        self.leaves = 0.02  # chance that a client leaves after it has asked
+        self.terminated_at: float | None = None  # of the incarnation that ends
+        self.killed: set[int] = set()  # incarnations that were killed without a warning
+        self.leaves = 0.02  # probability that a client leaves after it has asked
         self.going = False
-        self._made = 0
+        self._count = 0
 
     def _request(self) -> tuple[Request, str]:
-        self._made += 1
-        service = self._chance.choice(list(CLASSES))
-        ident = f"{self._chance.getrandbits(32):08x}{self._made:08x}"
-        allow_s = self._chance.choice([0.05, 0.3, 0.8, 2.0, 2.0, 2.0])
-        return Request(ident, self.process, self.life(), CLASSES[service], allow_s, 0.0), service
+        self._count += 1
+        service = self._random.choice(list(CLASSES))
+        reference = f"{self._random.getrandbits(32):08x}{self._count:08x}"
+        deadline_s = self._random.choice([0.05, 0.3, 0.8, 2.0, 2.0, 2.0])
+        return Request(
+            reference, self.process, self.incarnation(), CLASSES[service], deadline_s, 0.0
+        ), service
 
     async def run(self, rate: float) -> None:
         """Asks at a rate until the end, on connections that stay open."""
         self.going = True
         while self.going:
-            await asyncio.sleep(self._chance.expovariate(rate))
+            await asyncio.sleep(self._random.expovariate(rate))
             connection = await self._connection()
             if connection is None or not self.going:
                 continue
             request, service = self._request()
-            if len(connection.open) == 0 and self._chance.random() < 0.03:
+            if len(connection.open) == 0 and self._random.random() < 0.03:
                 connection.ask(request, service, pieces=3)
                 continue
             connection.ask(request, service)
-            if self._chance.random() < self.leaves:
-                span = self._chance.uniform(0.0, 0.1)
-                action = self._chance.choice([connection.cancel, connection.leave])
+            if self._random.random() < self.leaves:
+                span = self._random.uniform(0.0, 0.1)
+                action = self._random.choice([connection.cancel, connection.disconnect])
                 asyncio.get_running_loop().call_later(span, action)
 
     async def _connection(self) -> Connection | None:
         self.connections = [one for one in self.connections if not one.over]
-        if len(self.connections) >= CONNECTIONS or self.connections and self._chance.random() < 0.9:
+        if len(self.connections) >= MAX_CONNECTIONS or self.connections and self._random.random() < 0.9:
             usable = [one for one in self.connections if one.usable]
-            return self._chance.choice(usable) if usable else None
-        if self.terminated_at is not None and self.now() - self.terminated_at > CONNECTS_S:
+            return self._random.choice(usable) if usable else None
+        if self.terminated_at is not None and self.now() - self.terminated_at > ACCEPTS_AFTER_SIGTERM_S:
             usable = [one for one in self.connections if one.usable]
-            return self._chance.choice(usable) if usable else None
+            return self._random.choice(usable) if usable else None
         made = await self._connect()
         if made is not None:
             self.connections.append(made)
@@ -205,13 +209,14 @@
     async def pipeline(self) -> None:
         """A client that sends as many requests at once as it may."""
         connection = await self._connect()
-        for _ in range(OPEN_MOST - 2 if connection is not None else 0):
+        if connection is None:
+            return
+        for _ in range(MAX_OPEN_REQUESTS - 2):
             request, service = self._request()
             connection.ask(request, service)
-        if connection is not None:
-            self.connections.append(connection)
+        self.connections.append(connection)
 
-    async def crowd_in(self, count: int) -> None:
+    async def fill_connections(self, count: int) -> None:
         """Idle clients that fill the descriptors."""
         self.crowded = True
         for _ in range(count):
@@ -219,30 +224,33 @@
             if connection is not None:
                 self.crowd.append(connection)
 
-    def crowd_out(self) -> None:
+    def close_idle_connections(self) -> None:
         for connection in self.crowd:
-            connection.leave()
+            connection.disconnect()
         self.crowd, self.crowded = [], False
 
-    async def nonsense(self) -> None:
+    async def send_garbage(self) -> None:
         """A client that does not keep to the protocol, and sends much and goes."""
         connection = await self._connect()
         if connection is not None and connection.transport is not None:
             connection.over = True
-            size = self._chance.choice([3, 40, 5000])
-            connection.transport.write(self._chance.randbytes(size))
-            asyncio.get_running_loop().call_later(self._chance.choice([0.0, 0.2]), connection.leave)
+            size = self._random.choice([3, 40, 5000])
+            connection.transport.write(self._random.randbytes(size))
+            asyncio.get_running_loop().call_later(self._random.choice([0.0, 0.2]), connection.disconnect)
 
-    def leave_all(self) -> None:
+    def disconnect_all(self) -> None:
         for connection in self.connections:
-            connection.leave()
+            connection.disconnect()
 
-    def excuse(self, request: Request, life: int, together: list[Request], rested: bool) -> str:
+    def excuse(self, request: Request, incarnation: int, together: list[Request], rested: bool) -> str:
         """Why nobody owes an answer to a request whose connection has ended; empty: it is lost."""
         now = self.now()
-        if life in self.killed:
+        if incarnation in self.killed:
             return "killed"
-        if self.terminated_at is not None and request.sent_at > self.terminated_at + COUNTED_S:
+        if (
+            self.terminated_at is not None
+            and request.sent_at > self.terminated_at + REQUESTS_OWED_AFTER_SIGTERM_S
+        ):
             return "after the time for requests"
         if self.crowded and not request.attempts:
             return "crowd"
--- a/tests/soak/feed.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,4 @@
-"""The control feed of one process: a long poll over the events of the list, which may fail in many ways."""
+"""The discovery service of one process: long polls over the events of the list, which may fail."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 QUERY = re.compile(rb"SUB=(\d+)&wait=(\d+)")
 
 
-class FeedMood(Enum):
-    """How the feed behaves at the moment."""
+class DiscoveryBehaviour(Enum):
+    """How the discovery service behaves at the moment."""
 
-    SOUND = "sound"
+    HEALTHY = "sound"
     DOWN = "resets connections"
     SILENT = "takes requests and says nothing"
     SHORT = "breaks off within an answer"
@@ -31,7 +31,7 @@
         self.events: list[dict[str, Any]] = []
         self.watchers = set[Callable[[], None]]()
 
-    def tell(self, *rows: dict[str, Any], complete: bool = False) -> None:
+    def publish(self, *rows: dict[str, Any], complete: bool = False) -> None:
         number = len(self.events) + 1
         members = {"revision": number, "complete": complete, "members": list(rows)}
         self.events.append({"n": number, "members": members})
@@ -39,11 +39,11 @@
             watcher()
 
 
-class Poll(asyncio.Protocol):
-    """One connection of a process to its feed."""
+class DiscoverySession(asyncio.Protocol):
+    """One connection of a process to its discovery service."""
 
-    def __init__(self, feed: FeedHost) -> None:
-        self._feed, self._held = feed, b""
+    def __init__(self, discovery: DiscoveryServer) -> None:
+        self._discovery, self._received = discovery, b""
         self.transport: asyncio.Transport | None = None
         self._since: int | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -51,67 +51,72 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._feed.polls.add(self)
-        if self._feed.mood is FeedMood.DOWN:
+        self._discovery.polls.add(self)
+        if self._discovery.behaviour is DiscoveryBehaviour.DOWN:
             reset(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._feed.polls.discard(self)
-        self._feed.list.watchers.discard(self.news)
+        self._discovery.polls.discard(self)
+        self._discovery.list.watchers.discard(self.answer_if_newer)
 
     def data_received(self, data: bytes) -> None:
-        self._held += data
-        if b"\r\n\r\n" not in self._held:
+        self._received += data
+        if b"\r\n\r\n" not in self._received:
             return
-        match, self._held = QUERY.search(self._held), b""
+        match, self._received = QUERY.search(self._received), b""
         assert match is not None
         self._since = int(match[1])
-        self._feed.list.watchers.add(self.news)
+        self._discovery.list.watchers.add(self.answer_if_newer)
         self._timer = asyncio.get_running_loop().call_later(int(match[2]) / 1000, self._answer)
-        self.news()
+        self.answer_if_newer()
 
-    def news(self) -> None:
-        if self._since is not None and len(self._feed.list.events) > self._since:
+    def answer_if_newer(self) -> None:
+        if self._since is not None and len(self._discovery.list.events) > self._since:
             self._answer()
 
     def _answer(self) -> None:
-        mood, since, transport = self._feed.mood, self._since, self.transport
-        self._feed.list.watchers.discard(self.news)
+        behaviour, since, transport = self._discovery.behaviour, self._since, self.transport
+        self._discovery.list.watchers.discard(self.answer_if_newer)
         if self._timer is not None:
             self._timer.cancel()
-        if since is None or transport is None or transport.is_closing() or mood is FeedMood.SILENT:
+        if (
+            since is None
+            or transport is None
+            or transport.is_closing()
+            or behaviour is DiscoveryBehaviour.SILENT
+        ):
             return
         self._since = None
-        events = self._feed.list.events
+        events = self._discovery.list.events
         body = json.dumps({"n": len(events), "events": events[since:]}).encode()
-        if mood is FeedMood.ERRORS:
+        if behaviour is DiscoveryBehaviour.ERRORS:
             transport.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-        elif mood is FeedMood.SHORT:
+        elif behaviour is DiscoveryBehaviour.SHORT:
             transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:9]))
         else:
             transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-            self._feed.told(since, len(events))
+            self._discovery.notified(since, len(events))
 
 
-class FeedHost:
-    """The feed as one process sees it, at the ports that its configurations have named."""
+class DiscoveryServer:
+    """The discovery service as one process sees it, at the ports that its configurations have named."""
 
-    def __init__(self, events: EventList, told: Callable[[int, int], None]) -> None:
-        """`told`: called with the numbers between which events were handed over."""
-        self.list, self.told, self.mood = events, told, FeedMood.SOUND
-        self.polls = set[Poll]()
+    def __init__(self, events: EventList, notified: Callable[[int, int], None]) -> None:
+        """`notified`: called with the numbers between which events were handed over."""
+        self.list, self.notified, self.behaviour = events, notified, DiscoveryBehaviour.HEALTHY
+        self.polls = set[DiscoverySession]()
         self._servers: list[asyncio.Server] = []
 
     async def open(self) -> int:
-        """A further port, to which the feed moves; the ones before stay."""
+        """A further port, to which the discovery service moves; the ones before stay."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Poll(self), "127.0.0.1", 0)
+        server = await loop.create_server(lambda: DiscoverySession(self), "127.0.0.1", 0)
         self._servers.append(server)
         return int(server.sockets[0].getsockname()[1])
 
-    def set(self, mood: FeedMood) -> None:
-        self.mood = mood
-        if mood is FeedMood.DOWN:
+    def set(self, behaviour: DiscoveryBehaviour) -> None:
+        self.behaviour = behaviour
+        if behaviour is DiscoveryBehaviour.DOWN:
             for poll in list(self.polls):
                 if poll.transport is not None:
                     reset(poll.transport)
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -17,16 +17,16 @@
 
 from tests.faults import Faults
 from tests.helpers import ROOT, SERVICES, free_address
+from tests.soak.checker import REQUESTS_OWED_AFTER_SIGTERM_S, Checker
 from tests.soak.clients import Clients, frame
-from tests.soak.feed import EventList, FeedHost
-from tests.soak.oracle import COUNTED_S, Oracle
+from tests.soak.discovery import DiscoveryServer, EventList
 
 READY_S = 10.0
 LONGEST_DEADLINE_S = 2.0
-KILL_AFTER_S = LONGEST_DEADLINE_S + COUNTED_S  # the earliest that the page allows
-COLD_S, COLD_WINDOW_S, COLD_MULTIPLE, COLD_SHARE = 6.0, 2.0, 2.0, 0.3
-BUDGET_SPAN_S, BUDGET_FREE, BUDGET_SHARE = 10.0, 5, 0.1
-WINDOW_S = 0.8
+KILL_AFTER_S = LONGEST_DEADLINE_S + REQUESTS_OWED_AFTER_SIGTERM_S  # the earliest that the page allows
+SLOW_START_S, OVERLOAD_WINDOW_S, OVERLOAD_FACTOR, INITIAL_SHARE = 6.0, 2.0, 2.0, 0.3
+BUDGET_WINDOW_S, FREE_RETRIES, BUDGET_SHARE = 10.0, 5, 0.1
+DEDUPLICATION_WINDOW_S = 0.8
 CORES = 16
 MEMORY_MB, SOCKETS = 192, 192
 
@@ -40,7 +40,7 @@
             "importance": importance,
             "semantics": semantics,
             "dedupScope": "all",
-            "windowUs": int(WINDOW_S * 1e6),
+            "windowUs": int(DEDUPLICATION_WINDOW_S * 1e6),
         }
 
     return {
@@ -50,12 +50,12 @@
         "position": position,
         "familyInfo": {**SERVICES["familyInfo"], "parallelism": [1, 1, 1], "cpuOfKind": [CORES]},
         "safety": {
-            "coldFrom": COLD_SHARE,
-            "coldUs": int(COLD_S * 1e6),
-            "fallMultiple": COLD_MULTIPLE,
-            "overloadForUs": int(COLD_WINDOW_S * 1e6),
-            "ratioSpanUs": int(BUDGET_SPAN_S * 1e6),
-            "minExtra": BUDGET_FREE,
+            "coldFrom": INITIAL_SHARE,
+            "coldUs": int(SLOW_START_S * 1e6),
+            "fallMultiple": OVERLOAD_FACTOR,
+            "overloadForUs": int(OVERLOAD_WINDOW_S * 1e6),
+            "ratioSpanUs": int(BUDGET_WINDOW_S * 1e6),
+            "minExtra": FREE_RETRIES,
             "extraRatio": BUDGET_SHARE,
             "drainGraceUs": 500_000,
         },
@@ -72,31 +72,31 @@
         size: int,
         folder: Path,
         events: EventList,
-        oracle: Oracle,
-        chance: random.Random,
+        checker: Checker,
+        random_source: random.Random,
         slack: Callable[[], float],
     ) -> None:
         self.name, self._position, self._size, self._folder = name, position, size, folder
-        self._events, self._oracle, self._chance = events, oracle, chance
+        self._events, self._checker, self._random = events, checker, random_source
         self.faults = Faults(folder / f"{name}.faults")
         self._config, self.log = folder / f"{name}.json", folder / f"{name}.log"
         self.listen = free_address()
         host, _, port = self.listen.rpartition(":")
-        self.feed = FeedHost(events, self._told)
-        self._feed_port, self._importance, self.life = 0, 1.0, 0
+        self.discovery = DiscoveryServer(events, self._notified)
+        self._discovery_port, self._importance, self.incarnation = 0, 1.0, 0
         self.clients = Clients(
-            name, (host, int(port)), oracle, chance, time.monotonic, slack, lambda: self.life
+            name, (host, int(port)), checker, random_source, time.monotonic, slack, lambda: self.incarnation
         )
         self._child: subprocess.Popen[bytes] | None = None
         self._ending, self.busy = False, False  # busy: it ends, or it starts
 
-    def _told(self, since: int, until: int) -> None:
-        """The feed has handed over events: from now on it is told of the drains among them."""
+    def _notified(self, since: int, until: int) -> None:
+        """The process was sent events: from now on it is notified of the drains among them."""
         for event in self._events.events[since:until]:
             for row in event["members"]["members"]:
-                facts = self._oracle.engines.get(str(row["id"]))
+                facts = self._checker.engines.get(str(row["id"]))
                 if facts is not None and row["phase"] != "SERVING":
-                    facts.told.setdefault(self.name, time.monotonic())
+                    facts.notified_at.setdefault(self.name, time.monotonic())
 
     def _write_config(self) -> None:
         told = {
@@ -104,7 +104,7 @@
             "listen": self.listen,
             "seed": f"{self._position + 1:016x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
-            "feed": f"127.0.0.1:{self._feed_port}",
+            "feed": f"127.0.0.1:{self._discovery_port}",
             "known": {"n": len(self._events.events), "events": list(self._events.events)},
             "settings": settings(self._position, self._size, self._importance),
         }
@@ -114,11 +114,11 @@
 
     async def start(self) -> None:
         """Starts it and waits until it says that it is ready."""
-        self.busy, self.life = True, self.life + 1
-        if not self._feed_port:
-            self._feed_port = await self.feed.open()
+        self.busy, self.incarnation = True, self.incarnation + 1
+        if not self._discovery_port:
+            self._discovery_port = await self.discovery.open()
         self._write_config()
-        self._told(0, len(self._events.events))
+        self._notified(0, len(self._events.events))
         environment = {"LB_CONFIG": str(self._config), "LB_NAME": self.name, "LB_LISTEN": self.listen}
         with self.log.open("ab") as out:
             self._child = subprocess.Popen(
@@ -131,10 +131,12 @@
         began = time.monotonic()
         while not await self._ready():
             if time.monotonic() - began > READY_S:
-                self._oracle.broke("ready", f"{self.name} is not ready after {READY_S:.0f} s")
+                self._checker.report_violation("ready", f"{self.name} is not ready after {READY_S:.0f} s")
                 break
             if self._child.poll() is not None:
-                self._oracle.broke("crash", f"{self.name} ended with {self._child.returncode} at its start")
+                self._checker.report_violation(
+                    "crash", f"{self.name} ended with {self._child.returncode} at its start"
+                )
                 break
         self.clients.terminated_at = None
         self._ending = self.busy = False
@@ -156,11 +158,11 @@
             with contextlib.suppress(ProcessLookupError):
                 self._child.send_signal(number)
 
-    async def move_feed(self, settings_too: bool) -> None:
+    async def move_discovery(self, settings_too: bool) -> None:
         """A new configuration: discovery moves, and other settings may hold."""
-        self._feed_port = await self.feed.open()
+        self._discovery_port = await self.discovery.open()
         if settings_too:
-            self._importance = self._chance.choice([1.0, 2.0])
+            self._importance = self._random.choice([1.0, 2.0])
         self._write_config()
         self.signal(signal.SIGHUP)
 
@@ -172,7 +174,7 @@
         self.clients.terminated_at = time.monotonic()
         self.signal(signal.SIGTERM)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM) if series else ():
-            await asyncio.sleep(self._chance.uniform(0.0, 0.1))
+            await asyncio.sleep(self._random.uniform(0.0, 0.1))
             self.signal(number)
         await asyncio.sleep(max(0.0, self.clients.terminated_at + KILL_AFTER_S - time.monotonic()))
         self.signal(signal.SIGKILL)
@@ -184,7 +186,7 @@
         if self.busy or self._child is None:
             return
         self.busy = self._ending = True
-        self.clients.killed.add(self.life)
+        self.clients.killed.add(self.incarnation)
         self.signal(signal.SIGKILL)
         await self._gone()
         await self.start()
@@ -195,7 +197,7 @@
             self.signal(signal.SIGSTOP)
             await asyncio.sleep(span)
             self.signal(signal.SIGCONT)
-            self._oracle.story.append(f"{began:9.3f} {self.name} stands still until {time.monotonic():.3f}")
+            self._checker.story.append(f"{began:9.3f} {self.name} stands still until {time.monotonic():.3f}")
 
     async def end(self) -> None:
         """The end of the run: it has to end by itself after SIGTERM, with nothing left to answer."""
@@ -207,32 +209,36 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._gone(), KILL_AFTER_S + 5.0)
         if self._child is not None and self._child.poll() is None:
-            self._oracle.broke("end", f"{self.name} has not ended {KILL_AFTER_S + 5:.1f} s after SIGTERM")
+            self._checker.report_violation(
+                "end", f"{self.name} has not ended {KILL_AFTER_S + 5:.1f} s after SIGTERM"
+            )
             self.signal(signal.SIGKILL)
             await self._gone()
         elif self._child is not None and self._child.returncode:
-            self._oracle.broke("crash", f"{self.name} ended with {self._child.returncode}")
+            self._checker.report_violation("crash", f"{self.name} ended with {self._child.returncode}")
 
     async def _gone(self) -> None:
         while self._child is not None and self._child.poll() is None:
             await asyncio.sleep(0.01)
 
-    def look(self) -> None:
+    def check_alive(self) -> None:
         """Whether it has ended without being told to."""
         if self._child is not None and not self._ending and not self.busy and self._child.poll() is not None:
             self._ending = True
-            self._oracle.broke("crash", f"{self.name} ended by itself with {self._child.returncode}")
+            self._checker.report_violation(
+                "crash", f"{self.name} ended by itself with {self._child.returncode}"
+            )
 
     def read_log(self) -> None:
         """What the process itself says of broken invariants and faults."""
         for line in self.log.read_text(encoding="utf-8", errors="replace").splitlines():
             if "invariant would be broken" in line and '"why"' in line:
-                self._oracle.broke("guard", f"{self.name}: {line}")
+                self._checker.report_violation("guard", f"{self.name}: {line}")
             elif "Traceback" in line or "met a fault" in line:
-                self._oracle.broke("fault", f"{self.name}: {line[:2000]}")
+                self._checker.report_violation("fault", f"{self.name}: {line[:2000]}")
 
     def destroy(self) -> None:
         self.signal(signal.SIGKILL)
         if self._child is not None:
             self._child.wait()
-        self.feed.close()
+        self.discovery.close()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 
 from tests.soak import processes, schedule
-from tests.soak.engines import EngineHost, Mood
-from tests.soak.feed import EventList, FeedMood
-from tests.soak.oracle import EngineFacts, Oracle, Rules
+from tests.soak.checker import Checker, EngineFacts, Rules
+from tests.soak.discovery import DiscoveryBehaviour, EventList
+from tests.soak.engines import EngineBehaviour, EngineServer
 from tests.soak.processes import Process
-from tests.soak.schedule import Event, Schedule
+from tests.soak.schedule import FaultEvent, Schedule
 
 WORK_S = 0.1
 LAG_TICK_S, LAG_KEPT_S = 0.01, 2.0
-LAG_MOST_S = 0.5  # past it the host was too slow to judge anything
-SETTLE_S = processes.LONGEST_DEADLINE_S + 0.7  # after the last request
-BROKEN_MOST = 20  # lines of breaks that are shown
+MAX_LAG_S = 0.5  # past it the host was too slow to judge anything
+SETTLING_S = processes.LONGEST_DEADLINE_S + 0.7  # after the last request
+MAX_VIOLATIONS_SHOWN = 20  # lines of violations that are shown
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,17 +30,21 @@
 
     seed: int
     processes: int
-    breaks: list[str]
+    violations: list[str]
     counts: dict[str, int]
     worst_lag_s: float
 
     @property
     def judged(self) -> bool:
-        return self.worst_lag_s < LAG_MOST_S
+        return self.worst_lag_s < MAX_LAG_S
 
     def line(self) -> str:
         word = (
-            "not judged, the host was too slow" if not self.judged else "broken" if self.breaks else "sound"
+            "not judged, the host was too slow"
+            if not self.judged
+            else "broken"
+            if self.violations
+            else "sound"
         )
         told = ", ".join(f"{name} {count}" for name, count in sorted(self.counts.items()))
         return f"seed {self.seed}: {word}; {self.processes} processes, lag {self.worst_lag_s:.3f} s; {told}"
@@ -50,26 +54,26 @@
     """One run of one schedule."""
 
     def __init__(self, plan: Schedule, folder: Path) -> None:
-        self._plan, self._chance, self._folder = plan, random.Random(plan.seed), folder
+        self._plan, self._random, self._folder = plan, random.Random(plan.seed), folder
         self._lags = deque[tuple[float, float]]()
         self._looked_at = time.monotonic()
         self._worst_lag = 0.0
         rules = Rules(
-            window_s=processes.WINDOW_S,
-            budget_span_s=processes.BUDGET_SPAN_S,
-            budget_free=processes.BUDGET_FREE,
+            deduplication_window_s=processes.DEDUPLICATION_WINDOW_S,
+            budget_window_s=processes.BUDGET_WINDOW_S,
+            free_retries=processes.FREE_RETRIES,
             budget_share=processes.BUDGET_SHARE,
-            cold_share=processes.COLD_SHARE,
-            cold_s=processes.COLD_S,
-            cold_multiple=processes.COLD_MULTIPLE,
-            cold_window_s=processes.COLD_WINDOW_S,
+            initial_share=processes.INITIAL_SHARE,
+            slow_start_s=processes.SLOW_START_S,
+            overload_factor=processes.OVERLOAD_FACTOR,
+            overload_window_s=processes.OVERLOAD_WINDOW_S,
             mean_work_s=WORK_S,
         )
-        self.oracle = Oracle(rules, time.monotonic, self._slack)
+        self.checker = Checker(rules, time.monotonic, self._slack)
         self._events = EventList()
-        self._engines: list[EngineHost] = []
-        self._made = 0
-        self._feed_free_at = 0.0
+        self._engines: list[EngineServer] = []
+        self._count = 0
+        self._discovery_free_at = 0.0
         self._tasks = set[asyncio.Task[None]]()
         self.processes = [
             Process(
@@ -78,7 +82,7 @@
                 plan.processes,
                 folder,
                 self._events,
-                self.oracle,
+                self.checker,
                 random.Random(plan.seed * 1000 + number),
                 self._slack,
             )
@@ -106,7 +110,7 @@
         try:
             for _ in range(self._plan.engines):
                 await self._new_engine(cold=False)
-            self._events.tell(*(engine.row() for engine in self._engines), complete=True)
+            self._events.publish(*(engine.entry() for engine in self._engines), complete=True)
             await asyncio.gather(*(process.start() for process in self.processes))
             self._worst_lag = 0.0
             await self._load_and_faults()
@@ -119,21 +123,21 @@
                 process.destroy()
             for engine in self._engines:
                 engine.close()
-        self.oracle.finish()
+        self.checker.finish()
         for process in self.processes:
             process.read_log()
-        (self._folder / "story").write_text("\n".join([*self.oracle.story, *self.oracle.breaks]))
+        (self._folder / "story").write_text("\n".join([*self.checker.story, *self.checker.violations]))
         return Verdict(
             self._plan.seed,
             self._plan.processes,
-            self.oracle.breaks,
-            dict(self.oracle.counts),
+            self.checker.violations,
+            dict(self.checker.counts),
             self._worst_lag,
         )
 
     async def _load_and_faults(self) -> None:
         loads = [
-            asyncio.create_task(process.clients.run(self._plan.rate * self._chance.uniform(0.4, 1.6)))
+            asyncio.create_task(process.clients.run(self._plan.rate * self._random.uniform(0.4, 1.6)))
             for process in self.processes
         ]
         began = time.monotonic()
@@ -141,24 +145,23 @@
             await asyncio.sleep(max(0.0, began + event.at - time.monotonic()))
             self._begin(event)
             for process in self.processes:
-                process.look()
+                process.check_alive()
         await asyncio.sleep(max(0.0, began + self._plan.length - time.monotonic()))
         for process in self.processes:
             process.clients.going = False
         while any(process.busy for process in self.processes):
             await asyncio.sleep(0.05)
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(SETTLING_S)
         for process in self.processes:
-            process.look()
+            process.check_alive()
         for task in loads:
             task.cancel()
 
-    def _begin(self, event: Event) -> None:
-        handler: Callable[[Event, random.Random], Awaitable[None]]
+    def _begin(self, event: FaultEvent) -> None:
+        handler: Callable[[FaultEvent, random.Random], Awaitable[None]]
         handler = getattr(self, f"_{event.fault.name.lower()}")
-        self.oracle.story.append(
-            f"{time.monotonic():9.3f} {event.fault.name} of {event.part} for {event.lasts:.2f} s"
-        )
+        what = f"{event.fault.name} of {event.affected_part} for {event.duration_s:.2f} s"
+        self.checker.story.append(f"{time.monotonic():9.3f} {what}")
         task = asyncio.ensure_future(handler(event, random.Random(event.seed)))
         self._tasks.add(task)
         task.add_done_callback(self._done)
@@ -166,139 +169,143 @@
     def _done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.oracle.broke("soak", f"a fault's own code failed: {task.exception()!r}")
+            self.checker.report_violation("soak", f"a fault's own code failed: {task.exception()!r}")
 
-    def _some(self, event: Event, chance: random.Random) -> list[Process]:
-        count = max(1, round(event.part * len(self.processes)))
-        return chance.sample(self.processes, count)
+    def _some(self, event: FaultEvent, random_source: random.Random) -> list[Process]:
+        count = max(1, round(event.affected_part * len(self.processes)))
+        return random_source.sample(self.processes, count)
 
-    def _serving(self) -> list[EngineHost]:
+    def _serving(self) -> list[EngineServer]:
         return [engine for engine in self._engines if engine.phase == "SERVING"]
 
-    async def _new_engine(self, cold: bool) -> EngineHost:
-        self._made += 1
+    async def _new_engine(self, cold: bool) -> EngineServer:
+        self._count += 1
         facts = EngineFacts(processes.CORES, time.monotonic() if cold else None)
-        engine = EngineHost(f"s-{self._made}", self.oracle, facts, self._chance.getrandbits(32), WORK_S)
+        engine = EngineServer(f"s-{self._count}", self.checker, facts, self._random.getrandbits(32), WORK_S)
         if cold:
             engine.started_unix_ms = int(time.time() * 1000)
         await engine.open()
         self._engines.append(engine)
         return engine
 
-    def _leaves(self, engine: EngineHost, phase: str) -> None:
+    def _leaves(self, engine: EngineServer, phase: str) -> None:
         engine.phase = phase
         if engine.facts.left_at is None:
             engine.facts.left_at = time.monotonic()
 
     # The faults.
 
-    async def _wall_step(self, event: Event, chance: random.Random) -> None:
-        for process in self._some(event, chance):
-            process.faults.step(chance.choice(schedule.STEPS_S))
+    async def _wall_clock_step(self, event: FaultEvent, random_source: random.Random) -> None:
+        for process in self._some(event, random_source):
+            process.faults.step(random_source.choice(schedule.CLOCK_STEPS_S))
 
-    async def _system_calls(self, event: Event, chance: random.Random) -> None:
-        met = self._some(event, chance)
+    async def _system_calls(self, event: FaultEvent, random_source: random.Random) -> None:
+        met = self._some(event, random_source)
         kinds = ("accept", "connect", "socket", "short")
-        rates = {name: chance.choice([0.0, 0.1, 0.5]) for name in kinds}
+        rates = {name: random_source.choice([0.0, 0.1, 0.5]) for name in kinds}
         for process in met:
             process.faults.set(**rates)
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration_s)
         for process in met:
             process.faults.set(**dict.fromkeys(kinds, 0.0))
 
-    async def _engine_mood(self, event: Event, chance: random.Random) -> None:
-        engines = [one for one in self._serving() if one.mood is Mood.SOUND]
+    async def _engine_behaviour(self, event: FaultEvent, random_source: random.Random) -> None:
+        engines = [one for one in self._serving() if one.behaviour is EngineBehaviour.HEALTHY]
         if len(engines) < 2:
             return
-        engine = chance.choice(engines)
-        engine.mood = chance.choice([mood for mood in Mood if mood is not Mood.SOUND])
-        await asyncio.sleep(2 * event.lasts)
-        engine.mood = Mood.SOUND
+        engine = random_source.choice(engines)
+        engine.behaviour = random_source.choice(
+            [behaviour for behaviour in EngineBehaviour if behaviour is not EngineBehaviour.HEALTHY]
+        )
+        await asyncio.sleep(2 * event.duration_s)
+        engine.behaviour = EngineBehaviour.HEALTHY
 
-    async def _engine_crash(self, event: Event, chance: random.Random) -> None:
+    async def _engine_crash(self, event: FaultEvent, random_source: random.Random) -> None:
         engines = self._serving()
         if len(engines) < 3:
             return
-        engine = chance.choice(engines)
+        engine = random_source.choice(engines)
         engine.phase = "DELETED"  # nobody is told yet
         engine.close()
-        await asyncio.sleep(chance.uniform(0.0, 2.0))
+        await asyncio.sleep(random_source.uniform(0.0, 2.0))
         self._leaves(engine, "DELETED")
         fresh = await self._new_engine(cold=True)
-        self._events.tell(engine.row(), fresh.row())
+        self._events.publish(engine.entry(), fresh.entry())
 
-    async def _engine_drain(self, event: Event, chance: random.Random) -> None:
+    async def _engine_drain(self, event: FaultEvent, random_source: random.Random) -> None:
         engines = self._serving()
-        leaving = chance.sample(engines, max(0, min(len(engines) - 2, chance.randint(1, 3))))
+        leaving = random_source.sample(engines, max(0, min(len(engines) - 2, random_source.randint(1, 3))))
         for engine in leaving:
             self._leaves(engine, "DRAINING")
         if not leaving:
             return
-        self._events.tell(*(engine.row() for engine in leaving))
-        await asyncio.sleep(event.lasts)
+        self._events.publish(*(engine.entry() for engine in leaving))
+        await asyncio.sleep(event.duration_s)
         fresh = [await self._new_engine(cold=True) for _ in leaving]
-        self._events.tell(*(engine.row() for engine in fresh))
-        await asyncio.sleep(event.lasts)
+        self._events.publish(*(engine.entry() for engine in fresh))
+        await asyncio.sleep(event.duration_s)
         for engine in leaving:
             self._leaves(engine, "DELETED")
-        self._events.tell(*(engine.row() for engine in leaving))
+        self._events.publish(*(engine.entry() for engine in leaving))
 
-    async def _engine_reset(self, event: Event, chance: random.Random) -> None:
-        chance.choice(self._engines).reset_all()
+    async def _engine_reset(self, event: FaultEvent, random_source: random.Random) -> None:
+        random_source.choice(self._engines).reset_all()
 
-    async def _feed_mood(self, event: Event, chance: random.Random) -> None:
+    async def _discovery_behaviour(self, event: FaultEvent, random_source: random.Random) -> None:
         """One at a time and no longer than it takes to hear in time: longer, nobody could know."""
-        if time.monotonic() < self._feed_free_at:
+        if time.monotonic() < self._discovery_free_at:
             return
-        self._feed_free_at = time.monotonic() + event.lasts + 5.0
-        met = self._some(event, chance)
-        mood = chance.choice([mood for mood in FeedMood if mood is not FeedMood.SOUND])
+        self._discovery_free_at = time.monotonic() + event.duration_s + 5.0
+        met = self._some(event, random_source)
+        behaviour = random_source.choice(
+            [behaviour for behaviour in DiscoveryBehaviour if behaviour is not DiscoveryBehaviour.HEALTHY]
+        )
         for process in met:
-            process.feed.set(mood)
-        await asyncio.sleep(event.lasts)
+            process.discovery.set(behaviour)
+        await asyncio.sleep(event.duration_s)
         for process in met:
-            process.feed.set(FeedMood.SOUND)
+            process.discovery.set(DiscoveryBehaviour.HEALTHY)
 
-    async def _reconfigure(self, event: Event, chance: random.Random) -> None:
-        for process in self._some(event, chance):
-            for _ in range(chance.randint(1, 4)):
+    async def _reconfigure(self, event: FaultEvent, random_source: random.Random) -> None:
+        for process in self._some(event, random_source):
+            for _ in range(random_source.randint(1, 4)):
                 if not process.busy:
-                    await process.move_feed(chance.random() < 0.3)
-                    await asyncio.sleep(chance.uniform(0.0, 0.3))
+                    await process.move_discovery(random_source.random() < 0.3)
+                    await asyncio.sleep(random_source.uniform(0.0, 0.3))
 
-    async def _restart(self, event: Event, chance: random.Random) -> None:
-        waits = [process.restart(chance.random() < 0.5) for process in self._some(event, chance)]
+    async def _restart(self, event: FaultEvent, random_source: random.Random) -> None:
+        waits = [
+            process.restart(random_source.random() < 0.5) for process in self._some(event, random_source)
+        ]
         await asyncio.gather(*waits)
 
-    async def _kill(self, event: Event, chance: random.Random) -> None:
-        await asyncio.gather(*(process.kill() for process in self._some(event, chance)))
+    async def _kill(self, event: FaultEvent, random_source: random.Random) -> None:
+        await asyncio.gather(*(process.kill() for process in self._some(event, random_source)))
 
-    async def _pause(self, event: Event, chance: random.Random) -> None:
-        span = chance.uniform(0.02, self._plan.longest_pause)
-        await asyncio.gather(*(process.pause(span) for process in self._some(event, chance)))
+    async def _pause(self, event: FaultEvent, random_source: random.Random) -> None:
+        span = random_source.uniform(0.02, self._plan.max_pause_s)
+        await asyncio.gather(*(process.pause(span) for process in self._some(event, random_source)))
 
-    async def _crowd(self, event: Event, chance: random.Random) -> None:
-        process = chance.choice(self.processes)
-        await process.clients.crowd_in(processes.SOCKETS // 2)
-        await asyncio.sleep(event.lasts)
-        process.clients.crowd_out()
+    async def _crowd(self, event: FaultEvent, random_source: random.Random) -> None:
+        process = random_source.choice(self.processes)
+        await process.clients.fill_connections(processes.SOCKETS // 2)
+        await asyncio.sleep(event.duration_s)
+        process.clients.close_idle_connections()
 
-    async def _nonsense(self, event: Event, chance: random.Random) -> None:
-        await asyncio.gather(*(process.clients.nonsense() for process in self._some(event, chance)))
+    async def _garbage(self, event: FaultEvent, random_source: random.Random) -> None:
+        await asyncio.gather(
+            *(process.clients.send_garbage() for process in self._some(event, random_source))
+        )
 
-    async def _leave(self, event: Event, chance: random.Random) -> None:
-        for process in self._some(event, chance):
-            process.clients.leave_all()
+    async def _disconnect(self, event: FaultEvent, random_source: random.Random) -> None:
+        for process in self._some(event, random_source):
+            process.clients.disconnect_all()
 
-    async def _pipeline(self, event: Event, chance: random.Random) -> None:
-        await asyncio.gather(*(process.clients.pipeline() for process in self._some(event, chance)))
+    async def _pipeline(self, event: FaultEvent, random_source: random.Random) -> None:
+        await asyncio.gather(*(process.clients.pipeline() for process in self._some(event, random_source)))
 
 
 def play(
-    seed: int,
-    length: float,
-    folder: Path,
-    size: int | None = None,
-    longest_pause: float = schedule.LONGEST_PAUSE_S,
+    seed: int, length: float, folder: Path, size: int | None = None, max_pause_s: float = schedule.MAX_PAUSE_S
 ) -> Verdict:
-    return asyncio.run(Run(schedule.draw(seed, length, size, longest_pause), folder).play())
+    return asyncio.run(Run(schedule.draw(seed, length, size, max_pause_s), folder).play())
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -8,60 +8,60 @@
 
 SIZES = (10, 10, 12, 12, 16, 16, 24, 40)
 HOUR_S = 3600.0
-LONGEST_PAUSE_S = 0.3
+MAX_PAUSE_S = 0.3
 INTENSITIES = (1.0, 1.0, 2.0, 3.0)
-STEPS_S = (-HOUR_S, HOUR_S, -400.0, 400.0, -5.0, 5.0, -1.0, 1.0)
+CLOCK_STEPS_S = (-HOUR_S, HOUR_S, -400.0, 400.0, -5.0, 5.0, -1.0, 1.0)
 
 
 class Fault(Enum):
     """What can befall a run. Each has a handler in `run.py` under its name in lower case."""
 
-    WALL_STEP = "the wall clock of some machines is stepped"
+    WALL_CLOCK_STEP = "the wall clock of some machines is stepped"
     SYSTEM_CALLS = "system calls fail or do less than asked"
-    ENGINE_MOOD = "an engine hangs, refuses, fails or resets"
+    ENGINE_BEHAVIOUR = "an engine hangs, refuses, fails or resets"
     ENGINE_CRASH = "an engine dies, and another takes its place"
     ENGINE_DRAIN = "engines drain, and others take their place"
     ENGINE_RESET = "all connections to an engine are reset"
-    FEED_MOOD = "the control feed is down, silent or broken for some"
+    DISCOVERY_BEHAVIOUR = "the discovery service is down, silent or broken for some"
     RECONFIGURE = "new configurations in a row"
     RESTART = "processes are restarted"
     KILL = "processes are killed at once"
     PAUSE = "processes stand still for a moment"
     CROWD = "idle clients fill the descriptors"
-    NONSENSE = "clients that do not keep to the protocol"
-    LEAVE = "clients leave in a burst"
+    GARBAGE = "clients that do not keep to the protocol"
+    DISCONNECT = "clients leave in a burst"
     PIPELINE = "clients send many requests at once"
 
 
 # How often each comes in a run of fifteen seconds, in the mean.
 MEAN_COUNTS = {
-    Fault.WALL_STEP: 4,
+    Fault.WALL_CLOCK_STEP: 4,
     Fault.SYSTEM_CALLS: 2,
-    Fault.ENGINE_MOOD: 4,
+    Fault.ENGINE_BEHAVIOUR: 4,
     Fault.ENGINE_CRASH: 1,
     Fault.ENGINE_DRAIN: 2,
     Fault.ENGINE_RESET: 2,
-    Fault.FEED_MOOD: 2,
+    Fault.DISCOVERY_BEHAVIOUR: 2,
     Fault.RECONFIGURE: 2,
     Fault.RESTART: 2,
     Fault.KILL: 1,
     Fault.PAUSE: 2,
     Fault.CROWD: 0.5,
-    Fault.NONSENSE: 3,
-    Fault.LEAVE: 2,
+    Fault.GARBAGE: 3,
+    Fault.DISCONNECT: 2,
     Fault.PIPELINE: 2,
 }
 USUAL_LENGTH_S = 15.0
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
-    """A fault, when it begins, how long it lasts, what part of the processes it meets and its own seed."""
+class FaultEvent:
+    """A fault, when it begins, how long it lasts, the part of the processes that it meets, its seed."""
 
     at: float
     fault: Fault
-    lasts: float
-    part: float
+    duration_s: float
+    affected_part: float
     seed: int
 
 
@@ -74,30 +74,30 @@
     engines: int
     rate: float  # requests a second and process
     length: float
-    longest_pause: float = LONGEST_PAUSE_S
-    events: list[Event] = field(default_factory=list)
+    max_pause_s: float = MAX_PAUSE_S
+    events: list[FaultEvent] = field(default_factory=list)
 
 
 def draw(
-    seed: int, length: float, processes: int | None = None, longest_pause: float = LONGEST_PAUSE_S
+    seed: int, length: float, processes: int | None = None, max_pause_s: float = MAX_PAUSE_S
 ) -> Schedule:
-    """`longest_pause`: of a standstill. One that begins between the last check and the write of an attempt no
+    """`max_pause_s`: of a standstill. One that begins between the last check and the write of an attempt no
     program can help; up to 0.1 s it breaks no rule."""
-    chance = random.Random(seed)
-    size = processes or chance.choice(SIZES)
-    schedule = Schedule(seed, size, chance.randint(4, 8), min(12.0, 240.0 / size), length, longest_pause)
-    intensity = chance.choice(INTENSITIES)
+    random_source = random.Random(seed)
+    size = processes or random_source.choice(SIZES)
+    schedule = Schedule(seed, size, random_source.randint(4, 8), min(12.0, 240.0 / size), length, max_pause_s)
+    intensity = random_source.choice(INTENSITIES)
     for fault, mean in MEAN_COUNTS.items():
         expected = intensity * mean * length / USUAL_LENGTH_S
-        count = int(expected) + (chance.random() < expected % 1) + chance.choice([-1, 0, 0, 1])
+        count = int(expected) + (random_source.random() < expected % 1) + random_source.choice([-1, 0, 0, 1])
         for _ in range(max(0, count)):
             schedule.events.append(
-                Event(
-                    at=chance.uniform(1.0, length - 1.0),
+                FaultEvent(
+                    at=random_source.uniform(1.0, length - 1.0),
                     fault=fault,
-                    lasts=chance.uniform(0.5, 2.5),
-                    part=chance.choice([0.0, 0.1, 0.3, 1.0]),
-                    seed=chance.getrandbits(32),
+                    duration_s=random_source.uniform(0.5, 2.5),
+                    affected_part=random_source.choice([0.0, 0.1, 0.3, 1.0]),
+                    seed=random_source.getrandbits(32),
                 )
             )
     schedule.events.sort(key=lambda event: event.at)
