--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -96,7 +96,7 @@
     assert client.answer()[:2] == (1, 0) and other.served() == ["a1"] and slow.served() == []
 
 
-def test_an_engine_is_told_the_time_that_is_left_when_its_connection_comes_up(started):
+def test_an_engine_gets_the_time_that_is_left_when_its_connection_comes_up(started):
     """It was told what was left when the attempt was planned, up to a connect too long."""
     engine = started.engine(returns, full=True)
     client = joined(started(member(engine), limits=CONNECT))
@@ -141,7 +141,7 @@
     assert other.answer()[:2] == (1, 0) and engine.served() == ["b1"]
 
 
-def test_a_client_has_gone_while_its_query_waits_in_line(started):
+def test_a_client_has_gone_while_its_query_waits_in_the_admission_queue(started):
     """The answer that makes room for it and its client's end come in one look, the answer first."""
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("rest", [b"x" * 40_000_000, frame(2, 1, b"\0") * 4_000_000], ids=["noise", "frames"])
-def test_a_client_that_breaks_the_protocol_gets_its_answers_whole(started, rest):
+def test_a_client_that_breaks_the_protocol_gets_complete_answers(started, rest):
     """A close over what it had still sent was a reset, which takes along what was not read yet."""
     engine = started.engine(lambda *_: None)
     node = started(member(engine))
@@ -250,7 +250,7 @@
         ({"replay": "\n"}, 2, None),
     ],
 )
-def test_the_key_of_repeats_reaches_every_engine_unaltered(started, told, code, fields):
+def test_the_idempotency_key_reaches_every_engine_unaltered(started, told, code, fields):
     """Without it no engine can tell a repeat; seen under settings of our own, on every day."""
     engine = started.engine(returns)
     settings = classes(semantics="token", dedupScope="all", windowUs=5_000_000)
@@ -279,7 +279,7 @@
 
 
 def test_a_client_that_floods_the_same_query_and_leaves_earns_no_attempts(started):
-    """Seen on a day with bad clients under settings of our own: they broke the ration of further attempts."""
+    """Seen on a day with bad clients under settings of our own: they broke the retry budget of retries."""
     engine = started.engine(lambda e, c, i: reset(c))
     safety = {**SERVICES["safety"], "ratioSpanUs": 20_000_000, "extraRatio": 0.1, "minExtra": 1}
     node = started(member(engine), settings={"safety": safety})
@@ -294,11 +294,11 @@
     for stream, name in enumerate(asked, 1):
         client.ask(stream, name)
         client.answer()
-    further = [name for name in engine.served() if name in asked]
-    assert len(further) <= len(asked) + 1  # 1 and a tenth of 9 queries
+    retries = [name for name in engine.served() if name in asked]
+    assert len(retries) <= len(asked) + 1  # 1 and a tenth of 9 queries
 
 
-def test_a_feed_that_moved_to_where_nobody_is(started):
+def test_a_discovery_service_that_moved_to_where_nobody_is(started):
     """What the former one had to tell was not heard any more."""
     one, two = started.engine(returns), started.engine(returns)
     node = started(member(one, "s-1"))
@@ -339,7 +339,7 @@
     assert node.process.returncode == 0
 
 
-def test_a_feed_that_answers_at_once_without_news_is_not_asked_in_a_storm(started):
+def test_a_discovery_service_that_answers_at_once_without_events_is_not_polled_in_a_storm(started):
     feed = Feed()
     node = started(member(started.engine(returns)), feed=feed)
     empty = b'{"n":1,"events":[]}'
@@ -354,7 +354,7 @@
     assert time.monotonic() - began >= 3 * 0.25  # the pause that had begun is not counted
 
 
-def test_a_feed_that_stops_within_an_answer_is_asked_again_before_the_wait_is_over(started):
+def test_a_discovery_service_that_stops_within_an_answer_is_polled_again_before_the_wait_is_over(started):
     """Each process waited for the rest until the time for the whole poll was over."""
     feed, one, two = Feed(), started.engine(returns), started.engine(returns)
     node = started(member(one, "s-1"), feed=feed, limits={"dialTimeoutUs": 20_000_000})
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -124,7 +124,7 @@
         (False, ConnectionLost, [AttemptStage.WRITTEN, AttemptStage.PARTLY_WRITTEN]),
     ],
 )
-def test_a_lost_connection_tells_what_had_left_whole(left, why, stages):
+def test_a_lost_connection_reports_what_was_written_completely(left, why, stages):
     """The last command handed over has not left whole before the transport says that all has."""
     fleet = Fleet()
     fleet.send("a")
@@ -148,7 +148,7 @@
     assert wire.writes == 2 and fleet.ends == []
 
 
-def test_a_dispatch_with_a_cancel_behind_it_may_have_left_whole():
+def test_an_attempt_with_a_cancel_behind_it_may_be_written_completely():
     """Only the last command handed over is known not to have: here that is the cancel."""
     fleet = Fleet()
     fleet.send("a", 1.0)
@@ -172,8 +172,8 @@
     assert fleet.connect().value() == b""
 
 
-def test_a_cancel_has_left_before_the_end_is_told():
-    """Else the next dispatch of the batch could reach another engine before the cancel reached this one."""
+def test_a_cancel_has_left_before_the_end_is_reported():
+    """Else the next attempt of the query could reach another engine before the cancel reached this one."""
     fleet = Fleet()
     fleet.send("a", 1.0)
     wire = fleet.connect()
@@ -185,7 +185,9 @@
 
 
 @pytest.mark.parametrize(("may_cancel", "may_copy"), [(True, False), (False, False), (False, True)])
-def test_what_answered_with_an_unknown_word_is_abandoned_before_its_end_is_told(may_cancel, may_copy):
+def test_an_attempt_answered_with_an_unknown_word_is_abandoned_before_its_end_is_reported(
+    may_cancel, may_copy
+):
     fleet = Fleet(may_cancel=may_cancel, may_copy=may_copy)
     fleet.send("a")
     wire = fleet.connect()
@@ -208,8 +210,8 @@
     assert fleet.ends == [("a", EndCause.TIMEOUT, AttemptStage.WRITTEN)]
 
 
-def test_without_cancels_and_copies_a_dispatch_has_a_connection_alone_and_its_end_abandons_it():
-    """Seen on sockets: a dispatch that timed out stayed out at its engine, and the next was a second copy."""
+def test_without_cancels_and_hedged_requests_an_attempt_has_a_connection_alone_and_its_end_abandons_it():
+    """Seen on sockets: an attempt that timed out stayed out at its engine, and the next was hedged."""
     fleet = Fleet(may_cancel=False, may_copy=False)
     fleet.send("a", 1.0)
     fleet.send("b")
@@ -223,10 +225,10 @@
     fleet.connect(1)
     fleet.say(command(b"b", b"OK", b"total=1", b"a\tb\tc\n"))
     fleet.send("c")
-    assert len(fleet.reactor.tcpClients) == 2  # a connection is used again, one dispatch at a time
+    assert len(fleet.reactor.tcpClients) == 2  # a connection is used again, one attempt at a time
 
 
-def test_a_batch_s_further_dispatch_takes_another_connection():
+def test_a_retry_takes_another_connection():
     fleet, used = Fleet(), []
     fleet.send("a", 1.0, used)
     wire = fleet.connect()
@@ -235,13 +237,13 @@
     fleet.send("a", 1.0, used)
     assert len(fleet.reactor.tcpClients) == 2 and wire.value() == b""
     fleet.say(command(b"a", b"OK", b"total=1", b"a\tb\tc\n"))
-    assert [name for name, *_ in fleet.ends] == ["a"]  # the late answer ended no dispatch
+    assert [name for name, *_ in fleet.ends] == ["a"]  # the late answer ended no attempt
 
 
 @pytest.mark.parametrize(
     ("most", "connections", "calls", "again"), [(32, 4, 2, 2), (2, 2, 2, 2), (32, 1, 1, 1), (1, 3, 3, 3)]
 )
-def test_there_are_as_many_connections_as_dispatches_on_each(most, connections, calls, again):
+def test_there_are_as_many_connections_as_attempts_on_each(most, connections, calls, again):
     """What befalls a connection befalls all that is open on it; one for each took twice the CPU."""
     fleet = Fleet(most, connections=connections, others=0)
     for name in "abc":
@@ -261,7 +263,7 @@
     ],
 )
 def test_an_answer_that_stops_short_ends_its_connection_soon(came, stage):
-    """It held its batches to their time limits, and the connection took new ones that shared their fate."""
+    """It held its queries to their deadlines, and the connection took new ones that shared their fate."""
     fleet = Fleet()
     fleet.send("a")
     fleet.send("b")
@@ -307,8 +309,8 @@
 
 
 @pytest.mark.parametrize(("idle", "calls"), [(29.0, 1), (29.8, 2)])
-def test_a_connection_that_the_engine_is_about_to_close_takes_no_dispatch(idle, calls):
-    """Without the sweep: one that comes late must not let a dispatch cross the engine's close."""
+def test_a_connection_that_the_engine_is_about_to_close_takes_no_attempt(idle, calls):
+    """Without the sweep: one that comes late must not let an attempt cross the engine's close."""
     fleet = Fleet()
     fleet.send("a")
     fleet.connect()
@@ -410,7 +412,7 @@
         return got
 
 
-def test_a_held_batch_is_answered_before_its_time_limit():
+def test_a_held_query_is_answered_before_its_deadline():
     served = Served()
     served.ask(1)
     served.advance(4.99)
@@ -418,7 +420,7 @@
 
 
 def test_the_time_limit_counts_from_the_last_look_at_the_sockets():
-    """A process that stood still for longer than a client waits must not start on its batch."""
+    """A process that stood still for longer than a client waits must not start on its query."""
     served = Served()
     served.time += 6.0
     served.ask(1)
@@ -439,7 +441,7 @@
 
 
 def test_what_a_new_client_sent_before_it_was_accepted_had_come_as_early():
-    """Seen on sockets: a pass of 70 ms made the time limits on a new connection late by it."""
+    """Seen on sockets: a pass of 70 ms made the deadlines on a new connection late by it."""
     served = Served()
     served.clock.passes += 1
     served.client, served.wire = served.join()  # accepted in a pass that ended late
@@ -452,7 +454,7 @@
     assert served.service.queries.open_count == 1
 
 
-def test_an_overdue_batch_is_answered_within_a_pass_that_lasts():
+def test_an_overdue_query_is_answered_within_a_pass_that_lasts():
     """Seen on sockets: timers wait for the end of a pass, and answers came too late by long ones."""
     served = Served()
     served.ask(1, allow="300")
@@ -470,7 +472,7 @@
     assert sent == [len(served.wire.value())] and served.answers() == [(1, AnswerStatus.FAILED)]
 
 
-def test_guards_of_answered_batches_do_not_pile_up():
+def test_deadlines_of_answered_queries_do_not_pile_up():
     served = Served()
     for stream in range(1, 1001):
         served.ask(stream)
@@ -478,8 +480,8 @@
     assert served.service.queries.open_count == 0 and len(served.service.deadlines) <= 103
 
 
-def test_batches_leave_no_cycles_to_collect():
-    """The program runs without automatic collections: what a batch leaves must go by itself."""
+def test_queries_leave_no_cycles_to_collect():
+    """The program runs without automatic collections: what a query leaves must go by itself."""
     served = Served()
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
     served.service.listed(EngineListChange(1, True, [member]))
@@ -529,7 +531,7 @@
     assert [stream for stream, _ in served.answers()] == [1, 2]
 
 
-def test_statements_held_are_bounded_by_the_memory_told():
+def test_statements_held_are_bounded_by_the_memory_limit():
     served = Served(room=1000)
     served.ask(1, b"x" * 600)
     served.ask(2, b"x" * 600)
@@ -539,7 +541,7 @@
     assert served.answers() == [(2, AnswerStatus.REJECTED)] and served.service.queries.open_count == 1
 
 
-def test_a_dispatch_past_the_most_allowed_or_of_a_batch_that_is_over_is_not_sent():
+def test_an_attempt_past_the_limit_or_of_an_ended_query_is_not_sent():
     served = Served()
     served.ask(1)
     request = served.client.open[1]
@@ -609,7 +611,7 @@
         (b"ready", 8.3, True),
     ],
 )
-def test_who_sends_nothing_whole_or_nothing_any_more_is_ended(begun, span, ended):
+def test_a_client_that_sends_no_complete_frame_or_nothing_any_more_is_ended(begun, span, ended):
     """Silent connections, and some that had asked once, held their descriptors for good."""
     served = Served()
     client, wire = served.join()
@@ -784,10 +786,10 @@
     query_answered = engine_ran = engines_changed
 
     def constrain(self, want):
-        return FailingGuide() if want.service_class == "load" else self.engines_changed(want)
+        return FailingConstraint() if want.service_class == "load" else self.engines_changed(want)
 
 
-class FailingGuide(QueryConstraint):
+class FailingConstraint(QueryConstraint):
     def attempt_sent(self, engine):
         raise RuntimeError("no lead")
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -139,7 +139,7 @@
     return talk
 
 
-def test_a_dispatch_is_laid_out_as_the_page_says():
+def test_an_attempt_is_encoded_as_the_protocol_says():
     talk = resp_codec.Exchange(Pool(), 4, True)
     talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
@@ -230,7 +230,7 @@
     ],
 )
 @SIZES
-def test_every_answer_ends_its_dispatch_once(data, cause, stage, size):
+def test_every_answer_ends_its_attempt_once(data, cause, stage, size):
     talk = exchange()
     got = [end for piece in pieces(data + b" " * 3, size) for end in talk.feed(piece)]
     assert [(i, e.cause, e.stage) for i, e in got] == [(b"q", cause, stage)] and not talk.open
@@ -246,7 +246,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_a_late_answer_passes_for_no_other(may_cancel):
-    """Answers name only the id. One given up must not end a dispatch of the same batch sent later."""
+    """Answers name only the id. One given up must not end an attempt of the same query sent later."""
     talk = exchange(most=2, may_cancel=may_cancel)
     assert talk.give_up(b"q") is AttemptStage.WRITTEN
     assert talk.out == ([resp_codec.command(b"cancel", b"q")] if may_cancel else [])
@@ -271,7 +271,7 @@
     ],
 )
 def test_a_note_ends_nothing(told, note, size):
-    """Taken for an answer that cannot be read, it had a batch dispatched again beside the one that ran on."""
+    """Taken for an answer that cannot be read, it had a query retried beside the one that ran on."""
     talk, data = exchange(), said(b"q", b"NOTE", told) + said(b"z", b"NOTE", told) + said(b"q", b"ERR")
     got = [said for piece in pieces(data, size) for _, said in talk.feed(piece)]
     assert got[:-1] == ([note] if note else []) and got[-1].cause is EndCause.ERROR
@@ -285,7 +285,7 @@
     assert talk.broken and not talk.takes(b"s") and list(talk.feed(said(b"q", b"ERR"))) == []
 
 
-def test_something_begun_is_awaited_until_it_is_whole():
+def test_something_begun_is_awaited_until_it_is_complete():
     """A message that stops in its middle says nothing more: only time tells, and the driver must know."""
     talk, data = exchange(), PAGE
     assert talk.awaits is None
@@ -300,7 +300,7 @@
     assert list(talk.feed(PAGE)) == [] and not talk.takes(b"r")
 
 
-def test_what_is_lost_tells_how_far_it_had_come():
+def test_a_lost_attempt_reports_how_far_it_had_come():
     talk = exchange()
     talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     assert list(talk.feed(PAGE)) == []
@@ -346,7 +346,7 @@
     assert set(attempt_outcome.OUTCOMES) == wanted
 
 
-# The feed.
+# The discovery service.
 
 BODY = b'{"n":0,"events":[]}'
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 19\r\n\r\n" + BODY
@@ -385,7 +385,7 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", discovery_codec.Unreadable),
     ],
 )
-def test_an_answer_of_the_feed(data, result, size):
+def test_an_answer_of_the_discovery_service(data, result, size):
     reader, got = discovery_codec.ReplyReader(Pool()), None
     for piece in pieces(data, size):
         got = got or reader.feed(piece)
@@ -433,7 +433,7 @@
         {"events": [event(1, {"id": "e"})]},
     ],
 )
-def test_nonsense_from_the_feed_changes_nothing(told):
+def test_nonsense_from_the_discovery_service_changes_nothing(told):
     assert isinstance(discovery_codec.parse(told, {}, {}), discovery_codec.Unreadable)
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -45,7 +45,7 @@
     engine.say(connection, ident, "ERR")
 
 
-def test_a_batch_of_several_pages_is_returned_unaltered(started):
+def test_an_answer_of_several_pages_is_returned_unaltered(started):
     pages = [b"x\ty\tz\r\n" * 700, b"\xc3\xa4\t*4\t$1\n", b"", b"q\tr\ts\n" * 900]
     engine = started.engine(lambda e, c, i: e.returns(c, i, pages))
     node = started(member(engine))
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "service", "code", "dispatches"),
+    ("script", "service", "code", "attempts"),
     [
         (says("BUSY"), "load", 1, 3),
         (says("VOID"), "load", 1, 3),
@@ -75,15 +75,15 @@
         (loses_a_page, "look", 1, 3),
     ],
 )
-def test_what_may_have_run_is_dispatched_again_only_where_that_does_no_harm(
-    started, script, service, code, dispatches
+def test_what_may_have_run_is_retried_only_where_that_does_no_harm(
+    started, script, service, code, attempts
 ):
     engine = started.engine(script)
     client = started(member(engine)).client()
     client.ask(1, "a1", service)
     stream, got, fields, body = client.answer()
     assert (stream, got, body) == (1, code, b"") and ("cooldown" in fields) == (code == 1)
-    assert 1 <= len(engine.served()) <= dispatches and set(engine.served()) == {"a1"}
+    assert 1 <= len(engine.served()) <= attempts and set(engine.served()) == {"a1"}
     client.ask(2, "a2", service="nobody knows it")
     assert client.answer()[:2] == (2, 2)  # the program and the connection go on
 
@@ -97,7 +97,7 @@
     assert engine.served() == ["a1"]
 
 
-def test_a_once_only_batch_goes_on_where_a_refused_connection_proves_that_it_never_ran(started):
+def test_a_non_idempotent_query_is_retried_where_a_refused_connection_proves_that_it_never_ran(started):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         closed = listener.getsockname()[1]
     engine = started.engine(returns)
@@ -108,7 +108,7 @@
     assert sorted(engine.served()) == [f"a{n}" for n in range(1, 9)]
 
 
-def test_a_drain_heard_on_the_feed_is_heeded(started):
+def test_a_drain_in_the_engine_list_is_heeded(started):
     one, two = started.engine(returns), started.engine(returns)
     node = started(member(one, "s-1"), member(two, "s-2"))
     node.feed.heard(node.feed.tell(member(one, "s-1", "DRAINING")))
@@ -129,7 +129,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}",
     ],
 )
-def test_a_feed_that_answers_nonsense_is_asked_again_and_the_list_stays(started, spoiled):
+def test_a_discovery_service_that_answers_nonsense_is_polled_again_and_the_list_stays(started, spoiled):
     feed, one, two = Feed(), started.engine(returns), started.engine(returns)
     feed.spoil.extend([spoiled, spoiled])
     node = started(member(one, "s-1"), feed=feed)
@@ -141,7 +141,7 @@
     assert client.answer()[:2] == (2, 0) and two.served() == ["a2"]
 
 
-def test_a_feed_that_hangs_is_asked_again_on_a_new_connection(started):
+def test_a_discovery_service_that_hangs_is_polled_again_on_a_new_connection(started):
     feed, one, two = Feed(), started.engine(returns), started.engine(returns)
     feed.hangs = 1
     node = started(member(one, "s-1"), feed=feed)
@@ -152,7 +152,9 @@
     assert client.answer()[:2] == (1, 0) and two.served() == ["a1"]
 
 
-def test_a_new_configuration_moves_to_its_feed_and_settings_at_once_and_nothing_is_dropped(started):
+def test_a_new_configuration_moves_to_its_discovery_service_and_settings_at_once_and_nothing_is_dropped(
+    started,
+):
     """Unhandled, SIGHUP ended the program. The poll that is out hangs, and is not waited for. What is wrong
     changes nothing; what was taken before the switch is answered once, the next goes by the new settings."""
     held, old, new = [], Feed(), Feed()
@@ -162,7 +164,7 @@
     until(lambda: old.hangs == 0, "the poll that hangs")
     client = node.client()
     client.ask(1, "a1", "load")
-    until(lambda: held, "the dispatch")
+    until(lambda: held, "the attempt")
     new.events.extend(old.events)
     told = json.loads(node.config.read_text())
     report = {**told["settings"]["classes"][0], "name": "report", "kindsOnly": [0]}
@@ -194,7 +196,7 @@
     node = started(member(old))
     client = node.client()
     client.ask(1, "a1", "load")
-    until(old.served, "the dispatch")
+    until(old.served, "the attempt")
     old.script = returns
     node.feed.heard(node.feed.tell(member(old, started=1_700_000_000_000)))
     assert client.answer()[:2] == (1, 2)
@@ -219,7 +221,7 @@
     client = started(member(engine)).client()
     client.ask(1, "a1")
     client.ask(2, "a2")
-    until(lambda: len(held) == 2, "both dispatches")
+    until(lambda: len(held) == 2, "both attempts")
     client.send(struct.pack(">IBI", 5, 8, 1))
     client.send(struct.pack(">IBI", 6, 16, 0) + b"\0")
     assert client.read() == (32, 0, b"\0\0")  # so the leaving was read
@@ -228,16 +230,16 @@
     assert client.answer()[:2] == (2, 0)
 
 
-def test_a_connection_that_goes_takes_its_batches_with_it(started):
+def test_a_lost_connection_takes_its_queries_with_it(started):
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
     node = started(member(engine))
     gone, other = node.client(), node.client()
     gone.ask(1, "a1")
-    until(lambda: held, "the dispatch")
+    until(lambda: held, "the attempt")
     reset(gone.socket)
     other.ask(1, "b1")
-    until(lambda: len(held) == 2, "the other's dispatch")
+    until(lambda: len(held) == 2, "the other's attempt")
     for connection, ident in held:
         engine.returns(connection, ident)
     assert other.answer()[:2] == (1, 0)
@@ -265,7 +267,7 @@
     bad, good = node.client(), node.client()
     bad.ask(1, "a1", "load")
     good.ask(1, "b1", "load")
-    until(lambda: len(held) == 2, "both dispatches")
+    until(lambda: len(held) == 2, "both attempts")
     with contextlib.suppress(OSError):  # it may be ended before all was sent
         bad.send(data)
     assert bad.read() in ((4, 1, b"\2\0"), None) and bad.read() in ((4, 0, b"\2\0"), None)
@@ -275,7 +277,7 @@
         engine.returns(connection, ident)
     assert good.answer()[:2] == (1, 0)
     good.ask(2, "b2")
-    until(lambda: len(held) == 3, "one more dispatch")
+    until(lambda: len(held) == 3, "one more attempt")
 
 
 def test_silent_connections_are_ended_and_make_room_for_others(started):
@@ -285,12 +287,12 @@
     busy = [node.client() for _ in range(8)]
     for client in busy:
         client.ask(1, f"a{busy.index(client)}")
-    until(lambda: len(engine.served()) == 8, "the dispatches")
+    until(lambda: len(engine.served()) == 8, "the attempts")
     quiet = [node.client() for _ in range(12)]
     assert quiet[0].read() in ((4, 0, b"\2\0"), None)
     late = node.client()
     late.ask(1, "b1")
-    until(lambda: "b1" in engine.served(), "the dispatch of one that came later")
+    until(lambda: "b1" in engine.served(), "the attempt of one that came later")
     assert quiet[-1].read() in ((4, 0, b"\2\0"), None) and busy[0].socket.fileno() >= 0
 
 
@@ -317,18 +319,18 @@
         {"name": "b1"},
     ],
 )
-def test_fields_that_cannot_be_used_get_an_errored_answer(started, told):
-    """None goes to an engine, which closes on what it cannot read, or takes two batches of one id for one."""
+def test_fields_that_cannot_be_used_get_a_failed_answer(started, told):
+    """None goes to an engine, which closes on what it cannot read, or takes two queries of one id for one."""
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
     node = started(member(engine))
     other, client = node.client(), node.client()
     other.ask(1, "b1")
-    until(lambda: held, "the dispatch")
+    until(lambda: held, "the attempt")
     client.ask(1, **{"name": "a1", **told})
     assert client.answer() == (1, 2, {}, b"")
     client.ask(2, "a2")
-    until(lambda: len(held) == 2, "another dispatch")
+    until(lambda: len(held) == 2, "another attempt")
     for connection, ident in held:
         engine.returns(connection, ident)
     assert client.answer()[:2] == (2, 0) and other.answer()[:2] == (1, 0) and engine.served() == ["b1", "a2"]
@@ -344,7 +346,7 @@
 
 @pytest.mark.parametrize(("limits", "asked", "least"), [({"maxOpen": 2}, 5, 3), ({}, 33, 1)])
 def test_what_is_open_is_bounded(started, limits, asked, least):
-    """Past the told number, of all connections or of one, a batch is pushed back at once."""
+    """Past the told number, of all connections or of one, a query is pushed back at once."""
     engine = started.engine(silent)
     client = started(member(engine), limits=limits).client()
     for stream in range(1, asked + 1):
@@ -377,7 +379,7 @@
     for client in clients:
         for stream in range(1, 33):
             client.ask(stream, f"{clients.index(client)}-{stream}")
-    until(lambda: len(engine.served()) >= 16, "as many dispatches as there may be connections")
+    until(lambda: len(engine.served()) >= 16, "as many attempts as there may be connections")
     # One more is not said to have found an engine dead: it waits or is pushed back, and the rest go on.
     assert len(engine.connections) <= 16 and node.process.poll() is None
 
@@ -389,12 +391,12 @@
     client, silent_one, half = node.client(), node.client(), node.client()
     half.send(b"\0\0\0\x40\2")
     client.ask(1, "a1")
-    until(lambda: held, "the dispatch")
+    until(lambda: held, "the attempt")
     node.process.send_signal(signal.SIGTERM)
     assert client.read() == (64, 0, b"")
     late = node.client()  # connections may come for a while
     late.ask(1, "b1")
-    until(lambda: len(held) == 2, "the late dispatch")
+    until(lambda: len(held) == 2, "the late attempt")
     for connection, ident in held:
         engine.returns(connection, ident)
     assert client.answer()[:2] == (1, 0) and late.answer()[:2] == (1, 0)
@@ -405,18 +407,18 @@
 
 
 def test_what_came_while_it_stood_still_is_read_before_timers_are_believed(started):
-    """Seen as a time-out of a dispatch whose answer lay in the socket."""
+    """Seen as a time-out of an attempt whose answer lay in the socket."""
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
     node = started(member(engine))
     client = node.client()
     client.ask(1, "a1", "load", allow="1500")
-    until(lambda: held, "the dispatch")
+    until(lambda: held, "the attempt")
     stand_still(node, lambda: engine.returns(*held[0]), 1.6)
     assert client.answer()[:2] == (1, 0)
 
 
-def test_a_time_limit_that_passed_while_it_stood_still_is_answered_and_not_dispatched(started):
+def test_a_deadline_that_passed_while_it_stood_still_is_answered_and_not_attempted(started):
     engine = started.engine(returns)
     node = started(member(engine))
     client = node.client()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -57,7 +57,7 @@
 
 
 def test_steps_forward_do_not_renew_the_retry_budget(started, faults):
-    """Rule 7: each step emptied the window that further attempts are counted in."""
+    """Rule 7: each step emptied the window that retries are counted in."""
     engine = started.engine(lambda e, c, i: e.say(c, i, "ERR"))
     safety = {**SERVICES["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
     node = started(member(engine), faults=faults, settings={"safety": safety})
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("span", STEPS)
-def test_a_process_told_to_end_ends_though_its_clock_is_stepped(started, faults, span):
+def test_a_process_that_is_terminated_ends_though_its_clock_is_stepped(started, faults, span):
     node = started(member(started.engine(returns)), faults=faults)
     client = joined(node)
     node.process.send_signal(signal.SIGTERM)
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("span", STEPS)
-def test_an_engine_told_again_after_a_step_is_the_same_process(started, faults, span):
+def test_an_engine_listed_again_after_a_step_is_the_same_process(started, faults, span):
     """Else all that is out on it is lost, and it counts as cold again."""
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
