--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -279,7 +279,7 @@
 
 
 def test_a_client_that_floods_the_same_query_and_leaves_earns_no_attempts(started):
-    """Seen on a day with bad clients under settings of our own: they broke the retry budget of retries."""
+    """Seen on a day with bad clients under settings of our own: they broke the retry budget."""
     engine = started.engine(lambda e, c, i: reset(c))
     safety = {**SERVICES["safety"], "ratioSpanUs": 20_000_000, "extraRatio": 0.1, "minExtra": 1}
     node = started(member(engine), settings={"safety": safety})
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -75,9 +75,7 @@
         (loses_a_page, "look", 1, 3),
     ],
 )
-def test_what_may_have_run_is_retried_only_where_that_does_no_harm(
-    started, script, service, code, attempts
-):
+def test_what_may_have_run_is_retried_only_where_that_does_no_harm(started, script, service, code, attempts):
     engine = started.engine(script)
     client = started(member(engine)).client()
     client.ask(1, "a1", service)
