--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -19,7 +19,7 @@
     RetryBudgetTerms,
 )
 from vanerelay.invariants import BUCKET_WIDTH, MIN_ANSWERS, GuardTerms, Invariant, InvariantGuard
-from vanerelay.net.events import BURST, MAX_REASONS, EventLog, Kind
+from vanerelay.net.events import BURST, MAX_REASONS, EventLog, LogEventKind
 
 NOW = 1000 * SECOND
 LIMIT = NOW + 20 * SECOND
@@ -232,13 +232,13 @@
 
     events = EventLog(Stopped())
     for number in range(10 * BURST):
-        events.note(Kind.RETRY, "reset", id=f"{number:016x}")
+        events.note(LogEventKind.RETRY, "reset", id=f"{number:016x}")
     events.write_counts()
-    assert events.counts[Kind.RETRY, "reset"] == 10 * BURST
-    assert capsys.readouterr().out.count(Kind.RETRY.value) <= BURST + 1
+    assert events.counts[LogEventKind.RETRY, "reset"] == 10 * BURST
+    assert capsys.readouterr().out.count(LogEventKind.RETRY.value) <= BURST + 1
     for number in range(10 * MAX_REASONS):
-        events.note(Kind.CLOSE, f"a frame's length is {number}")
-    assert len(events.counts) <= MAX_REASONS + len(Kind)
+        events.note(LogEventKind.CLOSE, f"a frame's length is {number}")
+    assert len(events.counts) <= MAX_REASONS + len(LogEventKind)
     assert events.counts.total() == 10 * BURST + 10 * MAX_REASONS
 
 
@@ -270,10 +270,10 @@
     until(lambda: "up to draining" in node.log.read_text(), "the change of state")
     until(lambda: "client, by us" in node.log.read_text(), "the close")
     lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
-    retry = next(line for line in lines if line["event"] == Kind.RETRY.value)
+    retry = next(line for line in lines if line["event"] == LogEventKind.RETRY.value)
     assert bytes.fromhex(retry["id"]).lstrip(b"\0") == b"a1" and retry["why"] == "error, written whole"
-    refusal = [line for line in lines if line["event"] == Kind.REJECTION.value]
+    refusal = [line for line in lines if line["event"] == LogEventKind.REJECTION.value]
     assert [line["why"] for line in refusal] == ["rejected by the decisions", "failed by the decisions"]
-    assert any(line["event"] == Kind.CLOSE.value and "client, by us" in line["why"] for line in lines)
-    state = next(line for line in lines if line["event"] == Kind.STATE.value)
+    assert any(line["event"] == LogEventKind.CLOSE.value and "client, by us" in line["why"] for line in lines)
+    state = next(line for line in lines if line["event"] == LogEventKind.STATE.value)
     assert state["engine"] == "s-1" and state["why"] == "engine up to draining"
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -16,7 +16,7 @@
 from vanerelay.net.engine_connection import NOT_SENT
 from vanerelay.net.engine_list_updates import EngineListUpdates
 from vanerelay.net.engine_pool import EnginePool
-from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.extensions import guarded
 from vanerelay.net.held_queries import ClientQuery
 from vanerelay.net.resp_codec import QueryCommand
@@ -61,7 +61,7 @@
         attempt = self._prepare(query, engine, wait)
         if number:
             self._events.note(
-                Kind.RETRY,
+                LogEventKind.RETRY,
                 query.last_end or "no attempt ended",
                 id=query.name,
                 attempt=number,
@@ -124,7 +124,7 @@
         broken = self._guard.begin_attempt(self._decisions.now, query.guard_record, number, engine)
         if broken is not None:
             self._events.note(
-                Kind.VIOLATION, broken.value, id=query.name, engine=self._engine_list.name_of(engine)
+                LogEventKind.VIOLATION, broken.value, id=query.name, engine=self._engine_list.name_of(engine)
             )
         return broken is None
 
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -17,7 +17,7 @@
 from vanerelay.interface import AnswerStatus
 from vanerelay.net import frames
 from vanerelay.net.buffers import Pool
-from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.frames import FrameKind
 from vanerelay.net.rate_limited_log import RateLimitedLog
 
@@ -274,7 +274,7 @@
             return
         if not self._owner.service.may_close(len(self.open)):
             self._fail_open()
-        self._owner.events.note(Kind.CLOSE, f"client, by us: {why}", detail=detail)
+        self._owner.events.note(LogEventKind.CLOSE, f"client, by us: {why}", detail=detail)
         self._reader.drop()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
@@ -335,7 +335,7 @@
         self._owner.forget(self)
         if not self.ended:
             why = f"client, by it: {reason.type.__name__ if reason.type else 'unknown'}"
-            self._owner.events.note(Kind.CLOSE, why, bool(self.open), open=len(self.open))
+            self._owner.events.note(LogEventKind.CLOSE, why, bool(self.open), open=len(self.open))
         abandoned, self.open = list(self.open.values()), {}
         for request in abandoned:
             self._leave(request)
--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -18,7 +18,7 @@
 from vanerelay.net.attempt import Attempt
 from vanerelay.net.buffers import Pool
 from vanerelay.net.engine_protocol import EngineProtocol
-from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.resp_codec import Exchange, Note, QueryCommand
 
 MAX_NAMED = 5
@@ -237,7 +237,11 @@
     def _note_close(self, why: str) -> None:
         idents = [ident.decode() for ident in self.attempts]
         self._process.events.note(
-            Kind.CLOSE, f"engine, {why}", bool(idents), host=self._process.host, out=idents[:MAX_NAMED]
+            LogEventKind.CLOSE,
+            f"engine, {why}",
+            bool(idents),
+            host=self._process.host,
+            out=idents[:MAX_NAMED],
         )
 
     def probe(self, tag: bytes) -> None:
@@ -360,7 +364,7 @@
             timed_out = isinstance(failure.value, ConnectTimeOut)
             cause = EndCause.CONNECT_TIMEOUT if timed_out else EndCause.CONNECTION_REFUSED
             self._process.events.note(
-                Kind.CLOSE,
+                LogEventKind.CLOSE,
                 f"engine, {cause.value}",
                 host=self._process.host,
                 fault=type(failure.value).__name__,
--- a/vanerelay/net/engine_list_updates.py
+++ b/vanerelay/net/engine_list_updates.py
@@ -12,7 +12,7 @@
 from vanerelay.net.decisions import Decisions
 from vanerelay.net.engine_pool import MAX_DROPPED, EnginePool
 from vanerelay.net.engine_start_times import EngineStarts
-from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.extensions import Extensions
 from vanerelay.query_table import EngineNames
 
@@ -89,4 +89,4 @@
     def _note_state(self, listed: ListedEngine, change: StateChange | None) -> None:
         if change is not None:
             why = f"engine {change.before} to {change.after}"
-            self._events.note(Kind.STATE, why, change.before != "unknown", engine=listed.name)
+            self._events.note(LogEventKind.STATE, why, change.before != "unknown", engine=listed.name)
--- a/vanerelay/net/events.py
+++ b/vanerelay/net/events.py
@@ -24,7 +24,7 @@
 log = structlog.get_logger()
 
 
-class Kind(Enum):
+class LogEventKind(Enum):
     """What an event is; the value is the name of its log line."""
 
     CLOSE = "connection closed"
@@ -39,11 +39,11 @@
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
-        self.counts = Counter[tuple[Kind, str]]()
+        self.counts = Counter[tuple[LogEventKind, str]]()
         self._lines, self._filled_at = float(BURST), reactor.seconds()
         self._counts_due, self._counted = reactor.seconds() + COUNTS_INTERVAL_S, 0
 
-    def note(self, kind: Kind, why: str, line: bool = True, **values: Any) -> None:
+    def note(self, kind: LogEventKind, why: str, line: bool = True, **values: Any) -> None:
         """Counts an event, and writes a line unless it is to be counted alone.
 
         Args:
--- a/vanerelay/net/query_answers.py
+++ b/vanerelay/net/query_answers.py
@@ -7,7 +7,7 @@
 from vanerelay.clock import Clock
 from vanerelay.interface import SECOND, AnswerStatus
 from vanerelay.invariants import Invariant, InvariantGuard
-from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.extensions import Extensions, guarded
 from vanerelay.net.held_queries import ClientQuery, OpenQueries
 from vanerelay.net.service_settings import SettingsInForce
@@ -41,7 +41,7 @@
     ) -> None:
         """Gives a query its answer, unless the guard knows that it has one."""
         if query.guard_record is not None and not self._guard.may_answer(query.guard_record):
-            self._events.note(Kind.VIOLATION, Invariant.ANSWER.value, id=query.name)
+            self._events.note(LogEventKind.VIOLATION, Invariant.ANSWER.value, id=query.name)
             return
         self._report(query, status, client_waited=True)
         self._close(query)
@@ -60,7 +60,7 @@
         """Logs that a query is rejected or fails."""
         waited = (self._clock.now() - query.received_after) * 1000 // SECOND
         self._events.note(
-            Kind.REJECTION,
+            LogEventKind.REJECTION,
             why,
             id=query.name,
             waited_ms=waited,
--- a/vanerelay/net/query_ends.py
+++ b/vanerelay/net/query_ends.py
@@ -4,7 +4,7 @@
 
 from vanerelay.interface import AnswerStatus
 from vanerelay.net.decisions import Decisions
-from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.held_queries import ClientQuery, OpenQueries
 from vanerelay.net.query_answers import QueryAnswers
 
@@ -23,7 +23,7 @@
     def client_left(self, query: ClientQuery) -> None:
         """Its client no longer waits; attempts that are out still end."""
         if not query.ended:
-            self._events.note(Kind.REJECTION, "client left", False)
+            self._events.note(LogEventKind.REJECTION, "client left", False)
             self._answers.abandon(query)
             self._stop_attempts(query)
         self._queries.settle(query)
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -18,7 +18,7 @@
 from vanerelay.net.client_connection import ClientConnection, RequestResult
 from vanerelay.net.deadlines import Deadlines
 from vanerelay.net.decisions import Decisions
-from vanerelay.net.events import EventLog, Kind
+from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.extensions import Extensions
 from vanerelay.net.held_queries import (
     ClientQuery,
@@ -276,7 +276,7 @@
         status = rejection.status
         self._answers.report_unheld(request_codec.service_class(frame.fields), status)
         if rejection.reason is not RejectionReason.UNSATISFIABLE:
-            self._events.note(Kind.REJECTION, rejection.reason.value, id=rejection.reference)
+            self._events.note(LogEventKind.REJECTION, rejection.reason.value, id=rejection.reference)
         fields = request_codec.explanation_fields(rejection.explanation)
         client.answer(frame.stream, status, fields, b"")
         unusable = rejection.reason is RejectionReason.UNUSABLE
