--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 from vanerelay.adapter.wire import cost
 from vanerelay.settings import ticks_ceil, ticks_floor
 
-PROFILE = {
+RAW_SETTINGS = {
     "az": 0,
     "groupSize": 2,
     "position": 0,
@@ -59,7 +59,7 @@
 
 def started(manager=0, page=0):
     return [
-        event("up", manager, initSeed=7, profileData=PROFILE),
+        event("up", manager, initSeed=7, profileData=RAW_SETTINGS),
         event("rosterChange", manager, form="cached", page=page, rev=1),
     ]
 
@@ -185,8 +185,8 @@
     out = io.StringIO()
     assert main(io.StringIO('{"clockUs":0,"input":[]}\n' + line + "\n"), out) == 1
     assert out.getvalue() == '{"orders":[]}\n'
-    told = capsys.readouterr().err
-    assert told.count("\n") == 1 and "malformed" in told and "Traceback" not in told
+    printed = capsys.readouterr().err
+    assert printed.count("\n") == 1 and "malformed" in printed and "Traceback" not in printed
 
 
 def test_a_fault_in_the_decisions_is_reported_with_its_cause():
