--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -368,13 +368,13 @@
     def __init__(self, room=10_000, **limits):
         self.reactor, self.time = MemoryReactorClock(), 1000.0
         self.clock = Clock(lambda: self.time)
-        profile = {**SERVICES, "limits": {**SERVICES["limits"], **limits}}
-        cancel = bool(profile["limits"]["cancel"])
-        connect_s = profile["limits"]["dialTimeoutUs"] / 1e6
+        raw_settings = {**SERVICES, "limits": {**SERVICES["limits"], **limits}}
+        cancel = bool(raw_settings["limits"]["cancel"])
+        connect_s = raw_settings["limits"]["dialTimeoutUs"] / 1e6
         settings = ConnectionSettings(32, cancel, True, connect_s, 30.0, 0.6)
         self.engines = EnginePool(self.reactor, Pool(), settings, 100, self.clock.when_fresh)
-        self.service = GatewayService(self.reactor, self.clock, profile, self.engines, None, room)
-        self.service.apply_settings(7, profile)
+        self.service = GatewayService(self.reactor, self.clock, raw_settings, self.engines, None, room)
+        self.service.apply_settings(7, raw_settings)
         self.spare = False
         self.clients = ClientListener(self.reactor, self.clock, self.service, Pool(), 3, lambda: self.spare)
         self.client, self.wire = self.join()
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -136,8 +136,8 @@
 @click.option("--name", envvar="LB_NAME", help="The name in the log [LB_NAME]; else as configured.")
 @click.option("--options", help="The operators' own file, as HCL: subsystems that are switched on.")
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
-@click.option("--listen-fd", type=int, hidden=True, help="The listening socket of a keeper.")
-@click.option("--ready-fd", type=int, hidden=True, help="Where to tell a keeper that batches are taken.")
+@click.option("--listen-fd", type=int, hidden=True, help="The listening socket of a supervisor.")
+@click.option("--ready-fd", type=int, hidden=True, help="Where to tell a supervisor that queries are taken.")
 def serve(
     config: str,
     listen: str | None,
--- a/vanerelay/net/accepting_port.py
+++ b/vanerelay/net/accepting_port.py
@@ -9,6 +9,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.main import CONNECTION_LOST
 from twisted.internet.tcp import Port, Server
+from twisted.python.failure import Failure
 
 # Nothing can be accepted for want of something that others may let go of. Whoever waits goes on waiting.
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
@@ -75,7 +76,7 @@
             if self._accept_waiting() is None:
                 return
 
-    def connectionLost(self, reason: Any) -> None:
+    def connectionLost(self, reason: Failure) -> None:
         """The port is closed."""
         if self._accept_timer is not None and self._accept_timer.active():
             self._accept_timer.cancel()
--- a/vanerelay/net/extensions.py
+++ b/vanerelay/net/extensions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING, Any, TypeVar
+from typing import TYPE_CHECKING, ParamSpec, TypeVar
 
 import structlog
 
@@ -15,15 +15,18 @@
 
 FAULT = "a subsystem met a fault"
 """The log line. It is on the wire as well, as the explanation for a client whose query meets the error."""
+Arguments = ParamSpec("Arguments")
 Result = TypeVar("Result")
 
 log = structlog.get_logger()
 
 
-def guarded(call: Callable[..., Result], *values: Any) -> Result | None:
+def guarded(
+    call: Callable[Arguments, Result], *arguments: Arguments.args, **named: Arguments.kwargs
+) -> Result | None:
     """Calls an extension; None where it fails, which is logged."""
     try:
-        return call(*values)
+        return call(*arguments, **named)
     except Exception:
         log.exception(FAULT)
         return None
