--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -114,10 +114,16 @@
         raw_settings = configuration.raw_settings
         for extension in self._extensions:
             raw_settings = extension.initial_settings(raw_settings)
+        self._reload = SettingsReload(
+            self.service,
+            lambda address: self.discovery.move(address),
+            self._extensions,
+            self.seed,
+            raw_settings,
+        )
         self.service.join(self._extensions)
         self.service.apply_settings(self.seed, raw_settings)
         self.discovery = self._make_discovery(configuration)
-        self._reload = SettingsReload(self.service, self.discovery, self._extensions, self.seed, raw_settings)
 
     def _make_discovery(self, configuration: Configuration) -> DiscoveryClient:
         on_change: ListListener = self.service.listed
--- a/vanerelay/net/settings_reload.py
+++ b/vanerelay/net/settings_reload.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from typing import Any
 
 import structlog
 
 from vanerelay import settings_validation
 from vanerelay.extension import Extension, StartupError
-from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.gateway_service import GatewayService
 from vanerelay.net.service_settings import RawSettings
 from vanerelay.net.startup import read_configuration
@@ -27,13 +26,14 @@
     def __init__(
         self,
         service: GatewayService,
-        discovery: DiscoveryClient,
+        move_discovery: Callable[[str], None],
         extensions: Sequence[Extension],
         seed: int,
         raw_settings: RawSettings,
     ) -> None:
+        """`move_discovery`: polls another address from now on; raises ValueError where it is none."""
         self._service = service
-        self._discovery = discovery
+        self._move_discovery = move_discovery
         self._extensions = extensions
         self._seed = seed
         self.settings = raw_settings
@@ -45,7 +45,7 @@
         """
         try:
             configuration = read_configuration(path)
-            self._discovery.move(configuration.discovery_address)
+            self._move_discovery(configuration.discovery_address)
         except (StartupError, ValueError) as error:
             log.warning("configuration not read again", why=str(error))
             return
