--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: seeded schedules of the served drivers in virtual time, and the tables of each pure part."""
+"""Leases: the pure parts one by one, the store, and the configuration."""
 
 from __future__ import annotations
 
@@ -12,18 +12,9 @@
 from twisted.internet.defer import fail, succeed
 from twisted.internet.task import Clock
 
-from tests.histories import operations, register
 from vanerelay.fleet.failure_detector import Member, MemberState
 from vanerelay.fleet.rpc import RequestRefusedError
 from vanerelay.interface import SECOND
-from vanerelay.lab.lease_simulation import (
-    Fault,
-    Simulation,
-    SimulationSettings,
-    draw_faults,
-    minimize,
-    run_schedule,
-)
 from vanerelay.leases import assignment, messages
 from vanerelay.leases import config as leases_config
 from vanerelay.leases.claim import Claim, ClaimStage
@@ -32,7 +23,6 @@
 from vanerelay.leases.fencing import FencingGate, LeaseHolder
 from vanerelay.leases.maintenance_schedule import MaintenanceSchedule, shard_of
 from vanerelay.leases.voter import (
-    TOKENS_PER_ERA,
     Ballot,
     Grant,
     LeaseTerms,
@@ -47,7 +37,6 @@
 from vanerelay.leases.voter_service import VoterService
 from vanerelay.operator_config import OperatorConfigError, read_file
 
-SEEDS, EACH = 12, 8
 TERMS = LeaseTerms(term=SECOND, max_term=2 * SECOND, clock_drift=0.02, takeover_delay=SECOND // 10)
 THREE = Voters(1, ("a", "b", "c"))
 
@@ -59,145 +48,6 @@
     structlog.reset_defaults()
 
 
-def violations(simulation):
-    return [
-        *operations.violations(simulation.rows),
-        *register.violations(simulation.rows),
-        *simulation.violations,
-    ]
-
-
-@pytest.mark.parametrize("first", range(0, SEEDS * EACH, EACH))
-def test_schedules_of_faults_never_let_two_act(first):
-    for seed in range(first, first + EACH):
-        setting = SimulationSettings()
-        faults = draw_faults(seed, setting)
-        simulation = run_schedule(seed, faults, setting)
-        found = violations(simulation)
-        if found:
-            least = minimize(faults, lambda fewer, seed=seed: bool(violations(run_schedule(seed, fewer))))
-            raise AssertionError(f"seed {seed}: {found[:3]} after {least}")
-        assert sum(row["op"] == "order" and row["result"] == "ok" for row in simulation.rows) > 200
-
-
-def test_faults_built_in_on_purpose_are_found_in_a_schedule_that_is_minimized(monkeypatch):
-    """Holders that count too long a term, and receivers that refuse nothing."""
-    monkeypatch.setattr("vanerelay.leases.voter.LeaseTerms.holder_term", lambda self, term: 2 * term)
-    monkeypatch.setattr(FencingGate, "refusal", lambda self, *operation: None)
-    extra = [*(Fault("cut", f"m{n}", 3.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5))]
-    found = [seed for seed in range(2) if violations(run_schedule(seed, extra))]
-    assert found
-    least = minimize(extra, lambda fewer: bool(violations(run_schedule(found[0], fewer))))
-    assert len(least) < len(extra)
-
-
-CASES = {
-    "the holder frozen, thawed after a successor acts": [Fault("freeze", "m{}", 4.0, 3.0)],
-    "cut one way: it receives, and is not received": [Fault("cut", "m{}", 4.0, 4.0)],
-    "cut the other way": [Fault("deaf", "m{}", 4.0, 4.0)],
-    "replies 3 s late, and duplicated": [Fault("slow", "m{}", 4.0, 4.0), Fault("double", "m1", 3.0, 8.0)],
-    "shut down in mid-operation": [Fault("end", "m{}", 4.0, 2.0)],
-    "a voter killed with its disk": [Fault("lost", "m{}", 4.0, 2.0)],
-    "killed": [Fault("kill", "m{}", 4.0, 3.0)],
-}
-
-
-@pytest.mark.parametrize("name", CASES)
-def test_each_kind_of_fault_hits_each_holder_in_turn(name):
-    for holder in (1, 2, 3):
-        faults = [replace(one, gateway=one.gateway.format(holder)) for one in CASES[name]]
-        simulation = run_schedule(holder, faults)
-        assert violations(simulation) == [] and len(simulation.holders()) == 3, holder
-
-
-def test_a_partition_with_a_holder_on_each_side():
-    halves = [Fault("cut", one, 4.0, 5.0, other) for one in ("m1", "m4") for other in ("m2", "m3", "m5")]
-    back = [Fault("deaf", one.gateway, 4.0, 5.0, one.other) for one in halves]
-    simulation = run_schedule(3, [*halves, *back])
-    assert violations(simulation) == [] and len(simulation.holders()) == 3
-
-
-def test_two_of_three_voters_without_disks_do_not_vote_until_an_operator_starts_an_era():
-    both = [Fault("lost", "m1", 4.0, 1.0), Fault("lost", "m2", 4.0, 1.0)]
-    simulation = run_schedule(1, both)
-    assert violations(simulation) == [] and simulation.holders() == {}
-    before = max(row["number"] for row in simulation.rows if row["op"] == "order")
-    simulation.order_era(2)
-    simulation.run([], 8.0)
-    assert len(simulation.holders()) == 3 and violations(simulation) == []
-    after = {row["number"] for row in simulation.rows if row["op"] == "acquire" and row["number"] > before}
-    assert after and min(after) > 2 * TOKENS_PER_ERA
-
-
-def test_all_gateways_killed_at_once_hold_again_where_disks_last():
-    simulation = run_schedule(2, [Fault("kill", f"m{n}", 5.0, 1.0) for n in range(1, 6)])
-    assert violations(simulation) == [] and len(simulation.holders()) == 3
-
-
-def test_sixty_tasks_and_a_third_of_the_gateways_killed():
-    setting = SimulationSettings(gateways=12, voters=5, tasks=60, length=8.0)
-    simulation = run_schedule(
-        5, [Fault("kill", f"m{n}", 4.0, 20.0) for n in (2, 7, 9, 12)], setting, settle=6.0
-    )
-    held = simulation.holders()
-    assert violations(simulation) == [] and len(held) == 60
-    each = [list(held.values()).count(name) for name in set(held.values())]
-    assert max(each) <= 12  # of 8 gateways left: 7.5 each, and a quarter more, and what was held already
-
-
-def test_messages_at_rest_do_not_grow_with_gateways():
-    rates = {}
-    for gateways in (3, 12, 60):
-        simulation = Simulation(1, SimulationSettings(gateways=gateways, voters=3, tasks=6))
-        simulation.start_all()
-        simulation.run([], 10.0)
-        before, at = simulation.messages, simulation.clock.seconds()
-        simulation.run([], 10.0)
-        rates[gateways] = (simulation.messages - before) / (simulation.clock.seconds() - at)
-    assert rates[60] <= 1.8 * rates[12] and rates[60] < 200, rates
-
-
-def test_voters_change_by_a_joint_step_while_tasks_are_held():
-    """From m1, m2, m3 to m3, m4, m5, gateway by gateway; then the old ones are gone with their disks."""
-    simulation = Simulation(4, SimulationSettings(length=60.0))
-    simulation.start_all()
-    simulation.run([], 4.0)
-
-    def restart(name, voters):
-        process = simulation.processes[name]
-        process.kill(False)
-        process.config = replace(process.config, voters=voters)
-        process.start()
-        simulation.run([], 2.5)
-
-    joint = Voters(2, ("m3", "m4", "m5"), ("m1", "m2", "m3"))
-    for name in ("m1", "m2", "m3", "m4", "m5"):
-        restart(name, joint)
-    new_voters = [simulation.processes[name].leases.voter_service.voter for name in ("m4", "m5")]
-    assert [voter.memory for voter in new_voters] == [VoterMemory.READY] * 2
-    for name in ("m3", "m4", "m5", "m1", "m2"):
-        restart(name, Voters(3, ("m3", "m4", "m5")))
-    simulation.processes["m1"].kill(True)
-    simulation.processes["m2"].kill(True)
-    simulation.run([], 6.0)
-    assert violations(simulation) == [] and set(simulation.holders().values()) <= {"m3", "m4", "m5"}
-    assert len(simulation.holders()) == 3
-
-
-def test_receivers_that_cannot_refuse_are_protected_by_the_takeover_delay_but_for_a_frozen_packet():
-    """Without a freeze between check and operation nothing late arrives where the next holder waits; what a
-    frozen process sends at last is what stays open, and is seen."""
-    setting = SimulationSettings(receivers_refuse=False)
-    for seed in range(6):
-        cuts = [Fault("cut", f"m{n}", 1.0 + 2.5 * n, 2.0) for n in (1, 2, 3, 4, 5)]
-        assert operations.violations(run_schedule(seed, cuts, setting).rows) == []
-    frozen = [Fault("freeze", f"m{n}", 1.0 + 2.9 * n + 0.001, 2.6) for n in (1, 2, 3, 4, 5)]
-    # With this seed a process freezes just between check and operation.
-    unprotected, protected = run_schedule(7, frozen, setting).rows, run_schedule(7, frozen).rows
-    assert operations.outdated(unprotected) and operations.violations(unprotected)
-    assert operations.outdated(protected) and operations.violations(protected) == []
-
-
 # Voters.
 
 
