--- a/vanerelay/rollout/class_totals.py
+++ b/vanerelay/rollout/class_totals.py
@@ -3,23 +3,13 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import IntEnum
 
+from vanerelay.interface import MILLISECOND, AnswerStatus
 from vanerelay.rollout.canary_metrics import LATENCY_BUCKETS, latency_bucket
 from vanerelay.rollout.messages import ClassMetrics
 
 MAX_CLASSES = 64
 """Service classes that are told apart: clients may make names up, and a message has to stay small."""
-UNITS_PER_MILLISECOND = 10
-"""Durations are in tenths of a millisecond."""
-
-
-class AnswerStatus(IntEnum):
-    """The status of a client's answer, as in the frames."""
-
-    COMPLETED = 0
-    REJECTED = 1
-    FAILED = 2
 
 
 @dataclass(slots=True)
@@ -43,7 +33,7 @@
         self.late += status == AnswerStatus.COMPLETED and earned < 1.0
         self.attempts += attempts
         if status == AnswerStatus.COMPLETED:
-            self.latency_counts[latency_bucket(duration / UNITS_PER_MILLISECOND)] += 1
+            self.latency_counts[latency_bucket(duration / MILLISECOND)] += 1
 
     def metrics(self) -> ClassMetrics:
         """The totals as they are sent."""
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -10,7 +10,7 @@
 
 import click
 
-from vanerelay.interface import SECOND
+from vanerelay.interface import MILLISECOND, SECOND
 from vanerelay.rollout import plan_reader
 from vanerelay.rollout.change_log import ChangeLog, Command
 from vanerelay.rollout.errors import ChangeLogError
@@ -20,8 +20,6 @@
 from vanerelay.rollout.stage_machine import StageMachine
 
 EXIT_DONE, EXIT_ROLLED_BACK, EXIT_UNUSABLE, EXIT_UNDER_WAY, EXIT_FENCED = 0, 1, 2, 3, 4
-UNITS_PER_MILLISECOND = 10
-"""Durations are in tenths of a millisecond."""
 
 PLAN_ARGUMENT = click.argument("path", metavar="PLAN")
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Tells JSON, an object a line.")
@@ -227,7 +225,7 @@
     row: dict[str, Any] = {
         "change": change,
         "fence": fence,
-        "at_ms": event.at // UNITS_PER_MILLISECOND,
+        "at_ms": event.at // MILLISECOND,
         "what": event.kind,
     }
     optional = (("manager", event.gateway), ("to", event.target), ("why", event.reason))
