--- a/vanerelay/policy/memory_estimator.py
+++ b/vanerelay/policy/memory_estimator.py
@@ -16,7 +16,7 @@
 """Least factor of a grant over the expected peak; wider where peaks spread more."""
 
 BUCKET_STEP = math.log(1.12)
-"""Log of the factor between two sizes of grants. Few sizes keep grants comparable between queries."""
+"""Log of the factor between two sizes of grants. Grants are rounded up to such a size."""
 
 ROUNDING_SLACK = 1e-9
 """In steps: a size that is a bucket's, but for rounding, stays in that bucket."""
@@ -26,11 +26,14 @@
 falls short spills."""
 
 SHAPE_LIFETIME = 30 * SECOND
-"""How long a shape counts after its last run. Tables change."""
+"""How long a shape counts after its last run."""
 
 SHAPE_RUNS = 20
 """Runs that a shape's offset averages. With the last peak alone half of all grants fell short."""
 
+NO_TABLE_GROUP = -1
+"""Stands for a query of which not even the table group is known."""
+
 SHAPE_PRIOR_RUNS = 2
 """Runs' worth of weight on no offset at all, when a shape is new."""
 
@@ -64,6 +67,10 @@
         steps = math.ceil(wanted / BUCKET_STEP - ROUNDING_SLACK)
         return min(cap, math.exp(BUCKET_STEP * steps))
 
+    def typical_size(self, now: int, service_class: int) -> float:
+        """The grant of a query that nothing is known of but its class; 0 where nothing was learned."""
+        return self.size(now, service_class, NO_TABLE_GROUP, 0.0, math.inf)
+
     def reserved(
         self, now: int, service_class: int, table_group: int, estimated: float, grant: float
     ) -> float:
