--- a/vanerelay/lab/engine_server.py
+++ b/vanerelay/lab/engine_server.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 import random
-import re
-from dataclasses import dataclass, replace
 from typing import Any
 
 from vanerelay.interface import SECOND, Duration
 from vanerelay.lab.cache_model import TableCache
 from vanerelay.lab.discovery_server import DiscoveryServer, EngineEntry
 from vanerelay.lab.engine_model import EngineModel, Job, JobEvent, SlowStart, Submission
+from vanerelay.lab.engine_requests import Attempt, Operation, Statement
 from vanerelay.lab.engine_session import EngineSession
 from vanerelay.lab.event_log import (
     CONNECTION_REFUSED,
@@ -27,8 +26,6 @@
 from vanerelay.lab.scenario_config import EngineGroup
 from vanerelay.leases.fencing import FencingGate
 
-WORK_PATTERN = re.compile(rb"-- w=(\d+) m=(\d+) n=(\d+)")
-TABLE_PATTERN = re.compile(rb"(INTO|FROM) sales_(\d+)\.")
 POSITIONS_PER_PAGE = 200
 OPERATION_TIME = SECOND // 50
 """That a leased operation takes an engine."""
@@ -36,76 +33,6 @@
 """From an engine's leaving the endpoint list to its end."""
 
 
-@dataclass(frozen=True, slots=True)
-class Statement:
-    """What an engine reads from the text of a query.
-
-    Attributes:
-        work: core time in ticks.
-        table: the table group, -1 for none.
-        is_load: whether it writes the table group.
-    """
-
-    work: int = 100
-    memory_mb: int = 1
-    threads: int = 1
-    table: int = -1
-    is_load: bool = False
-
-    @classmethod
-    def read(cls, body: bytes) -> Statement:
-        """Reads the text of a query."""
-        work, table = WORK_PATTERN.search(body), TABLE_PATTERN.search(body)
-        statement = cls(int(work[1]), int(work[2]), int(work[3])) if work else cls()
-        if table is None:
-            return statement
-        return replace(statement, table=int(table[2]), is_load=table[1] == b"INTO")
-
-
-@dataclass(slots=True)
-class Attempt:
-    """One attempt at an engine.
-
-    Attributes:
-        is_cold_read: it has to read its table group first.
-        position: what a read saw of its table group when it began; None: of no replica, or not begun.
-        began: by the histories' clock.
-    """
-
-    session: EngineSession
-    ident: bytes
-    service_class: str
-    statement: Statement
-    is_cold_read: bool = False
-    position: ReplicaPosition | None = None
-    began: int = 0
-
-    @property
-    def query(self) -> str:
-        """The query's reference."""
-        return self.ident.decode()
-
-
-@dataclass(frozen=True, slots=True)
-class Operation:
-    """What a leased operation says of its lease; histories have these keys."""
-
-    task: str
-    number: int
-    serial: int
-    holder: str
-
-    @classmethod
-    def read(cls, fields: dict[str, str]) -> Operation:
-        """Reads the fields of a request."""
-        number, serial = int(fields.get("number", 0)), int(fields.get("serial", 0))
-        return cls(fields.get("task", ""), number, serial, fields.get("holder", ""))
-
-    def row(self) -> dict[str, Any]:
-        """For a history."""
-        return {"task": self.task, "number": self.number, "serial": self.serial, "holder": self.holder}
-
-
 class EngineServer:
     """One engine on sockets. Its sessions come through listeners, one for each gateway.
 
