--- a/bench/releases.py
+++ b/bench/releases.py
@@ -17,6 +17,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 # What a bad release does; run in each of its processes at the start.
 SERVES = "import sys\nif 'serve' in sys.argv:\n    import threading, time, os\n"
@@ -196,62 +197,42 @@
 def play(name: str, shim: str, seed: int, length: int, change: bool = True) -> Played:
     """Runs one release."""
     with tempfile.TemporaryDirectory() as folder:
-        script = Path(folder, "script.hcl")
-        script.write_text(text(name, shim, length, change=change), encoding="utf-8")
-        done = subprocess.run(
-            [
-                sys.executable,
-                "-m",
-                "vanerelay",
-                "lab",
-                "fleet",
-                str(script),
-                "--seed",
-                str(seed),
-                "--json",
-                "--quiet",
-                "--folder",
-                f"{folder}/play",
-            ],
-            capture_output=True,
-            text=True,
-            check=False,
-        )
+        scenario = Path(folder, "script.hcl")
+        scenario.write_text(text(name, shim, length, change=change), encoding="utf-8")
+        words = ["--seed", str(seed), "--json", "--quiet", "--folder", f"{folder}/play"]
+        done = vanerelay("lab", "fleet", str(scenario), *words)
         if not done.stdout:
             return Played(name, done.stderr.strip()[-200:], 0, 0.0, 0.0, 0, "")
         told = json.loads(done.stdout)
-        log = Path(folder, "play", "controller.log")
-        lines = log.read_text(encoding="utf-8").splitlines() if change else []
-        history = (
-            subprocess.run(
-                [
-                    sys.executable,
-                    "-m",
-                    "vanerelay",
-                    "rollout",
-                    "history",
-                    f"{folder}/play/controller/plan.hcl",
-                    "--json",
-                ],
-                capture_output=True,
-                text=True,
-                check=False,
-            ).stdout.splitlines()
-            if change
-            else []
-        )
-    events = [json.loads(line) for line in history]
-    how = next(
-        (event["to"] for event in events if event["what"] == "ended"), "under way" if change else "no change"
-    )
+        served, findings = told["served"], len(told["findings"])
+        if not change:
+            return Played(name, "no change", 0, 0.0, served, findings, "")
+        why, events = reason(Path(folder, "play", "controller.log")), change_events(folder)
+    how = next((event["to"] for event in events if event["what"] == "ended"), "under way")
     reached = {
         event["manager"] for event in events if event["what"] == "ordered" and event["to"].startswith("new")
     }
     took = (events[-1]["at_ms"] - events[0]["at_ms"]) / 1000 if events else 0.0
-    why = next(
-        (re.sub(r"^change: ", "", line) for line in lines if "going back" in line or "held at" in line), ""
-    )
-    return Played(name, how, len(reached), took, told["served"], len(told["findings"]), why[:160])
+    return Played(name, how, len(reached), took, served, findings, why)
+
+
+def vanerelay(*words: str) -> subprocess.CompletedProcess[str]:
+    """Runs a command of the program."""
+    command = [sys.executable, "-m", "vanerelay", *words]
+    return subprocess.run(command, capture_output=True, text=True, check=False)
+
+
+def change_events(folder: str) -> list[dict[str, Any]]:
+    """The controller's record of the change."""
+    done = vanerelay("rollout", "history", f"{folder}/play/controller/plan.hcl", "--json")
+    return [json.loads(line) for line in done.stdout.splitlines()]
+
+
+def reason(log: Path) -> str:
+    """Why the controller went back, or held; empty where it did neither."""
+    lines = log.read_text(encoding="utf-8").splitlines()
+    found = (re.sub(r"^change: ", "", line) for line in lines if "going back" in line or "held at" in line)
+    return next(found, "")[:160]
 
 
 def main() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -26,7 +26,7 @@
 
 
 def ends(engine, until):
-    """When each dispatch ended, with the shell's steps."""
+    """When each attempt ended, with the steps of an engine server."""
     now, found = 0, {}
     while now < until:
         due = engine.next_event_at(now)
@@ -87,7 +87,7 @@
     assert engine.capacity_share(SECOND) == 0.5 and engine.submit(SECOND, job("d")) is Submission.ACCEPTED
 
 
-def test_dispatches_of_one_that_vanished_run_on_and_waiting_ones_are_dropped():
+def test_running_attempts_of_a_lost_sender_go_on_and_queued_ones_are_dropped():
     engine = EngineModel(Machine(1, 100.0), SlowStart(), 0)
     engine.submit(0, job("runs", need=100.0))
     engine.submit(0, job("waits", need=100.0))
@@ -141,7 +141,7 @@
     } == {None}
 
 
-def test_words_for_links():
+def test_patterns_of_links():
     parties = Parties({"m1": "east", "m2": "west", "e1": "west", "clients": ""})
     assert sorted(parties.directions("m* > e1")) == [("m1", "e1"), ("m2", "e1")]
     assert sorted(parties.directions("m1 - @west")) == sorted(
@@ -172,9 +172,9 @@
 )
 
 
-def rows(*told):
+def events(*rows):
     """Time, kind, then other fields; of query `b` at `m1` unless told."""
-    return [Event(at, kind, **{"query": "b", "gateway": "m1", **other}) for at, kind, other in told]
+    return [Event(at, kind, **{"query": "b", "gateway": "m1", **other}) for at, kind, other in rows]
 
 
 def sent(at=0, manager="m1", group="order"):
@@ -185,12 +185,12 @@
     return at, EventKind.ARRIVED, {"engine": engine, "service_class": group, **other}
 
 
-def answered(at, told="returned", **other):
-    return at, EventKind.ANSWERED, {"detail": told, "service_class": "order", **other}
+def answered(at, result="returned", **other):
+    return at, EventKind.ANSWERED, {"detail": result, "service_class": "order", **other}
 
 
 @pytest.mark.parametrize(
-    "told, broken",
+    "rows, broken",
     [
         ([sent(), answered(SECOND)], []),
         ([sent(), answered(3 * SECOND)], [1]),
@@ -285,8 +285,8 @@
         ([(5, EventKind.DIED, {"detail": "exit code 1"})], [0]),
     ],
 )
-def test_rules_from_outside(told, broken):
-    assert [one.rule for one in rule_checker.check(rows(*told), CONTEXT)] == broken
+def test_rules_from_outside(rows, broken):
+    assert [one.rule for one in rule_checker.check(events(*rows), CONTEXT)] == broken
 
 
 def test_the_schedule_is_the_seed_s_alone():
@@ -305,7 +305,7 @@
         ('links   = ["m2 - @west"]', 'links   = ["m2 - @west"]\n  engines = "e1"'),
     ],
 )
-def test_bad_scripts_are_refused_with_their_line(tmp_path, change, why):
+def test_bad_scenarios_are_refused_with_their_line(tmp_path, change, why):
     text = (scenario_texts.SCENARIOS / "faults.hcl").read_text()
     path = tmp_path / "bad.hcl"
     path.write_text(text.replace(change, why, 1))
