--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -168,7 +168,7 @@
     {g.name: g for g in (ONCE, TWICE, HERE)},
     RetryBudget(10 * SECOND, 1, 0.1),
     {"e1": "east", "e2": "west"},
-    {"m9": [(0, 10 * SECOND)]},
+    {"m9": [rule_checker.Interval(0, 10 * SECOND)]},
 )
 
 
--- a/vanerelay/lab/engine_model.py
+++ b/vanerelay/lab/engine_model.py
@@ -9,6 +9,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from vanerelay.config_field import config_field
 from vanerelay.interface import SECOND, Duration
@@ -96,6 +97,20 @@
     work_done: float = 0.0
 
 
+class JobChange(NamedTuple):
+    """What has become of a job, and when."""
+
+    at: int
+    event: JobEvent
+    job: Job
+
+
+class _SentWork(NamedTuple):
+    at: int
+    sender: str
+    work: float
+
+
 @dataclass(slots=True)
 class Overload:
     """Why an engine fell over: what each gateway sent within the window, and what it could bear."""
@@ -122,13 +137,13 @@
         self.machine, self.slow_start = machine, slow_start
         self.speed, self.is_stalled, self.error_rate = 1.0, False, 0.0
         self.running, self.queue = dict[str, Job](), deque[Job]()
-        self.events = list[tuple[int, JobEvent, Job]]()
+        self.events = list[JobChange]()
         self.overloads = list[Overload]()
         self.peak_load = 0.0
         self.down_until = -1
         self.now = now
         self.started_at = now if fresh else LONG_AGO
-        self._recent_work = deque[tuple[int, str, float]]()  # time, sender, work
+        self._recent_work = deque[_SentWork]()
 
     @property
     def is_down(self) -> bool:
@@ -175,7 +190,7 @@
         for job in self.queue:
             if job.key == key:
                 self.queue.remove(job)
-                self.events.append((now, JobEvent.DROPPED, job))
+                self.events.append(JobChange(now, JobEvent.DROPPED, job))
                 self._start_queued(now)
                 return
 
@@ -188,7 +203,7 @@
         """The engine goes down; all its jobs are lost."""
         self.advance(now)
         for job in (*self.running.values(), *self.queue):
-            self.events.append((now, JobEvent.LOST, job))
+            self.events.append(JobChange(now, JobEvent.LOST, job))
         self.running.clear()
         self.queue.clear()
         self._recent_work.clear()
@@ -239,7 +254,7 @@
     def _end(self, now: int, key: str, event: JobEvent) -> None:
         job = self.running.pop(key, None)
         if job is not None:
-            self.events.append((now, event, job))
+            self.events.append(JobChange(now, event, job))
             self._start_queued(now)
 
     def _start_queued(self, now: int) -> None:
@@ -254,19 +269,19 @@
             self.queue.popleft()
             job.began_at = now
             self.running[job.key] = job
-            self.events.append((now, JobEvent.BEGAN, job))
+            self.events.append(JobChange(now, JobEvent.BEGAN, job))
 
     def _is_overloaded_by(self, now: int, job: Job) -> bool:
         """Counts a job's work; in its slow start the engine falls over if that is too much."""
         slow_start = self.slow_start
-        self._recent_work.append((now, job.sender, job.remaining_work))
-        while self._recent_work[0][0] <= now - slow_start.overload_window:
+        self._recent_work.append(_SentWork(now, job.sender, job.remaining_work))
+        while self._recent_work[0].at <= now - slow_start.overload_window:
             self._recent_work.popleft()
         if now - self.started_at >= slow_start.duration + slow_start.overload_window:
             return False
         capacity = self.machine.cores * self.capacity_share(now)
         limit = slow_start.overload_factor * capacity * slow_start.overload_window
-        recent_work = sum(work for _, _, work in self._recent_work)
+        recent_work = sum(sent.work for sent in self._recent_work)
         self.peak_load = max(self.peak_load, recent_work / limit)
         if recent_work <= limit:
             return False
@@ -275,10 +290,10 @@
 
     def _fall_over(self, now: int, limit: float) -> None:
         overload = Overload(now, limit)
-        for _, sender, work in self._recent_work:
-            overload.work_by_sender[sender] += round(work)
+        for sent in self._recent_work:
+            overload.work_by_sender[sent.sender] += round(sent.work)
         self.overloads.append(overload)
         self.crash(now, now + self.slow_start.downtime)
 
 
-__all__ = ["EngineModel", "Job", "JobEvent", "Machine", "Overload", "SlowStart", "Submission"]
+__all__ = ["EngineModel", "Job", "JobChange", "JobEvent", "Machine", "Overload", "SlowStart", "Submission"]
--- a/vanerelay/lab/engine_server.py
+++ b/vanerelay/lab/engine_server.py
@@ -185,8 +185,8 @@
         now = self._context.now()
         self.model.advance(now)
         events, self.model.events = self.model.events, []
-        for _, event, job in events:
-            self._handle(event, job, now)
+        for change in events:
+            self._handle(change.event, change.job, now)
         if self.model.overloads:
             self._fall_over()
         if self._timer is not None and self._timer.active():
--- a/vanerelay/lab/fault_injection.py
+++ b/vanerelay/lab/fault_injection.py
@@ -13,6 +13,7 @@
 from vanerelay.lab.event_log import EventKind
 from vanerelay.lab.gateway_process import GatewayProcess
 from vanerelay.lab.link_faults import LinkState
+from vanerelay.lab.rule_checker import Interval
 from vanerelay.lab.scenario_config import Fault, FaultAction, FolderFate, Program
 
 SIGNALS = {
@@ -44,14 +45,14 @@
     """Does the faults of a scenario to the parties of a run.
 
     Attributes:
-        struck: by gateway: from when until when faults excuse it.
+        struck: by gateway: when faults excuse it.
         link_delays: by engine: how late its links let things come.
     """
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment, self._scenario = deployment, deployment.scenario
         self._network, self._context = deployment.network, deployment.context
-        self.struck = defaultdict[str, list[tuple[int, int]]](list)
+        self.struck = defaultdict[str, list[Interval]](list)
         self.link_delays = defaultdict[str, Duration](int)
 
     def begin(self) -> None:
@@ -118,7 +119,7 @@
         duration = fault.duration or self._scenario.length
         if party == CLIENTS:
             now = self._context.since_load_start()
-            self.struck[gateway].append((now, now + duration + fault.delay + EXCUSED_AFTER))
+            self.struck[gateway].append(Interval(now, now + duration + fault.delay + EXCUSED_AFTER))
         elif party in deployment.engines:
             is_held = fault.action in (FaultAction.HOLD, FaultAction.CUT)
             delay = fault.delay + fault.jitter + (duration if is_held else 0) + LINK_DELAY_ALLOWANCE
@@ -137,9 +138,9 @@
             gateway.signal(signal.SIGHUP)
             return
         excused = {
-            FaultAction.KILL: (now, now + EXCUSED_AFTER),
-            FaultAction.FREEZE: (now, until),
-            FaultAction.END: (now + TAKEN_AFTER_SIGTERM, until),
+            FaultAction.KILL: Interval(now, now + EXCUSED_AFTER),
+            FaultAction.FREEZE: Interval(now, until),
+            FaultAction.END: Interval(now + TAKEN_AFTER_SIGTERM, until),
         }
         action = FaultAction(fault.action)
         self.struck[gateway.name].append(excused[action])
--- a/vanerelay/lab/link_faults.py
+++ b/vanerelay/lab/link_faults.py
@@ -12,6 +12,7 @@
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from vanerelay.interface import SECOND, Duration
 
@@ -51,6 +52,13 @@
         return self.delay + (random_source.randrange(self.jitter + 1) if self.jitter else 0)
 
 
+class _Piece(NamedTuple):
+    """Data on its way; None for the end of the stream."""
+
+    arrival: int
+    data: bytes | None
+
+
 @dataclass(slots=True)
 class DelayedStream:
     """The bytes of one connection in one direction.
@@ -60,26 +68,26 @@
 
     link: LinkState
     random_source: random.Random
-    _pieces: deque[tuple[int, bytes | None]] = field(default_factory=deque)  # None: the end
+    _pieces: deque[_Piece] = field(default_factory=deque)
     _last_arrival: int = 0
     bytes_in_flight: int = 0
 
     def send(self, now: int, data: bytes) -> None:
         """Sends one piece of data."""
         if not self.link.is_dropping:
-            self._pieces.append((self._arrival(now, len(data)), data))
+            self._pieces.append(_Piece(self._arrival(now, len(data)), data))
             self.bytes_in_flight += len(data)
 
     def close(self, now: int) -> None:
         """Sends the end of the stream."""
         if not self.link.is_dropping:
-            self._pieces.append((self._arrival(now, 0), None))
+            self._pieces.append(_Piece(self._arrival(now, 0), None))
 
     def receive(self, now: int) -> tuple[bytes, bool]:
         """What has arrived, and whether the end of the stream came after it."""
         arrived = list[bytes]()
-        while self._pieces and not self.link.is_held and self._pieces[0][0] <= now:
-            data = self._pieces.popleft()[1]
+        while self._pieces and not self.link.is_held and self._pieces[0].arrival <= now:
+            data = self._pieces.popleft().data
             if data is None:
                 return b"".join(arrived), True
             arrived.append(data)
@@ -88,7 +96,7 @@
 
     def next_arrival(self) -> int | None:
         """When the next piece arrives; None where nothing is on its way, or it is held."""
-        return self._pieces[0][0] if self._pieces and not self.link.is_held else None
+        return self._pieces[0].arrival if self._pieces and not self.link.is_held else None
 
     def _arrival(self, now: int, size: int) -> int:
         link = self.link
--- a/vanerelay/lab/rule_checker.py
+++ b/vanerelay/lab/rule_checker.py
@@ -60,25 +60,38 @@
     text: str
 
 
+@dataclass(frozen=True, slots=True)
+class Interval:
+    """From when until when, both in ticks since the start of the load."""
+
+    since: int
+    until: int
+
+    def overlaps(self, other: Interval) -> bool:
+        """Whether they have a moment in common."""
+        return self.since <= other.until and other.since <= self.until
+
+
 @dataclass(slots=True)
 class CheckContext:
     """What the checker knows beside the events.
 
     Attributes:
         zones: of engines.
-        struck: by party: from when until when faults excuse it.
+        struck: by party: when faults excuse it.
         link_delays: by engine: how late its links let things come.
     """
 
     service_classes: Mapping[str, ServiceClass]
     retry_budget: RetryBudget
     zones: Mapping[str, str]
-    struck: Mapping[str, Sequence[tuple[int, int]]] = field(default_factory=dict)
+    struck: Mapping[str, Sequence[Interval]] = field(default_factory=dict)
     link_delays: Mapping[str, Duration] = field(default_factory=dict)
 
     def excuses(self, party: str, since: int, until: int) -> bool:
         """Whether faults struck the party, or its link to clients, at any time between."""
-        return any(begin <= until and since <= end for begin, end in self.struck.get(party, ()))
+        open_for = Interval(since, until)
+        return any(interval.overlaps(open_for) for interval in self.struck.get(party, ()))
 
 
 def check(events: Sequence[Event], context: CheckContext) -> list[Finding]:
@@ -307,4 +320,4 @@
     return BUDGET_FACTOR * (budget.free_retries + budget.share * queries) + BUDGET_ALLOWANCE
 
 
-__all__ = ["CheckContext", "Finding", "Rule", "check"]
+__all__ = ["CheckContext", "Finding", "Interval", "Rule", "check"]
--- a/vanerelay/lab/scenario_run.py
+++ b/vanerelay/lab/scenario_run.py
@@ -114,7 +114,7 @@
         self._context.log(EventKind.DIED, gateway=name, detail=detail)
         if is_bad_on_purpose:
             now = self._context.since_load_start()
-            self._faults.struck[name].append((now - SECOND, now + SECOND))
+            self._faults.struck[name].append(rule_checker.Interval(now - SECOND, now + SECOND))
 
     # The start.
 
@@ -279,11 +279,12 @@
         return findings
 
     def _check_context(self) -> rule_checker.CheckContext:
-        struck = {name: list(spans) for name, spans in self._faults.struck.items()}
+        struck = {name: list(intervals) for name, intervals in self._faults.struck.items()}
         for lateness in self.latenesses:
             since = lateness.at - lateness.late_by - EXCUSED_AROUND_LATENESS
+            excused = rule_checker.Interval(since, lateness.at + EXCUSED_AROUND_LATENESS)
             for name in self._gateways:
-                struck.setdefault(name, []).append((since, lateness.at + EXCUSED_AROUND_LATENESS))
+                struck.setdefault(name, []).append(excused)
         return rule_checker.CheckContext(
             {service_class.name: service_class for service_class in self.scenario.service_classes},
             self.scenario.retry_budget,
