--- a/vanerelay/interface.py
+++ b/vanerelay/interface.py
@@ -1,9 +1,7 @@
 """The types that go into and come out of the decisions, and the protocol that the decisions call out through.
 
 All times are whole ticks of a tenth of a millisecond; memory is in MB. Queries and engines go by small
-indices that the caller hands out; an engine's name is kept beside its index because it is the same at every
-gateway.
-Nothing in this module chooses anything.
+indices that the caller hands out; an engine's name is the same at every gateway. Nothing here chooses.
 """
 
 from __future__ import annotations
@@ -30,8 +28,7 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
-    MALFORMED = "malformed answer"
-    """Bytes came that are no answer. It says nothing of the engine's health."""
+    MALFORMED = "malformed answer"  # bytes that are no answer: they say nothing of the engine's health
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT})
