--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,10 +15,10 @@
 
 PROCESS_FILES = {
     "test_crossings.py",
-    "test_guard.py",
+    "test_invariants.py",
     "test_known_red.py",
-    "test_members_sockets.py",
-    "test_plays.py",
+    "test_membership_sockets.py",
+    "test_scenarios.py",
     "test_soak.py",
     "test_sockets.py",
     "test_system_calls.py",
