--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -113,7 +113,7 @@
 def rollout_kinds() -> set[str]:
     one, host = fleet(), MagicMock()
     host.limits = {}
-    host.gateway.pool.used.return_value = 0.0
+    host.gateway.held_share.return_value = 0.0
     before = set(one.rpc.handlers)
     RolloutAgent(host, one, ClassTotals(), AgentStore(""))
     return set(one.rpc.handlers) - before
--- a/vanerelay/rollout/agent.py
+++ b/vanerelay/rollout/agent.py
@@ -143,10 +143,10 @@
         except ValueError as error:
             return f"settings: {error}"
         try:
-            profile = release.with_own(settings, self._host.settings)
+            raw_settings = release.with_own(settings, self._host.settings)
         except (TypeError, AttributeError) as error:
             return f"{type(error).__name__}: {error}"
-        refusal = self._host.apply_settings(profile)
+        refusal = self._host.apply_settings(raw_settings)
         if refusal is not None:
             return refusal
         failure = self._store.write_settings(settings)
--- a/vanerelay/rollout/extension.py
+++ b/vanerelay/rollout/extension.py
@@ -21,19 +21,19 @@
         self._host, self._fleet = host, fleet
         self._store, self._totals = AgentStore(config.folder), ClassTotals()
 
-    def initial_settings(self, profile: dict[str, Any]) -> dict[str, Any]:
+    def initial_settings(self, raw_settings: dict[str, Any]) -> dict[str, Any]:
         """The settings ordered last, while the configuration is the one that they replaced."""
-        ordered = self.reloaded_settings(profile)
+        ordered = self.reloaded_settings(raw_settings)
         is_valid = (
             settings_validation.find_error(ordered) is None
-            and settings_validation.find_restart_setting(profile, ordered) is None
+            and settings_validation.find_restart_setting(raw_settings, ordered) is None
         )
-        return ordered if is_valid else profile
+        return ordered if is_valid else raw_settings
 
-    def reloaded_settings(self, profile: dict[str, Any]) -> dict[str, Any]:
+    def reloaded_settings(self, raw_settings: dict[str, Any]) -> dict[str, Any]:
         """The same on a reload, which checks them itself."""
-        ordered = self._store.read_settings(release.settings(profile))
-        return release.with_own(ordered, profile) if ordered is not None else profile
+        ordered = self._store.read_settings(release.settings(raw_settings))
+        return release.with_own(ordered, raw_settings) if ordered is not None else raw_settings
 
     def open(self) -> None:
         """Begins to answer controllers."""
--- a/vanerelay/xds/extension.py
+++ b/vanerelay/xds/extension.py
@@ -29,12 +29,12 @@
 
     def open(self) -> None:
         """Opens the listener. Raises StartupError."""
-        host, profile = self._host, self._host.settings
+        host, raw_settings = self._host, self._host.settings
         terms = AssignmentTerms(
-            tuple(settings.service_classes(profile)),
-            settings.capabilities(profile),
-            settings.retry_budget_terms(profile),
-            settings.slow_start_terms(profile).overload_multiple,
+            tuple(settings.service_classes(raw_settings)),
+            settings.capabilities(raw_settings),
+            settings.retry_budget_terms(raw_settings),
+            settings.slow_start_terms(raw_settings).overload_multiple,
             self._config.proxy_share,
         )
         self._service = ControlService(host.reactor, host.clock, self._config, host, terms, list(host.zones))
