--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -372,7 +372,7 @@
         cancel = bool(raw_settings["limits"]["cancel"])
         connect_s = raw_settings["limits"]["dialTimeoutUs"] / 1e6
         settings = ConnectionSettings(32, cancel, True, connect_s, 30.0, 0.6)
-        self.engines = EnginePool(self.reactor, Pool(), settings, 100, self.clock.when_fresh)
+        self.engines = EnginePool(self.reactor, Pool(), settings, 100, self.clock.after_recent_poll)
         self.service = GatewayService(self.reactor, self.clock, raw_settings, self.engines, None, room)
         self.service.apply_settings(7, raw_settings)
         self.spare = False
@@ -387,8 +387,8 @@
 
     def look(self):
         """A pass of the event loop that finds nothing, and the next one."""
-        self.clock.looked = self.clock.now()
-        self.clock.passes += 2
+        self.clock.previous_poll_at = self.clock.now()
+        self.clock.loop_passes += 2
 
     def ask(self, stream, body=b"S", **other):
         told = {"service": "look", "ref": f"{stream:016x}", "allow": "5000", "project": "acme", **other}
@@ -443,10 +443,10 @@
 def test_what_a_new_client_sent_before_it_was_accepted_had_come_as_early():
     """Seen on sockets: a pass of 70 ms made the deadlines on a new connection late by it."""
     served = Served()
-    served.clock.passes += 1
+    served.clock.loop_passes += 1
     served.client, served.wire = served.join()  # accepted in a pass that ended late
     served.time += 6.0
-    served.clock.looked, served.clock.passes = served.clock.now(), served.clock.passes + 1
+    served.clock.previous_poll_at, served.clock.loop_passes = served.clock.now(), served.clock.loop_passes + 1
     served.ask(1)  # read in the pass after that: it may have been there since before it was accepted
     assert served.answers() == [(1, AnswerStatus.REJECTED)]
     served.look()
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -570,5 +570,5 @@
 def test_a_moment_of_the_calendar_is_never_taken_for_older_than_it_is(at_start, now, began, moment):
     time, wrong = 1000.0, [at_start, now]
     clock = Clock(lambda: 7.0, lambda: time + wrong.pop(0))
-    found = clock.moment(int((time + began) * 10_000)) - clock.now()
+    found = clock.from_unix_time(int((time + began) * 10_000)) - clock.now()
     assert found == int(moment * 10_000)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -125,7 +125,7 @@
     address = port.getHost()
     with socket.create_connection((address.host, address.port)):
         served.look()
-        came, port.socket = served.clock.looked, Failing(port.socket, [errno.EMFILE, errno.ENFILE])
+        came, port.socket = served.clock.previous_poll_at, Failing(port.socket, [errno.EMFILE, errno.ENFILE])
         port.doRead()
         assert clients.descriptor_count == 0 and port not in reactor.getReaders()
         while not clients.descriptor_count:
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -204,7 +204,7 @@
     ]
     assert with_others == sorted(with_others, reverse=True) and with_others[-1] == 0
     assert not assigned(
-        [engine(0, warmed_up=False, ramped_here=False), engine(1)]
+        [engine(0, warmed_up=False, used_during_slow_start=False), engine(1)]
     ).slow_start  # ramped by other gateways
 
 
--- a/vanerelay/clock.py
+++ b/vanerelay/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a process: monotonic time in ticks, and how far the event loop has handled what came."""
+"""The clock of a process: monotonic time in ticks, and how recently the event loop has handled its input."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 
 from vanerelay.interface import SECOND
 
-FRESH = SECOND // 20
-"""How old the last look at the sockets may be when an attempt begins.
+MAX_POLL_AGE = SECOND // 20
+"""Age in ticks up to which the last poll of the sockets is recent enough to begin an attempt.
 
-A client that has gone may not see an attempt begin over 0.1 s later: where the last look is older than this,
-the sockets are read once more before.
+No attempt may begin more than 0.1 s after its client has disconnected. If the last poll is older than this,
+the sockets are polled once more before the attempt begins.
 """
 MAX_CLOCK_SKEW = 2 * SECOND
-"""How far the clocks of two machines may be apart that are both taken for right."""
-MAX_LOOKS = 2
-"""After so many looks a callback comes, however long the passes take."""
+"""Largest difference in ticks between the clocks of two machines that are both trusted."""
+MAX_POLLS = 2
+"""Polls after which a waiting callback is called even if none was recent, as during long loop passes."""
 
 
 class Clock:
-    """The machine's monotonic clock in ticks, and until when the event loop has seen all.
+    """The machine's monotonic clock in ticks, and the progress of the event loop in handling its input.
 
-    Its zero is that of the Unix clock as it stood when this was made, so that moments can be shown to people.
-    Durations are monotonic, whatever becomes of the wall clock, which operators and time servers may step.
+    Its zero is the Unix epoch according to the wall clock when the object is created, so that its times can
+    be shown to people. From then on it follows the monotonic clock: durations stay right when operators or
+    time servers step the wall clock.
 
     Attributes:
-        looked: The last moment at which what has now come was not there yet.
-        passes: The number of passes of the event loop.
+        previous_poll_at: The start of the previous poll of the sockets; input that is now read arrived later.
+        loop_passes: The number of passes of the event loop.
     """
 
     def __init__(
@@ -39,57 +40,63 @@
         self._read_wall = read_wall
         self._last = 0
         self._origin = read_wall() - read()
-        self.looked = 0
-        self.passes = 0
-        self._seen_until: int | None = None  # all that had come by then has been handled; None: no loop runs
-        self._waiting: list[tuple[Callable[[], None], int]] = []  # and the looks that each may still wait for
+        self.previous_poll_at = 0
+        self.loop_passes = 0
+        self._handled_until: int | None = None  # input up to here is handled; None without an event loop
+        self._waiting: list[tuple[Callable[[], None], int]] = []  # each with the polls that it may still skip
 
     def now(self) -> int:
-        """The present moment, which never goes back."""
+        """Returns the current time in ticks, which never goes back."""
         self._last = max(self._last, int((self._origin + self._read()) * SECOND))
         return self._last
 
-    def moment(self, unix: int) -> int:
-        """When a moment of the wall clock, in ticks, was on this clock; never later than now.
+    def from_unix_time(self, unix: int) -> int:
+        """Converts a time of the wall clock, in ticks, to this clock; the result is never later than now.
 
-        The wall clock may have been wrong at the start or may be wrong now. Of both readings the later one
-        counts that is not in the future: what has just begun must not be taken for old.
+        The wall clock may have been wrong when this object was created, or may be wrong now. The time is
+        therefore converted by the offset at creation and by the present offset. A result that is more than
+        `MAX_CLOCK_SKEW` in the future is dropped, and the later of the others is returned, so that something
+        that has just begun is not taken for old. If both are dropped, the current time is returned.
         """
         now = self.now()
-        stepped = int(self._read_wall() * SECOND) - now
-        return max((min(at, now) for at in (unix, unix - stepped) if at <= now + MAX_CLOCK_SKEW), default=now)
+        offset = int(self._read_wall() * SECOND) - now
+        return max((min(at, now) for at in (unix, unix - offset) if at <= now + MAX_CLOCK_SKEW), default=now)
 
     @property
-    def fresh(self) -> bool:
-        """Whether all has been handled that had come shortly before.
+    def has_recent_poll(self) -> bool:
+        """True if all input that arrived up to `MAX_POLL_AGE` ago has been handled, or no event loop runs.
 
-        So it is not where the process stood still, or where a pass takes long.
+        False after the process was suspended, and during a pass of the event loop that takes long.
         """
-        return self._seen_until is None or self.now() - self._seen_until <= FRESH
+        return self._handled_until is None or self.now() - self._handled_until <= MAX_POLL_AGE
 
-    def after_look(self, callback: Callable[[], None]) -> None:
-        """Calls back once the sockets were looked at again, which is done without any wait."""
-        self._waiting.append((callback, MAX_LOOKS - 1))
+    def after_next_poll(self, callback: Callable[[], None]) -> None:
+        """Calls `callback` after a further poll of the sockets, which does not block.
 
-    def when_fresh(self, callback: Callable[[], None]) -> None:
-        """Calls back at once, or after a look at the sockets where the last one was too long ago."""
-        if self.fresh:
+        If that poll is no longer recent when its input has been handled, `callback` waits for another one,
+        but for `MAX_POLLS` polls at most.
+        """
+        self._waiting.append((callback, MAX_POLLS - 1))
+
+    def after_recent_poll(self, callback: Callable[[], None]) -> None:
+        """Calls `callback` at once if the last poll of the sockets is recent, or else after the next poll."""
+        if self.has_recent_poll:
             callback()
         else:
-            self.after_look(callback)
+            self.after_next_poll(callback)
 
     @property
-    def awaited(self) -> bool:
-        """Whether somebody waits for the next look at the sockets."""
+    def has_waiting_callbacks(self) -> bool:
+        """True if callbacks wait for the next poll, which must then not block."""
         return bool(self._waiting)
 
-    def seen(self, until: int) -> None:
-        """All that had come by then has been handled."""
-        self._seen_until = until
+    def mark_input_handled(self, until: int) -> None:
+        """Records that all input that arrived by `until` has been handled, and calls waiting callbacks."""
+        self._handled_until = until
         waiting, self._waiting = self._waiting, []
-        for callback, looks in waiting:
-            if looks and not self.fresh:
-                self._waiting.append((callback, looks - 1))
+        for callback, polls_left in waiting:
+            if polls_left and not self.has_recent_poll:
+                self._waiting.append((callback, polls_left - 1))
                 continue
             try:
                 callback()
--- a/vanerelay/config_field.py
+++ b/vanerelay/config_field.py
@@ -1,4 +1,4 @@
-"""Fields of configuration dataclasses that operators write under another name."""
+"""Fields of configuration dataclasses whose key in the operators' files differs from the field's name."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Any
 
 KEY = "key"
-"""The entry of a field's metadata that holds the name in the operators' files."""
+"""The metadata entry of a dataclass field that holds its key in the operators' files."""
 
 
 def config_field(key: str, **options: Any) -> Any:
-    """A dataclass field whose name in the operators' files is `key`; `options` as for `dataclasses.field`.
+    """Returns a dataclass field that operators set under `key`; `options` go to `dataclasses.field`.
 
     For example `max_members: int = config_field("most", default=1000)`.
     """
--- a/vanerelay/interface.py
+++ b/vanerelay/interface.py
@@ -1,7 +1,7 @@
-"""The types that go into and come out of the decisions, and the protocol that the decisions call out through.
+"""Inputs and results of the policy (`vanerelay.policy`), and the protocol through which the policy acts.
 
-All times are whole ticks of a tenth of a millisecond; memory is in MB. Queries and engines go by small
-indices that the caller hands out; an engine's name is the same at every gateway. Nothing here chooses.
+Times and durations are whole ticks of 0.1 ms; memory is in MB. Queries and engines are identified by small
+indices that the caller assigns; an engine's name is the same at every gateway. This module decides nothing.
 """
 
 from __future__ import annotations
@@ -12,13 +12,15 @@
 from typing import Annotated, Protocol
 
 MILLISECOND = 10
+"""A millisecond in ticks."""
 SECOND = 10_000
+"""A second in ticks."""
 Duration = Annotated[int, "a length of time"]
-"""A duration in ticks. The marker lets operators write it with a unit in their files."""
+"""A duration in ticks. The annotation marks fields that operators write with a unit in their files."""
 
 
 class Outcome(Enum):
-    """How one attempt ended, as far as the decisions distinguish ends."""
+    """How an attempt ended, in the categories that the policy distinguishes."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -28,11 +30,11 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
-    MALFORMED = "malformed answer"  # bytes that are no answer: they say nothing of the engine's health
+    MALFORMED = "malformed answer"  # undecodable bytes: not counted as a fault of the engine
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT})
-"""Outcomes after which the query certainly did not run at the engine."""
+"""Outcomes after which it is certain that the query did not run at the engine."""
 
 MAY_STILL_RUN = frozenset({Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED, Outcome.MALFORMED})
 """Outcomes after which the query may still be running at the engine."""
@@ -42,7 +44,7 @@
 
 
 class AnswerStatus(IntEnum):
-    """The final answer of a query; the numbers are those of the clients' protocol."""
+    """The status in the final answer to a query, with the numbers of the client protocol."""
 
     COMPLETED = 0
     REJECTED = 1
@@ -50,16 +52,16 @@
 
 
 class Idempotency(Enum):
-    """What a second run of a query would do. The values are words of the laboratory's scenarios."""
+    """Whether a query may run more than once. The values are those of the laboratory's scenarios."""
 
     IDEMPOTENT = "repeatable"
     DEDUPLICATED = "referenced"
-    """Engines drop repeats that carry the same idempotency key."""
+    """May be sent again: engines drop repeats that carry the same idempotency key."""
     NON_IDEMPOTENT = "once-only"
 
 
 class DeduplicationScope(Enum):
-    """The engines that recognise repeats of a deduplicated query."""
+    """The engines that recognise a repeat of a deduplicated query that one of them has run."""
 
     ALL = "all"
     ZONE = "location"
@@ -67,7 +69,7 @@
 
 
 class EngineState(Enum):
-    """What the engine list says of an engine."""
+    """The state of an engine in the engine list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -75,7 +77,7 @@
 
 
 class MemoryShortage(Enum):
-    """What an engine does with a query whose grant exceeds its free memory."""
+    """How an engine treats a query whose memory grant exceeds the engine's free memory."""
 
     WAIT = "wait"
     SHRINK = "shrink"
@@ -83,32 +85,36 @@
 
 
 class ProgressKind(Enum):
-    """What an engine reports of a running attempt."""
+    """The kind of a progress report that an engine sends about an attempt."""
 
     PROGRESS = "progress"
-    """The value is the part that is done, from 0 to 1."""
+    """The value is the completed part, from 0 to 1."""
     SPILL = "spill"
-    """The value is the memory in MB that was missing."""
+    """The value is the memory that was missing, in MB."""
     WAITING = "waiting"
-    """The attempt waits at its engine; a value of 1 means that it waits for memory."""
+    """The attempt waits at its engine. A value of 1 means that it waits for memory."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """What the settings state of one service class.
+    """The settings of a service class.
 
     Attributes:
-        latency_objective: The time within which an answer earns the full value.
-        objective_stretch: How much the objective grows with the query's estimated cost.
-        deadline: The time within which the final answer is due.
-        value: What an answer within the objective is worth.
-        late_value: What a later answer is worth.
-        deduplication_window: How long engines recognise repeats.
+        latency_objective: The time, in ticks, within which an answer has its full value.
+        objective_stretch: Ticks added to the latency objective for each tick that the query is estimated to
+            run on an engine without load.
+        deadline: The time, in ticks, within which the final answer is due.
+        value: The value of an answer within the latency objective.
+        late_value: The value of a later answer.
+        idempotency: Whether its queries may run more than once.
+        deduplication_scope: The engines that recognise a repeat of its queries.
+        deduplication_window: How long engines recognise a repeat, in ticks.
         ordered: Whether queries that share an order key run one at a time.
-        zones: Zones that may serve it; None for all. `machine_kinds` likewise.
-        threads: Threads that one query uses at its engine.
+        zones: The zones whose engines may serve it; None for all.
+        machine_kinds: The kinds of machines that may serve it; None for all.
+        threads: The threads that one query uses at its engine.
         is_data_load: Whether its queries write tables.
-        waits_for_data_loads: Whether its queries wait for data loads at their engine.
+        waits_for_data_loads: Whether its queries wait at their engine until data loads there have ended.
     """
 
     name: str
@@ -127,14 +133,14 @@
     is_data_load: bool
     waits_for_data_loads: bool
 
-    def meets_data_loads(self) -> bool:
-        """Whether its queries can hold up, or be held up by, queries of another class at an engine."""
+    def is_involved_in_data_loads(self) -> bool:
+        """Returns True if its queries are data loads, or wait for data loads at their engine."""
         return self.is_data_load or self.waits_for_data_loads
 
 
 @dataclass(frozen=True, slots=True)
 class MachineKind:
-    """Cores and memory of one kind of engine machine; 0 where the settings do not state them."""
+    """Cores, and memory in MB, of a kind of engine machine; 0 if the settings do not state them."""
 
     cores: int
     memory: float
@@ -142,7 +148,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPosition:
-    """Where this gateway stands among its peers."""
+    """The place of this gateway in the fleet of gateways.
+
+    Attributes:
+        index: The position of this gateway among all gateways, counted from 0.
+        gateway_count: The number of gateways, this one included.
+        zone: The zone of this gateway.
+    """
 
     index: int
     gateway_count: int
@@ -151,21 +163,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Capabilities:
-    """What this gateway may do, and what is reported to it, according to the settings.
+    """The operations that the settings allow this gateway, and the reports that it receives.
 
     Attributes:
-        max_attempts: Attempts of one query, the first included.
+        max_attempts: The most attempts of one query, the first included.
         may_cancel: Whether attempts can be cancelled at engines.
-        may_hedge: Whether a second attempt may run beside another.
+        may_hedge: Whether an attempt may be sent while another of the same query still runs.
         may_probe: Whether engines may be probed.
         may_gossip: Whether gateways may send each other datagrams.
-        sends_retry_after: Whether a rejection may name a time to retry after, `max_retry_after` at most.
-        sends_memory_grants: Whether engines take memory grants.
-        max_grant_share: The largest grant, as a part of an engine's memory.
-        sends_priorities: Whether engines take priorities.
+        sends_retry_after: Whether a rejection may tell the client after which time to retry.
+        max_retry_after: The longest such time, in ticks.
+        sends_memory_grants: Whether engines accept memory grants.
+        max_grant_share: The largest memory grant, as a part of an engine's memory.
+        sends_priorities: Whether engines accept priorities.
         reports_cost: Whether answers report the work done and the memory needed.
-        progress_interval: The time between progress reports of an attempt; 0 where there are none.
-        subscribes_to_list: Whether the engine list comes only on request.
+        progress_interval: The time between progress reports of an attempt, in ticks; 0 if there are none.
+        memory_shortage: How engines treat a query whose memory grant exceeds their free memory.
+        subscribes_to_list: Whether the engine list is sent only on request.
         polls_load: Whether engines report their load only when probed, and may be probed for it.
     """
 
@@ -188,13 +202,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartTerms:
-    """The rule that protects freshly started engines.
+    """The rule that protects engines from overload after their start.
 
     Attributes:
         initial_share: The part of its capacity that an engine has when it starts.
-        ramp_duration: How long it takes to reach its whole capacity.
-        overload_multiple: How many times its capacity of the moment it may be sent within the window.
-        overload_window: The window; 0 means that the rule is not stated.
+        ramp_duration: The time until an engine reaches its whole capacity, in ticks.
+        overload_multiple: The most work that may be sent to an engine within the window, as a multiple of the
+            work that its present capacity does in that time.
+        overload_window: The length of the window in ticks; 0 if the settings do not state the rule.
     """
 
     initial_share: float
@@ -205,11 +220,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetTerms:
-    """The rule on attempts beyond the first of each query, within any window; a window of 0: not stated.
+    """The limit on retries, which are all attempts beyond the first of each query.
 
     Attributes:
-        min_retries: Retries that are allowed whatever the traffic.
-        retry_ratio: Further retries for each query that was taken.
+        window: The length of the sliding window in ticks; 0 if the settings do not state the limit.
+        min_retries: The retries that are allowed in a window whatever the traffic.
+        retry_ratio: The further retries that are allowed for each query that was accepted in the window.
     """
 
     window: int
@@ -219,12 +235,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineEntry:
-    """One engine of the engine list.
+    """An engine in the engine list.
 
     Attributes:
-        weight: What operators state of how much of the engine is ours to fill, 1 for the whole of it; nothing
-            new is sent to an engine of weight 0. It is not the list's `size`, the size of the machine.
-        started_at: When the engine started; 0 when that was long ago.
+        weight: The part of the engine that the gateways may fill, as stated by operators; 1 for the whole of
+            it. No new query is sent to an engine of weight 0. The weight is not the list's `size`, which is
+            the size of the machine.
+        started_at: When the engine started; 0 if that was long ago.
     """
 
     index: int
@@ -239,7 +256,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementConstraints:
-    """The engines that a query may be sent to; None in a field means any."""
+    """Restrictions on the engines that a query may be sent to; None in a field means no restriction."""
 
     zones: tuple[int, ...] | None
     machine_kinds: tuple[int, ...] | None
@@ -247,7 +264,7 @@
     engines: frozenset[int] | None = None
 
     def allow(self, engine: EngineEntry) -> bool:
-        """Whether the engine satisfies all constraints."""
+        """Returns True if the engine satisfies all constraints."""
         return (
             (self.zones is None or engine.zone in self.zones)
             and (self.machine_kinds is None or engine.machine_kind in self.machine_kinds)
@@ -258,9 +275,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine reported of its load; None where it reports nothing of the kind.
+    """The load that an engine reported. A field is None if the engine does not report that value.
 
-    `running` and `queued` are numbers of queries, the others parts of the engine from 0 to 1.
+    `running` and `queued` are numbers of queries, the other fields are parts of the engine from 0 to 1.
     """
 
     running: float | None = None
@@ -270,7 +287,11 @@
     disks_busy: float | None = None
 
     def as_shares(self, query_share: float) -> list[float]:
-        """All that was reported as parts of the engine; `query_share` is the part that one query takes."""
+        """Returns the reported values as parts of the engine, except for `queued`.
+
+        Args:
+            query_share: The part of the engine that one running query uses.
+        """
         reported = [self.cores_busy, self.memory_granted, self.disks_busy]
         reported.append(None if self.running is None else self.running * query_share)
         return [share for share in reported if share is not None]
@@ -278,22 +299,24 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """How the decisions see a listed engine at the moment.
+    """The policy's present view of a listed engine.
 
     Attributes:
-        health: From 0 (silent or lost) to 1 (healthy).
-        usable: Whether its health lets more than single trial queries through.
+        health: The health level, from 0 (silent or lost) to 1 (healthy).
+        usable: False if the engine is ejected, so that it gets single trial queries only.
         warmed_up: Whether the slow start rule no longer applies to it.
-        ramped_here: Whether this gateway sends to it at all while it warms up.
-        ramp_share: How far it has come in its slow start, from 0 to 1.
-        capacity_share: The part of the engine that our grants and those of our proxies may fill.
+        used_during_slow_start: Whether this gateway sends queries to it during its slow start.
+        ramp_share: The part of its capacity that it has at this point of its slow start, from 0 to 1.
+        capacity_share: The part of the engine that the grants of this gateway and its proxies may fill.
+        memory: The engine's memory in MB.
+        cores: The engine's cores.
     """
 
     entry: EngineEntry
     health: float
     usable: bool
     warmed_up: bool
-    ramped_here: bool
+    used_during_slow_start: bool
     ramp_share: float
     capacity_share: float
     memory: float
@@ -302,18 +325,20 @@
 
 @dataclass(slots=True)
 class QueryArrival:
-    """A query as it comes in.
+    """A query that has arrived at this gateway.
 
     Attributes:
         index: The caller's index of the query.
-        service_class: The row of its service class in the settings; `tenant` likewise.
-        order_key: Queries of an ordered class that share it run one at a time; None where it has none.
+        service_class: The index of its service class in the settings.
+        tenant: The index of its tenant in the settings.
+        order_key: Queries of an ordered service class that share this key run one at a time; None for no key.
         deadline: When the final answer is due.
-        estimated_cost: The client's estimate of its work, 0 where it gave none; `estimated_memory` likewise.
+        estimated_cost: The client's estimate of its work; 0 if it gave none.
+        estimated_memory: The client's estimate of its memory in MB; 0 if it gave none.
         table_group: The number of the group of tables that it reads, the same at every gateway.
-        eligible_engines: The engines that may serve it now, looked at anew for each attempt; None for all.
-        earns_no_retries: Whether it adds nothing to the retry budget: no client brought it, or not for the
-            first time.
+        eligible_engines: The engines that may serve it at present, read again for each attempt; None for all.
+        earns_no_retries: Whether it does not raise the retry budget, as no client sent it or a client sent it
+            again.
     """
 
     index: int
@@ -331,11 +356,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """What the decisions are given at their start.
+    """The settings that the policy is created with.
 
     Attributes:
-        order_key_pause: How long an order key rests after an attempt that may still run.
-        tick: The shortest time between two events that the caller hands on.
+        order_key_pause: How long, in ticks, an order key is blocked after an attempt that may still run at
+            its engine.
+        tick: The shortest time between two events that the caller passes to the policy, in ticks.
     """
 
     service_classes: Sequence[ServiceClass]
@@ -350,9 +376,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, and what its engine reported with the answer.
+    """How an attempt ended, and the values that its engine reported with the answer.
 
-    `work`, `peak_memory` and `load_report` are 0 or None where the engine reported nothing.
+    `duration` is in ticks. `work`, `peak_memory` (in MB) and `load_report` are 0 or None if the engine did
+    not report them.
     """
 
     outcome: Outcome
@@ -363,38 +390,38 @@
 
 
 class Transport(Protocol):
-    """All that the decisions can do to the world. Calls take effect in the order made."""
+    """The operations through which the policy acts. Calls take effect in the order in which they are made."""
 
     @property
     def now(self) -> int:
-        """The present moment, on a clock that never goes back."""
+        """The current time in ticks, on a clock that never goes back."""
 
     def send_attempt(self, query: int, engine: int, timeout: int) -> None:
-        """Sends a query to an engine. A timeout of 0 means until the query's deadline."""
+        """Sends a query to an engine. A timeout of 0 means that the attempt ends at the query's deadline."""
 
     def grant_memory(self, query: int, memory: float, priority: int) -> None:
-        """Sets the memory grant and the priority of the attempt that is sent next."""
+        """Sets the memory grant in MB and the priority of the query's next attempt."""
 
     def reject(self, query: int, retry_after: int) -> None:
-        """Gives the final answer that the query was rejected and did not run."""
+        """Answers the client that the query was rejected and did not run."""
 
     def fail(self, query: int) -> None:
-        """Gives the final answer that the query failed; it may have run."""
+        """Answers the client that the query failed; it may have run."""
 
     def cancel_attempt(self, query: int, attempt: int) -> None:
-        """Cancels one attempt by its number, counted from 0."""
+        """Cancels the attempt with this number, counted from 0."""
 
     def send_to_peers(self, peer: int | None, data: bytes) -> None:
-        """Sends a datagram to another gateway, or to all of them."""
+        """Sends a datagram to another gateway, or to all others if `peer` is None."""
 
     def probe_engine(self, engine: int) -> None:
-        """Asks an engine for its load."""
+        """Requests a load report from an engine."""
 
     def subscribe_to_engine_list(self) -> None:
-        """Asks for the engine list, where it comes only on request."""
+        """Requests the engine list, where it is sent only on request."""
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        """Calls back once, after a delay."""
+        """Calls `callback` once after a delay in ticks."""
 
     def log(self, text: str) -> None:
         """Writes a line to the log."""
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -7,7 +7,7 @@
 import structlog
 from twisted.python.failure import Failure
 
-from vanerelay.clock import FRESH, Clock
+from vanerelay.clock import MAX_POLL_AGE, Clock
 from vanerelay.interface import SECOND
 from vanerelay.invariants import InvariantGuard
 from vanerelay.net.attempt import Attempt
@@ -69,11 +69,11 @@
             )
         if query.ended or wait <= 0 or number >= self._settings.current.max_attempts:
             self._reactor.callLater(0, attempt.end, NOT_SENT)
-        elif self._clock.fresh and not self._may_have_left(query):
+        elif self._clock.has_recent_poll and not self._may_have_left(query):
             self._begin(query, attempt, engine, wait)
         else:
             until = now + wait
-            self._clock.after_look(lambda: self._begin_late(query, number, attempt, engine, until))
+            self._clock.after_next_poll(lambda: self._begin_late(query, number, attempt, engine, until))
 
     def _prepare(self, query: ClientQuery, engine: int, wait: int) -> Attempt:
         """The next attempt of a query, which counts as out from now on."""
@@ -101,8 +101,8 @@
         So it is where the query was read by this very look, long after it may have come: what came behind it
         is read by the end of the look.
         """
-        just_read = query.read_in_pass == self._clock.passes
-        return just_read and self._decisions.now - query.received_after > FRESH
+        just_read = query.read_in_pass == self._clock.loop_passes
+        return just_read and self._decisions.now - query.received_after > MAX_POLL_AGE
 
     def _begin(self, query: ClientQuery, attempt: Attempt, engine: int, wait: int) -> None:
         if query.constraint is not None:
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -154,12 +154,12 @@
 
     def _may_be_older(self, received_after: int) -> None:
         self._received_after = received_after
-        self._until_pass = self._owner.clock.passes + 1
+        self._until_pass = self._owner.clock.loop_passes + 1
 
     def received_after(self) -> int:
         """The last moment at which what is read now had not come."""
         clock = self._owner.clock
-        return self._received_after if clock.passes <= self._until_pass else clock.looked
+        return self._received_after if clock.loop_passes <= self._until_pass else clock.previous_poll_at
 
     def _read(self, data: bytes, received_after: int) -> None:
         for frame in () if self._dropping_input else self._reader.feed(data):
--- a/vanerelay/net/client_listener.py
+++ b/vanerelay/net/client_listener.py
@@ -131,7 +131,7 @@
     def accept_failed(self) -> None:
         """Somebody may wait to be accepted from now on, and send meanwhile."""
         if self._accept_failed_at is None:
-            self._accept_failed_at = self.clock.looked
+            self._accept_failed_at = self.clock.previous_poll_at
 
     def nobody_waits(self) -> None:
         """All that waited were accepted."""
@@ -140,7 +140,9 @@
     def accepted_after(self) -> int:
         """The last moment at which a client that is accepted now had not come."""
         failed_at = self._accept_failed_at
-        return self.clock.looked if failed_at is None else min(failed_at, self.clock.looked)
+        return (
+            self.clock.previous_poll_at if failed_at is None else min(failed_at, self.clock.previous_poll_at)
+        )
 
     def all(self) -> list[ClientConnection]:
         """The connections, the longest unused first."""
--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -45,7 +45,7 @@
     warned: bool
 
     @property
-    def when_fresh(self) -> Callable[[Callable[[], None]], None]:
+    def after_recent_poll(self) -> Callable[[Callable[[], None]], None]:
         """Calls back once no client that has left can be unnoticed for long."""
 
 
@@ -340,7 +340,7 @@
         if self.over:
             protocol.abort()
             return
-        self._process.when_fresh(self._begin)
+        self._process.after_recent_poll(self._begin)
 
     def _begin(self) -> None:
         """Writes what waited for the connection and may still begin.
--- a/vanerelay/net/engine_pool.py
+++ b/vanerelay/net/engine_pool.py
@@ -36,7 +36,7 @@
         host: str,
         port: int,
         settings: ConnectionSettings,
-        when_fresh: Callable[[Callable[[], None]], None],
+        after_recent_poll: Callable[[Callable[[], None]], None],
         events: EventLog,
     ) -> None:
         self.reactor = reactor
@@ -44,7 +44,7 @@
         self.host = host
         self.port = port
         self.settings = settings
-        self.when_fresh = when_fresh
+        self.after_recent_poll = after_recent_poll
         self.events = events
         self.connections: list[EngineConnection] = []
         self.warned = False
@@ -109,7 +109,7 @@
         pool: Pool,
         settings: ConnectionSettings,
         max_connections: int,
-        when_fresh: Callable[[Callable[[], None]], None],
+        after_recent_poll: Callable[[Callable[[], None]], None],
         events: EventLog | None = None,
     ) -> None:
         """Makes the pool without engines.
@@ -119,7 +119,7 @@
             pool: The buffers for what has been read.
             settings: How connections are used.
             max_connections: How many there may be.
-            when_fresh: Calls back once no client that has left can be unnoticed for long: only then an
+            after_recent_poll: Calls back once no client that has left can be unnoticed for long: only then an
                 attempt that waited for its connection begins.
             events: Where closes are logged.
         """
@@ -127,7 +127,7 @@
         self._pool = pool
         self._settings = settings
         self._max_connections = max_connections
-        self._when_fresh = when_fresh
+        self._after_recent_poll = after_recent_poll
         self._events = events or EventLog(reactor)
         self._full = False
         self._gone: set[int] = set()
@@ -155,7 +155,7 @@
         host, _, port = address.rpartition(":")
         self._incarnations[engine], self._engine_at[address] = (address, started), engine
         self._processes[engine] = EngineProcess(
-            self._reactor, self._pool, host, int(port), self._settings, self._when_fresh, self._events
+            self._reactor, self._pool, host, int(port), self._settings, self._after_recent_poll, self._events
         )
 
     def only(self, present: set[int]) -> None:
--- a/vanerelay/net/engine_start_times.py
+++ b/vanerelay/net/engine_start_times.py
@@ -30,7 +30,7 @@
             return 0
         before, moment = self._moments.get(engine, (0, 0))
         if before != reported:
-            now, moment = self._clock.now(), self._clock.moment(reported)
+            now, moment = self._clock.now(), self._clock.from_unix_time(reported)
             if within_s is not None and moment < now - (within_s + MAX_REPORT_DELAY_S) * SECOND:
                 moment = now
             self._moments[engine] = reported, moment
--- a/vanerelay/net/reactor.py
+++ b/vanerelay/net/reactor.py
@@ -33,9 +33,9 @@
 
     def doIteration(self, delay: float | None) -> None:
         """One pass over the sockets, with a second one if the first was late."""
-        self._clock.looked, self._poll_started_at = self._poll_started_at, self._clock.now()
-        self._clock.passes += 1
-        if self._clock.awaited:
+        self._clock.previous_poll_at, self._poll_started_at = self._poll_started_at, self._clock.now()
+        self._clock.loop_passes += 1
+        if self._clock.has_waiting_callbacks:
             delay = 0
         began = time.monotonic()
         due = began + (delay or 0.0)
@@ -43,7 +43,7 @@
         late = time.monotonic() - due
         # What comes during this second look came after the first began.
         if delay is not None and late > self.LATE_S:
-            self._clock.looked = self._poll_started_at
+            self._clock.previous_poll_at = self._poll_started_at
             self.doPoll(0)
         self._latest_s = max(self._latest_s, late, began - (self._pass_ended_at or began))
         self._pass_ended_at = time.monotonic()
@@ -65,7 +65,7 @@
                 log.callWithLogger(  # type: ignore[no-untyped-call]
                     selectable, self._doReadOrWrite, selectable, descriptor, event
                 )
-        self._clock.seen(looked)
+        self._clock.mark_input_handled(looked)
 
     def latest(self) -> float:
         """By how many seconds a pass, of timers or of sockets, was late at most since this was asked last."""
--- a/vanerelay/net/startup.py
+++ b/vanerelay/net/startup.py
@@ -177,7 +177,7 @@
 ) -> EnginePool:
     """The connections to engines, none of which is listed yet."""
     return EnginePool(
-        reactor, pool, connection_settings(raw_settings), shares.engines, clock.when_fresh, events
+        reactor, pool, connection_settings(raw_settings), shares.engines, clock.after_recent_poll, events
     )
 
 
--- a/vanerelay/policy/engine.py
+++ b/vanerelay/policy/engine.py
@@ -118,7 +118,7 @@
             health=self.health.level,
             usable=not self.health.is_ejected,
             warmed_up=self.slow_start.is_warmed_up(now),
-            ramped_here=self.slow_start.is_sender,
+            used_during_slow_start=self.slow_start.is_sender,
             ramp_share=self.slow_start.ramp_share(now),
             capacity_share=self.health.level * min(1.0, self.entry.weight) * our_slice,
             memory=self.reservations.memory,
--- a/vanerelay/policy/placement.py
+++ b/vanerelay/policy/placement.py
@@ -79,7 +79,7 @@
 
     def _side_factor(self, engine: Engine, query: Query) -> float:
         """A query behind a data load stands still: every other engine by name is for data loads."""
-        if not query.service_class.meets_data_loads():
+        if not query.service_class.is_involved_in_data_loads():
             return 1.0
         position = bisect_left(self._engine_names, engine.entry.name)
         is_data_load_side = (position + query.arrival.table_group) % 2 == 1
--- a/vanerelay/policy/query.py
+++ b/vanerelay/policy/query.py
@@ -151,7 +151,7 @@
 
     def silence_weight(self) -> float:
         """How much it counts as a sign of silence once an attempt is overdue."""
-        return BEHIND_LOAD_SILENCE if self.service_class.meets_data_loads() else 1.0
+        return BEHIND_LOAD_SILENCE if self.service_class.is_involved_in_data_loads() else 1.0
 
     def has_full_threads(self) -> bool:
         """Whether all its threads work, as it cannot stand behind a data load."""
--- a/vanerelay/policy/query_factory.py
+++ b/vanerelay/policy/query_factory.py
@@ -31,7 +31,7 @@
         """The handle of a query that was just submitted."""
         group = self._classes[arrival.service_class]
         self._sequence += 1
-        may_stand_still = self.waits_for_data_loads and group.meets_data_loads()
+        may_stand_still = self.waits_for_data_loads and group.is_involved_in_data_loads()
         is_idempotent = group.idempotency is Idempotency.IDEMPOTENT
         unloaded = self._runtime.unloaded_duration(arrival.service_class, arrival.estimated_cost)
         objective = group.latency_objective + int(group.objective_stretch * unloaded)
--- a/vanerelay/xds/assignment.py
+++ b/vanerelay/xds/assignment.py
@@ -285,7 +285,7 @@
     Only where we ramp it at all, and each proxy can be given one query on it.
     """
     queries = _slow_start_capacity(engine, service_class, terms.overload_multiple) * part
-    return engine.ramped_here and engine.usable and engine.entry.weight > 0.0 and queries >= 1.0
+    return engine.used_during_slow_start and engine.usable and engine.entry.weight > 0.0 and queries >= 1.0
 
 
 def _slow_start_weight(any_warm: bool, warm_queries: float, slow_start_queries: float) -> int:
