--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -68,9 +68,10 @@
 )
 def test_checks_find_what_a_stage_must_not_reach(change, says):
     assert (
-        settings_validation.find_error(SERVICES) is None and settings_validation.find_doubt(SERVICES) is None
+        settings_validation.find_error(SERVICES) is None
+        and settings_validation.find_suspect_setting(SERVICES) is None
     )
-    assert says in (settings_validation.find_doubt(settings_with(**change)) or "")
+    assert says in (settings_validation.find_suspect_setting(settings_with(**change)) or "")
 
 
 def test_fences():
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -1,4 +1,4 @@
-"""The command line: `serve` runs the gateway, `check` reads a configuration."""
+"""The command line: `serve` runs the gateway, `check` validates a configuration."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 log = structlog.get_logger()
 
 
-def log_to(level: str) -> None:
-    """Writes log lines of this level and above to standard error, as JSON."""
+def configure_logging(level: str) -> None:
+    """Configures the log: lines of this level and above go to standard error, as JSON."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -45,7 +45,10 @@
 
 
 def _uptime_processor() -> structlog.types.Processor:
-    """Adds the seconds since now to each line: they order lines also where the wall clock was stepped."""
+    """Returns a processor that adds to each line the seconds since this call.
+
+    They give the order of lines even if the wall clock was set meanwhile.
+    """
     started_at = time.monotonic()
 
     def add_uptime(_logger: Any, _method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
@@ -57,14 +60,17 @@
 
 @provider(ILogObserver)  # type: ignore[misc]
 def _log_twisted_error(event: LogEvent) -> None:
-    """Writes the errors that Twisted logs as lines of ours."""
+    """Writes the errors that Twisted reports to the log of this gateway."""
     if event.get("log_level") in (LogLevel.error, LogLevel.critical):
         failure = event.get("log_failure")
         log.error(formatEvent(event), fault=failure.getTraceback() if failure else None)
 
 
 class LazyGroup(click.Group):
-    """Loads a subsystem's commands when they are called: a start without them imports nothing of theirs."""
+    """A command group that imports the commands of a subsystem only when they are looked up.
+
+    A gateway that runs without a subsystem imports none of its modules, and needs none of its packages.
+    """
 
     SUBSYSTEM_COMMANDS = {
         "members": ("vanerelay.membership.commands", "requirements-membership.txt"),
@@ -74,70 +80,89 @@
         "rollout": ("vanerelay.rollout.commands", "requirements-membership.txt"),
         "lab": ("vanerelay.lab.commands", "requirements-lab.txt"),
     }
-    """The module of each command, and the file that pins what it needs."""
+    """For each command, its module and the requirements file that pins the packages it needs."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands, loaded or not."""
+        """Returns the names of all commands, also of those not imported yet."""
         return sorted([*super().list_commands(ctx), *self.SUBSYSTEM_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of this name, loaded now where a subsystem has it."""
+        """Returns the command of this name, importing its module if it belongs to a subsystem."""
         if cmd_name not in self.SUBSYSTEM_COMMANDS:
             return super().get_command(ctx, cmd_name)
         module, requirements = self.SUBSYSTEM_COMMANDS[cmd_name]
-        command = getattr(_subsystem(module, requirements), cmd_name)
+        command = getattr(_import_subsystem(module, requirements), cmd_name)
         assert isinstance(command, click.Command)
         return command
 
 
-def _exit(why: str) -> NoReturn:
-    """Ends the program with code 2 and one line."""
-    click.echo(f"vanerelay: {why}", err=True)
+def _exit_with_error(reason: str) -> NoReturn:
+    """Writes the reason to standard error, in one line, and exits with code 2."""
+    click.echo(f"vanerelay: {reason}", err=True)
     sys.exit(2)
 
 
-def _subsystem(module: str, requirements: str) -> Any:
-    """A subsystem that may be left out of an installation."""
+def _import_subsystem(module: str, requirements: str) -> Any:
+    """Imports a module of a subsystem; exits with an error if a package that it needs is not installed."""
     try:
         return importlib.import_module(module)
     except ModuleNotFoundError as error:
-        _exit(f"{error.name} is not installed, expected what {requirements} pins")
+        _exit_with_error(
+            f"{error.name} is not installed, expected the Python packages that {requirements} pins"
+        )
+
+
+def _read_subsystem_options(path: str | None) -> dict[str, Any]:
+    """Reads the operators' file.
 
+    Args:
+        path: The path of the file, or None if there is none.
 
-def _subsystems(path: str | None) -> dict[str, Any]:
-    """What the operators' options switch on, by name."""
+    Returns:
+        The configuration of each subsystem that the file switches on, by the name of its block.
+    """
     if path is None:
         return {}
     requirements = "requirements-xds.txt"
-    operator_config = _subsystem("vanerelay.operator_config", requirements)
+    operator_config = _import_subsystem("vanerelay.operator_config", requirements)
     try:
-        found: dict[str, Any] = operator_config.read_subsystems(path)
-        return found
+        subsystems: dict[str, Any] = operator_config.read_subsystems(path)
+        return subsystems
     except operator_config.OperatorConfigError as error:
-        _exit(f"options {error}")
+        _exit_with_error(f"operators' file cannot be used: {error}")
     except ModuleNotFoundError as error:
-        _exit(f"{error.name} is not installed, expected what {requirements} pins")
+        _exit_with_error(
+            f"{error.name} is not installed, expected the Python packages that {requirements} pins"
+        )
 
 
 @click.group(cls=LazyGroup)
 def main() -> None:
-    """vanerelay, a query gateway: decides what runs, where and with how much memory."""
+    """vanerelay, a query gateway: decides which query runs on which engine, when and with how much memory."""
 
 
 SERVE_HELP = (
-    "Serves clients until SIGTERM, then answers what it has taken and ends. SIGHUP reads the configuration "
-    "again and follows the feed that it names."
+    "Serves clients until SIGTERM, then answers the queries that it has accepted and exits. SIGHUP reloads "
+    "the configuration and connects to the discovery service that it names."
 )
 
 
 @main.command(help=SERVE_HELP)
-@click.option("--config", envvar="LB_CONFIG", required=True, help="The configuration, as JSON [LB_CONFIG].")
-@click.option("--listen", envvar="LB_LISTEN", help="HOST:PORT for clients [LB_LISTEN]; else as configured.")
-@click.option("--name", envvar="LB_NAME", help="The name in the log [LB_NAME]; else as configured.")
-@click.option("--options", help="The operators' own file, as HCL: subsystems that are switched on.")
+@click.option(
+    "--config", envvar="LB_CONFIG", required=True, help="Path of the JSON configuration [LB_CONFIG]."
+)
+@click.option(
+    "--listen", envvar="LB_LISTEN", help="HOST:PORT for clients [LB_LISTEN]; default: as configured."
+)
+@click.option("--name", envvar="LB_NAME", help="Name in the log [LB_NAME]; default: as configured.")
+@click.option("--options", help="Path of the operators' file (HCL), which switches subsystems on.")
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
-@click.option("--listen-fd", type=int, hidden=True, help="The listening socket of a supervisor.")
-@click.option("--ready-fd", type=int, hidden=True, help="Where to tell a supervisor that queries are taken.")
+@click.option(
+    "--listen-fd", type=int, hidden=True, help="File descriptor of a supervisor's listening socket."
+)
+@click.option(
+    "--ready-fd", type=int, hidden=True, help="File descriptor to write to once queries are accepted."
+)
 def serve(
     config: str,
     listen: str | None,
@@ -147,9 +172,10 @@
     listen_fd: int | None,
     ready_fd: int | None,
 ) -> None:
-    """Serves clients until SIGTERM."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # unhandled it ends the program; so early nothing was read
-    log_to(log_level)
+    """Runs the gateway until SIGTERM."""
+    # The default action of SIGHUP ends the program. It is ignored until there is a server to reload.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
+    configure_logging(log_level)
     from twisted.internet.main import installReactor
 
     from vanerelay.clock import Clock
@@ -167,7 +193,7 @@
     try:
         server.run()
     except StartupError as error:
-        _exit(str(error))
+        _exit_with_error(str(error))
 
 
 def _make_server(
@@ -179,31 +205,33 @@
     options: str | None,
     sockets: SupervisorSockets,
 ) -> Server:
-    """The server, with its ports open. Exits where it can't start."""
+    """Returns the server with its ports open; exits with an error if it cannot start."""
     from vanerelay.extension import StartupError
     from vanerelay.net.server import Server
     from vanerelay.net.startup import read_configuration
 
     try:
-        subsystems = _subsystems(options)
+        subsystems = _read_subsystem_options(options)
         configuration = read_configuration(config)
         name = name or configuration.name
         structlog.contextvars.bind_contextvars(gateway=name)
-        join = None
+        make_extensions = None
         if subsystems:
-            join = importlib.import_module("vanerelay.extension_registry").joins(subsystems)
-        return Server(reactor, clock, configuration, listen or configuration.listen, name, sockets, join)
+            make_extensions = importlib.import_module("vanerelay.extension_registry").joins(subsystems)
+        return Server(
+            reactor, clock, configuration, listen or configuration.listen, name, sockets, make_extensions
+        )
     except StartupError as error:
-        _exit(str(error))
+        _exit_with_error(str(error))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        _exit(f"configuration {config}: {type(error).__name__}: {error}")
+        _exit_with_error(f"configuration {config}: {type(error).__name__}: {error}")
 
 
 @main.command()
 @click.argument("config", envvar="LB_CONFIG")
-@click.option("--options", help="The operators' own file, read as well.")
+@click.option("--options", help="Path of the operators' file (HCL), validated as well.")
 def check(config: str, options: str | None) -> None:
-    """Reads a configuration and says what it tells, without listening anywhere."""
+    """Validates a configuration and prints a summary of it, without opening any port."""
     from vanerelay import settings, settings_validation
     from vanerelay.extension import StartupError
     from vanerelay.net import discovery_codec
@@ -211,27 +239,27 @@
 
     try:
         configuration = read_configuration(config)
-        why = settings_validation.find_doubt(configuration.raw_settings)
-        if why is not None:
-            raise StartupError(f"configuration {config}: {why}")
+        suspect = settings_validation.find_suspect_setting(configuration.raw_settings)
+        if suspect is not None:
+            raise StartupError(f"configuration {config}: {suspect}")
         service_classes = settings.service_classes(configuration.raw_settings)
         changes = discovery_codec.parse(configuration.known_list, {}, {})
     except (StartupError, KeyError, TypeError, ValueError, AttributeError) as error:
-        _exit(str(error))
+        _exit_with_error(str(error))
     if isinstance(changes, discovery_codec.Unreadable):
-        _exit(f"the list known at the start: {changes.why}")
+        _exit_with_error(f"initial engine list in the configuration cannot be used: {changes.why}")
     engines = {engine.name for change in changes for engine in change.engines}
     click.echo(f"service groups: {', '.join(service_class.name for service_class in service_classes)}")
     click.echo(f"engines known: {len(engines)}")
-    parts = _subsystems(options)
-    if "membership" in parts:
-        sources = sorted(parts["membership"].sources, key=lambda source: source.precedence)
+    subsystems = _read_subsystem_options(options)
+    if "membership" in subsystems:
+        sources = sorted(subsystems["membership"].sources, key=lambda source: source.precedence)
         click.echo(f"sources of engines: {', '.join(source.name for source in sources)}")
-    if "xds" in parts:
-        click.echo(f"proxies: {parts['xds'].listen}")
+    if "xds" in subsystems:
+        click.echo(f"proxies: {subsystems['xds'].listen}")
 
 
 @main.command()
 def version() -> None:
-    """Says which version this is."""
+    """Prints the version."""
     click.echo(f"vanerelay {__version__}")
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -248,9 +248,9 @@
     lock = _lock(record.path)  # held until the process ends
     if lock is None:
         _fail(f"another controller runs on {record.path}")
-    from vanerelay.cli import log_to
+    from vanerelay.cli import configure_logging
 
-    log_to("warning")  # on standard error: what people are told goes to standard output alone
+    configure_logging("warning")  # on standard error: what people are told goes to standard output alone
     from twisted.internet import reactor as installed_reactor
 
     reactor: Any = installed_reactor
@@ -296,10 +296,10 @@
     from twisted.internet.error import CannotListenError
 
     reactor: Any = installed_reactor
-    from vanerelay.cli import log_to
+    from vanerelay.cli import configure_logging
     from vanerelay.rollout import supervisor
 
-    log_to("info")
+    configure_logging("info")
     try:
         one = supervisor.Supervisor(reactor, supervisor.load(path))
         reactor.callWhenRunning(one.run)
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -182,7 +182,7 @@
     except (OSError, ValueError) as error:
         raise block.wrong(f"{path}: {error}", key) from error
     settings = content.get("settings", content) if isinstance(content, dict) else content
-    reason = settings_validation.find_error(settings) or settings_validation.find_doubt(settings)
+    reason = settings_validation.find_error(settings) or settings_validation.find_suspect_setting(settings)
     if reason is not None:
         raise block.wrong(f"{path}: {reason}", key)
     return dict(settings)
--- a/vanerelay/settings.py
+++ b/vanerelay/settings.py
@@ -1,7 +1,8 @@
-"""The settings, one JSON object on both wires, turned into the decisions' types.
+"""Converts the settings, which are the same JSON object on both wires, to the types of the policy.
 
-The keys of the JSON object are a form that stays: those that the decisions need are read here alone.
-Settings that are left out or null have the defaults that stand here. Nothing in this module chooses.
+The keys of the JSON object are an external format and must not change. Those that the policy needs are
+converted only here. A setting that is missing or null has the default given here. No scheduling decision is
+made here.
 """
 
 from __future__ import annotations
@@ -27,10 +28,10 @@
 from vanerelay.policy.gateway import Gateway
 
 RawSettings = dict[str, Any]
-"""The settings as they come, read from JSON."""
+"""The settings as read from JSON, before any conversion."""
 
 MICROSECONDS_PER_TICK = 100
-"""Times in the settings are in microseconds, times of the decisions in ticks."""
+"""The settings state times in microseconds; the policy counts time in ticks."""
 
 IDEMPOTENCY = {
     "pure": Idempotency.IDEMPOTENT,
@@ -44,40 +45,43 @@
 }
 MEMORY_SHORTAGES = {"queue": MemoryShortage.WAIT, "trim": MemoryShortage.SHRINK, "swap": MemoryShortage.PAGE}
 
-REPORT_FIELDS = {"busy_reqs": "running", "pending": "queued", "cpu_share": "cores_busy"}
-"""Names of reported values on the wire, and the fields of `LoadReport`."""
+FIELD_BY_WIRE_NAME = {"busy_reqs": "running", "pending": "queued", "cpu_share": "cores_busy"}
+"""Fields of `LoadReport` by the name of the reported value on the wire."""
 
-CONFIGURABLE_FIELDS = {"share of memory granted": "memory_granted", "share of disks busy": "disks_busy"}
-"""Fields of `LoadReport` by what the settings may say that a configurable value means."""
+FIELD_BY_MEANING = {"share of memory granted": "memory_granted", "share of disks busy": "disks_busy"}
+"""Fields of `LoadReport` by the meaning that the settings may give to a configurable column."""
 
-CONFIGURABLE_VALUES = (("x0", "reportX0"), ("x1", "reportX1"))
-"""Configurable values on the wire, and the settings that say what they mean."""
+CONFIGURABLE_COLUMNS = (("x0", "reportX0"), ("x1", "reportX1"))
+"""Configurable columns on the wire, each with the key of the setting that gives its meaning."""
 
-LOAD_FIELDS = frozenset({"running", "cores_busy", "memory_granted", "disks_busy"})
-"""Fields of `LoadReport` that state what share of an engine is in use."""
+UTILIZATION_FIELDS = frozenset({"running", "cores_busy", "memory_granted", "disks_busy"})
+"""Fields of `LoadReport` that measure how much of an engine is in use."""
 
 
 def ticks_floor(microseconds: float) -> int:
-    """Microseconds in ticks, rounded down."""
+    """Converts microseconds to ticks, rounding down."""
     return int(microseconds // MICROSECONDS_PER_TICK)
 
 
 def ticks_ceil(microseconds: float) -> int:
-    """Microseconds in ticks, rounded up."""
+    """Converts microseconds to ticks, rounding up."""
     return -int(-microseconds // MICROSECONDS_PER_TICK)
 
 
 def service_classes(raw_settings: RawSettings) -> list[ServiceClass]:
-    """The service classes, by row."""
-    engines = raw_settings.get("familyInfo") or {}
-    return [_service_class(row, raw, engines) for row, raw in enumerate(raw_settings["classes"])]
+    """Returns the service classes in the order of the settings; the index of a class is called its row."""
+    engine_settings = raw_settings.get("familyInfo") or {}
+    return [_service_class(row, raw, engine_settings) for row, raw in enumerate(raw_settings["classes"])]
 
 
-def _service_class(row: int, raw: RawSettings, engines: RawSettings) -> ServiceClass:
-    """One service class; what its queries do at engines stands in lists of their own, by row."""
+def _service_class(row: int, raw: RawSettings, engine_settings: RawSettings) -> ServiceClass:
+    """Returns one service class.
 
-    def listed(name: str, default: Any) -> Any:
-        values = engines.get(name) or []
+    Properties that concern engines are not in `raw` but in lists under `familyInfo`, indexed by row.
+    """
+
+    def value_of_class(key: str, default: Any) -> Any:
+        values = engine_settings.get(key) or []
         return values[row] if row < len(values) else default
 
     return ServiceClass(
@@ -93,17 +97,17 @@
         ordered=bool(raw.get("inTurn")),
         zones=None if raw.get("staysIn") is None else tuple(raw["staysIn"]),
         machine_kinds=None if raw.get("kindsOnly") is None else tuple(raw["kindsOnly"]),
-        threads=int(listed("parallelism", 1)),
-        is_data_load=bool(listed("writesTables", False)),
-        waits_for_data_loads=bool(listed("waitsForLoads", False)),
+        threads=int(value_of_class("parallelism", 1)),
+        is_data_load=bool(value_of_class("writesTables", False)),
+        waits_for_data_loads=bool(value_of_class("waitsForLoads", False)),
     )
 
 
 def machine_kinds(raw_settings: RawSettings) -> list[MachineKind]:
-    """The kinds of engine machines, by row."""
-    engines = raw_settings.get("familyInfo") or {}
-    cores = engines.get("cpuOfKind") or []
-    memory = engines.get("memoryByKindMb") or []
+    """Returns the kinds of engine machines in the order of the settings; the index of a kind is its row."""
+    engine_settings = raw_settings.get("familyInfo") or {}
+    cores = engine_settings.get("cpuOfKind") or []
+    memory = engine_settings.get("memoryByKindMb") or []
     return [
         MachineKind(
             cores=int(cores[row]) if row < len(cores) else 0,
@@ -114,7 +118,7 @@
 
 
 def fleet_position(raw_settings: RawSettings) -> FleetPosition:
-    """Where this gateway stands among its peers."""
+    """Returns the index of this gateway, its zone and the number of gateways."""
     return FleetPosition(
         index=int(raw_settings.get("position") or 0),
         gateway_count=int(raw_settings.get("groupSize") or 1),
@@ -123,13 +127,13 @@
 
 
 def capabilities(raw_settings: RawSettings) -> Capabilities:
-    """What this gateway may do, and what engines report to it."""
+    """Returns what this gateway is permitted to do, and what engines report to it."""
     limits = raw_settings.get("limits") or {}
-    engines = raw_settings.get("familyInfo") or {}
+    engine_settings = raw_settings.get("familyInfo") or {}
     report = raw_settings.get("report") or {}
     names = report_names(raw_settings)
     reported = {names[column] for column in report.get("columns") or [] if column in names}
-    tells_load_when_probed = report.get("how") == "pull" and not LOAD_FIELDS.isdisjoint(reported)
+    reports_load_when_probed = report.get("how") == "pull" and not UTILIZATION_FIELDS.isdisjoint(reported)
     return Capabilities(
         max_attempts=int(limits.get("maxAttempts") or 1),
         may_cancel=bool(limits.get("cancel")),
@@ -138,46 +142,46 @@
         may_gossip=bool(limits.get("peers")),
         sends_retry_after=bool(limits.get("retryAfter")),
         max_retry_after=ticks_floor(limits.get("maxRetryAfterUs") or 0),
-        sends_memory_grants=bool(engines.get("takesGrants")),
-        max_grant_share=float(engines.get("grantCap") or 1.0),
-        sends_priorities=bool(engines.get("lanesCount")),
-        reports_cost=bool(engines.get("bills")),
-        progress_interval=ticks_ceil(engines.get("progressUs") or 0),
-        memory_shortage=MEMORY_SHORTAGES[engines.get("memoryShort") or "queue"],
+        sends_memory_grants=bool(engine_settings.get("takesGrants")),
+        max_grant_share=float(engine_settings.get("grantCap") or 1.0),
+        sends_priorities=bool(engine_settings.get("lanesCount")),
+        reports_cost=bool(engine_settings.get("bills")),
+        progress_interval=ticks_ceil(engine_settings.get("progressUs") or 0),
+        memory_shortage=MEMORY_SHORTAGES[engine_settings.get("memoryShort") or "queue"],
         subscribes_to_list=raw_settings.get("discovery") == "on_request",
-        polls_load=bool(limits.get("probes")) and tells_load_when_probed,
+        polls_load=bool(limits.get("probes")) and reports_load_when_probed,
     )
 
 
 def slow_start_terms(raw_settings: RawSettings) -> SlowStartTerms:
-    """The rule that protects freshly started engines."""
-    rules = raw_settings.get("safety") or {}
+    """Returns the limits on load that protect freshly started engines."""
+    safety = raw_settings.get("safety") or {}
     return SlowStartTerms(
-        initial_share=float(rules.get("coldFrom") or 1.0),
-        ramp_duration=ticks_ceil(rules.get("coldUs") or 0),
-        overload_multiple=float(rules.get("fallMultiple") or 1.0),
-        overload_window=ticks_ceil(rules.get("overloadForUs") or 0),
+        initial_share=float(safety.get("coldFrom") or 1.0),
+        ramp_duration=ticks_ceil(safety.get("coldUs") or 0),
+        overload_multiple=float(safety.get("fallMultiple") or 1.0),
+        overload_window=ticks_ceil(safety.get("overloadForUs") or 0),
     )
 
 
 def retry_budget_terms(raw_settings: RawSettings) -> RetryBudgetTerms:
-    """The rule on attempts beyond the first of each query."""
-    rules = raw_settings.get("safety") or {}
+    """Returns the limit on attempts beyond the first of each query."""
+    safety = raw_settings.get("safety") or {}
     return RetryBudgetTerms(
-        window=ticks_ceil(rules.get("ratioSpanUs") or 0),
-        min_retries=int(rules.get("minExtra") or 0),
-        retry_ratio=float(rules.get("extraRatio") or 0.0),
+        window=ticks_ceil(safety.get("ratioSpanUs") or 0),
+        min_retries=int(safety.get("minExtra") or 0),
+        retry_ratio=float(safety.get("extraRatio") or 0.0),
     )
 
 
 def order_key_pause(raw_settings: RawSettings) -> int:
-    """How long an order key rests after an attempt that may still run."""
-    rules = raw_settings.get("safety") or {}
-    return ticks_ceil(rules.get("orderPauseUs") or 0)
+    """Returns the ticks for which an order key is blocked after an attempt that may still be running."""
+    safety = raw_settings.get("safety") or {}
+    return ticks_ceil(safety.get("orderPauseUs") or 0)
 
 
 def guard_terms(raw_settings: RawSettings) -> GuardTerms:
-    """What the guard of the invariants needs."""
+    """Returns the part of the settings that the invariant guard checks against."""
     allowed = capabilities(raw_settings)
     return GuardTerms(
         service_classes=service_classes(raw_settings),
@@ -190,17 +194,25 @@
 
 
 def report_names(raw_settings: RawSettings) -> dict[str, str]:
-    """The wire's names of reported values against the fields of `LoadReport`."""
-    engines = raw_settings.get("familyInfo") or {}
-    names = dict(REPORT_FIELDS)
-    for wire_name, key in CONFIGURABLE_VALUES:
-        if engines.get(key) in CONFIGURABLE_FIELDS:
-            names[wire_name] = CONFIGURABLE_FIELDS[engines[key]]
+    """Returns the field of `LoadReport` for each name that a reported value may have on the wire."""
+    engine_settings = raw_settings.get("familyInfo") or {}
+    names = dict(FIELD_BY_WIRE_NAME)
+    for wire_name, key in CONFIGURABLE_COLUMNS:
+        if engine_settings.get(key) in FIELD_BY_MEANING:
+            names[wire_name] = FIELD_BY_MEANING[engine_settings[key]]
     return names
 
 
 def load_report(names: dict[str, str], values: dict[str, Any] | None) -> LoadReport | None:
-    """A load report of values by the wire's names; `names` is from `report_names`."""
+    """Converts reported values to a load report, ignoring unknown names and null values.
+
+    Args:
+        names: The fields of `LoadReport` by wire name, as returned by `report_names`.
+        values: The reported values by wire name.
+
+    Returns:
+        The load report, or None if no values were reported.
+    """
     if not values:
         return None
     fields = {
@@ -212,13 +224,13 @@
 def open_gateway(
     transport: Transport, seed: int, raw_settings: RawSettings, polls_load: bool = False
 ) -> Gateway:
-    """The decisions under these settings.
+    """Creates the policy gateway for these settings.
 
     Args:
-        transport: What the decisions call out through.
-        seed: The seed of all chance in them.
-        raw_settings: The settings, in which nothing is wrong (see `settings_validation`).
-        polls_load: Whether a probe on this wire brings a load report. On sockets it does not.
+        transport: Through which the policy sends attempts and answers and sets timers.
+        seed: The seed of the policy's random generator.
+        raw_settings: Valid settings, for which `settings_validation.find_error` returns None.
+        polls_load: True if the answer to a probe on this wire carries a load report. On sockets it does not.
     """
     allowed = capabilities(raw_settings)
     gateway_settings = GatewaySettings(
--- a/vanerelay/settings_validation.py
+++ b/vanerelay/settings_validation.py
@@ -1,7 +1,8 @@
-"""The settings looked through before they are used: the first that is wrong, in one line. Nothing chooses.
+"""Validates the settings before they are used, and describes the first error in one line.
 
-What is left out keeps its default; names nobody knows are let be, as new ones may come. Written by hand, as
-the platform's start carries no library for it (requirements.txt).
+A missing setting has its default, and unknown keys are ignored, as later versions may add keys. The checks
+are written by hand because the platform's installation (requirements.txt) includes no validation library.
+No scheduling decision is made here.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 
 from vanerelay import settings
 
-REQUIRED = ("classes", "aimUs", "deadlineUs", "semantics")
-"""Keys that have no default."""
+REQUIRED_KEYS = ("classes", "aimUs", "deadlineUs", "semantics")
+"""Keys that must be present, as they have no default."""
 
 RESTART_SETTINGS = (
     "kinds",
@@ -30,9 +31,12 @@
     "limits.secondCopies",
     "limits.peers",
 )
-"""What a running gateway cannot take over: its connections, place and messages were made for these."""
+"""Settings that a running gateway cannot change without a restart.
 
-SAFETY_NUMBERS = (
+Its connections, its position among the gateways and its messages depend on the values it started with.
+"""
+
+SAFETY_NUMBER_KEYS = (
     "coldFrom",
     "coldUs",
     "overloadForUs",
@@ -42,54 +46,69 @@
     "minExtra",
     "extraRatio",
 )
-"""Keys of the safety rules that are plain numbers of 0 or more."""
+"""Keys under `safety` whose values are numbers of 0 or more."""
 
-PER_KIND = ("cpuOfKind", "memoryByKindMb")
-"""Lists that need a number for each machine kind."""
+PER_MACHINE_KIND_KEYS = ("cpuOfKind", "memoryByKindMb")
+"""Keys under `familyInfo` of the lists that need one number for each machine kind."""
 
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """What a single value has to be: in words, and as a test."""
+    """The condition that a single value has to meet.
+
+    Attributes:
+        text: The condition as it stands in error messages, after "expected".
+        is_met: Returns True if a value meets the condition.
+    """
 
     text: str
     is_met: Callable[[Any], bool]
 
 
 Schema = dict[str, Any]
-"""By key: an Expectation, a Schema of an object, or a list of one of them for all its values."""
+"""The expected value of each key of an object.
+
+This is an Expectation, the Schema of a nested object, or a list with one of these as its only item, which
+then applies to every element of the value.
+"""
 
 
 def find_error(raw_settings: Any) -> str | None:
-    """Why these settings cannot be used, naming the key; None if they can."""
+    """Returns the first reason, with its key, why these settings cannot be used; None if they are valid."""
     return next(_errors("", raw_settings, _schema(raw_settings)), None)
 
 
-def find_doubt(raw_settings: Mapping[str, Any]) -> str | None:
-    """What can be started with, as it always could, and is surely not meant; the first of it, in one line.
+def find_suspect_setting(raw_settings: Mapping[str, Any]) -> str | None:
+    """Returns the first setting that is valid but certainly a mistake, in one line; None if there is none.
 
-    `check` and a rolling change refuse it. For settings in which nothing is wrong.
+    A gateway starts with such settings, as it always did, but `check` and rolling changes reject them. The
+    settings must be valid: `find_error` returned None for them.
     """
-    engines, kinds = raw_settings.get("familyInfo") or {}, raw_settings.get("kinds") or []
-    position, size = raw_settings.get("position") or 0, raw_settings.get("groupSize") or 1
-    if position >= size:
-        return f"position: {position}, expected less than the {size} of groupSize"
-    for name in PER_KIND:
-        numbers = engines.get(name)
+    engine_settings, kinds = raw_settings.get("familyInfo") or {}, raw_settings.get("kinds") or []
+    position, gateway_count = raw_settings.get("position") or 0, raw_settings.get("groupSize") or 1
+    if position >= gateway_count:
+        return f"position: {position}, expected less than {gateway_count}, the value of groupSize"
+    for name in PER_MACHINE_KIND_KEYS:
+        numbers = engine_settings.get(name)
         if numbers is not None and len(numbers) < len(kinds):
-            return f"familyInfo.{name}: {numbers!r}, expected a figure for each of {len(kinds)} kinds"
+            return f"familyInfo.{name}: {numbers!r}, expected a number for each of {len(kinds)} machine kinds"
         for row, value in enumerate(numbers or ()):
             if not value:
-                return f"familyInfo.{name}[{row}]: {value!r}, expected more than 0"
+                return f"familyInfo.{name}[{row}]: {value!r}, expected a number greater than 0"
     return None
 
 
 def find_restart_setting(old: Mapping[str, Any], new: Mapping[str, Any]) -> str | None:
-    """The first setting that differs and takes a restart; None if the new ones can be switched to."""
+    """Returns the first changed setting that needs a restart; None if `new` can be applied without one.
+
+    Args:
+        old: The settings in force.
+        new: The settings to apply.
+    """
     for path in RESTART_SETTINGS:
-        before, after = _value_at(old, path), _value_at(new, path)
-        if before != after:
-            return f"{path}: {after!r}, expected {before!r} until a restart"
+        old_value, new_value = _value_at(old, path), _value_at(new, path)
+        if old_value != new_value:
+            return f"{path}: {new_value!r}, expected {old_value!r} until a restart"
     return None
 
 
@@ -104,20 +123,22 @@
 FLAG = Expectation("true or false", lambda value: isinstance(value, bool))
 
 
-def _number(least: float = 0) -> Expectation:
+def _number(minimum: float = 0) -> Expectation:
     return Expectation(
-        f"a figure of {least} or more",
-        lambda value: type(value) in (int, float) and least <= value < float("inf"),
+        f"a figure of {minimum} or more",
+        lambda value: type(value) in (int, float) and minimum <= value < float("inf"),
     )
 
 
-def _one_of(words: Iterable[str]) -> Expectation:
-    return Expectation(f"one of {', '.join(words)}", lambda value: isinstance(value, str) and value in words)
+def _one_of(choices: Iterable[str]) -> Expectation:
+    return Expectation(
+        f"one of {', '.join(choices)}", lambda value: isinstance(value, str) and value in choices
+    )
 
 
 def _index_into(raw_settings: Any, name: str) -> Expectation:
-    listed = raw_settings.get(name) if isinstance(raw_settings, dict) else None
-    size = len(listed) if isinstance(listed, list) else 0
+    rows = raw_settings.get(name) if isinstance(raw_settings, dict) else None
+    size = len(rows) if isinstance(rows, list) else 0
     return Expectation(
         f"a place among the {size} in {name}", lambda value: type(value) is int and 0 <= value < size
     )
@@ -131,7 +152,7 @@
         "orgs": [{"name": TEXT}],
         "familyInfo": _engine_schema(),
         "limits": _limits_schema(),
-        "safety": {"fallMultiple": _number(1), **dict.fromkeys(SAFETY_NUMBERS, _number())},
+        "safety": {"fallMultiple": _number(1), **dict.fromkeys(SAFETY_NUMBER_KEYS, _number())},
         "report": {"how": _one_of(("piggyback", "pull", "silent"))},
         "position": _number(),
         "groupSize": _number(1),
@@ -141,7 +162,7 @@
 
 
 def _class_schema(raw_settings: Any) -> Schema:
-    duration = _number(settings.MICROSECONDS_PER_TICK)  # shorter ones could not be told from 0
+    duration = _number(settings.MICROSECONDS_PER_TICK)  # a shorter one would round down to 0 ticks
     return {
         "name": TEXT,
         "aimUs": duration,
@@ -191,7 +212,7 @@
 
 
 def _errors(path: str, value: Any, expected: Any) -> Iterator[str]:
-    """All that is wrong with a value, in the order of the schema."""
+    """Yields all errors of a value, which stands at `path` in the settings, in the order of the schema."""
     if isinstance(expected, dict):
         yield from _object_errors(path, value, expected)
     elif isinstance(expected, list):
@@ -205,16 +226,16 @@
         yield f"{path or 'settings'}: {value!r}, expected an object"
         return
     for name, expected in schema.items():
-        inner_path = f"{path}.{name}" if path else name
+        key_path = f"{path}.{name}" if path else name
         if value.get(name) not in (None, []):
-            yield from _errors(inner_path, value[name], expected)
-        elif name in REQUIRED:
-            yield f"{inner_path}: not told, expected it"
+            yield from _errors(key_path, value[name], expected)
+        elif name in REQUIRED_KEYS:
+            yield f"{key_path}: not told, expected it"
 
 
 def _list_errors(path: str, value: Any, expected: Any) -> Iterator[str]:
     if not isinstance(value, list):
         yield f"{path}: {value!r}, expected a list"
         return
-    for row, inner in enumerate(value):
-        yield from _errors(f"{path}[{row}]", inner, expected)
+    for row, element in enumerate(value):
+        yield from _errors(f"{path}[{row}]", element, expected)
