--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -115,7 +115,7 @@
             engines: The number of engines.
             gateways: The number of gateways of the fleet.
             retry_budget: The terms of the retry budget; a budget without retries by default.
-            order_key_pause: The pause between queries of one order key, in ticks.
+            order_key_pause: The pause of an order key after an attempt that may still run, in ticks.
             capabilities: Fields that override those of CAPABILITIES.
             index: The position of this gateway in the fleet.
             now: The time of the clock at the start, in ticks.
@@ -370,9 +370,8 @@
                     feed.polls.append(known)
                     if feed.polls_to_hang:
                         feed.polls_to_hang -= 1
-                        feed.changed.wait_for(
-                            lambda: False, WAIT_TIMEOUT_S
-                        )  # the connection stays open without an answer
+                        # The connection stays open without an answer.
+                        feed.changed.wait_for(lambda: False, WAIT_TIMEOUT_S)
                         return
                     if feed.raw_answers:
                         self.wfile.write(feed.raw_answers.pop(0))
@@ -539,6 +538,7 @@
     },
     "safety": {"coldFrom": 0.3, "coldUs": 1000, "fallMultiple": 4.0, "overloadForUs": 2000000},
 }
+"""The settings that a gateway process gets by default."""
 
 
 def free_address() -> str:
--- a/vanerelay/extension.py
+++ b/vanerelay/extension.py
@@ -85,7 +85,7 @@
         """Sends an engine a command that is not a query. The Deferred never fails."""
 
     def large_list_applied(self) -> None:
-        """Is called after a change of many engines has been applied."""
+        """Notifies the program that a change of many engines has been applied."""
 
     def submit_internal(
         self, service_class: str, statement: str, engine: int, memory: float, max_duration: int
@@ -99,7 +99,7 @@
 
     Attributes:
         reference: The id that its client gave it.
-        latency_objective: In ticks.
+        latency_objective: The latency objective, in ticks.
         time_left: The time until its deadline, in ticks.
     """
 
--- a/vanerelay/operator_config.py
+++ b/vanerelay/operator_config.py
@@ -1,7 +1,7 @@
 """Reads the operators' file (HCL) into typed configuration objects; each error names its line.
 
 A value that the file does not set keeps the default of its dataclass, which is defined beside the code that
-uses it. This module knows no defaults and checks only what holds for all values.
+uses it. This module only reads the file; it takes no decisions.
 """
 
 from __future__ import annotations
@@ -22,6 +22,8 @@
 from vanerelay.interface import SECOND, Duration
 
 DURATION_UNITS = {"ms": SECOND // 1000, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
+"""The length of each unit, in ticks."""
+
 DURATION_PATTERN = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s|m|h)")
 EXPRESSION_MARK = "${"
 """Marks an expression in a value that the HCL reader returns. Only plain values are accepted."""
@@ -83,7 +85,7 @@
         return matches
 
     def find_block(self, name: str) -> Block | None:
-        """Returns the first block with a name, or None."""
+        """Returns the block with a name, the first if there are several with different labels, or None."""
         return next(iter(self.blocks(name)), None)
 
     def fill(self, kind: type[T], /, **given: Any) -> T:
