--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -217,7 +217,9 @@
         structlog.contextvars.bind_contextvars(gateway=name)
         make_extensions = None
         if subsystems:
-            make_extensions = importlib.import_module("vanerelay.extension_registry").joins(subsystems)
+            make_extensions = importlib.import_module("vanerelay.extension_registry").extension_factory(
+                subsystems
+            )
         return Server(
             reactor, clock, configuration, listen or configuration.listen, name, sockets, make_extensions
         )
