--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -519,7 +519,7 @@
         member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
         served.service.listed(EngineListChange(1, True, [member]))
         served.ask(1, service="load")
-        monkeypatch.setattr(gateway._feedback, "engine_responded", fault)
+        monkeypatch.setattr(gateway._report_dispatcher, "engine_responded", fault)
         protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
         protocol.makeConnection(wire)
         protocol.dataReceived(command(b"%016x" % 1, b"ERR", b"-", b""))
--- a/tests/test_policy_reports.py
+++ b/tests/test_policy_reports.py
@@ -7,8 +7,8 @@
 from tests.helpers import GatewayHarness
 from vanerelay import settings
 from vanerelay.interface import SECOND, AttemptResult, LoadReport, Outcome, ProgressKind
-from vanerelay.policy.housekeeping import HOUSEKEEPING_INTERVAL
 from vanerelay.policy.outlier_detection import MIN_SILENCE
+from vanerelay.policy.periodic_work import PERIODIC_WORK_INTERVAL
 
 POLLS_LOAD = {"may_probe": True, "polls_load": True}
 REPORTS_PROGRESS = {"progress_interval": SECOND // 2}
@@ -36,7 +36,7 @@
     world = GatewayHarness(engines=2, gateways=40, capabilities=POLLS_LOAD, threads=1)
     for _ in range(2):
         world.submit(memory=10.0)
-        world.advance(HOUSEKEEPING_INTERVAL)
+        world.advance(PERIODIC_WORK_INTERVAL)
     world.gateway._capacity._offered._totals[0] = 0.0
     third = world.submit(memory=10.0)
     before = len(world.calls_of("send_attempt"))
@@ -97,7 +97,7 @@
     reservations, held = world.engine(0).reservations, world.gateway._engines.pool.running
     for query in lost:
         query.attempt_progressed(0, ProgressKind.PROGRESS, 0.1)
-    world.advance(SECOND // 2 + MIN_SILENCE + 3 * HOUSEKEEPING_INTERVAL)
+    world.advance(SECOND // 2 + MIN_SILENCE + 3 * PERIODIC_WORK_INTERVAL)
     assert held == 20 and (
         reservations.running,
         reservations.granted,
--- a/vanerelay/policy/__init__.py
+++ b/vanerelay/policy/__init__.py
@@ -1,6 +1,16 @@
-"""The decisions: what runs, where, with how much memory, and what is rejected.
+"""The policy: decides which query runs on which engine, when, with how much memory, and which are rejected.
 
-`gateway` has the ordinary path of a query; each other module has one concern of it, with every tuned value of
-that concern as a constant. Times are in ticks of a tenth of a millisecond, memory is in MB. Nothing here does
-I/O, reads a clock or draws chance that it was not given.
+`gateway` holds the main path of a query. Each other module covers one concern, with the tuned values of that
+concern as constants. Times and durations are in ticks of 0.1 ms, memory is in MB. The policy does no I/O,
+reads no clock and uses no random numbers but from the seed that it is given.
+
+Doc comments refer to these rules by number:
+
+1. Each query gets one final answer, before its deadline.
+2. A query that is not idempotent is sent again only if it cannot take effect twice.
+3. No new query is sent to an engine that drains or has left the engine list.
+4. An engine in its slow start is not overloaded.
+5. Queries of an ordered service class that share an order key run one at a time, in the order submitted.
+6. Queries stay on the engines that their service class allows.
+7. Attempts beyond the first of each query stay within the retry budget.
 """
--- a/vanerelay/policy/admission_queue.py
+++ b/vanerelay/policy/admission_queue.py
@@ -1,4 +1,4 @@
-"""Queries that are held until they fit somewhere, and the moments when they are given up."""
+"""The queue of queries that wait for admission, and the schedule by which they are given up."""
 
 from __future__ import annotations
 
@@ -11,23 +11,27 @@
 
 
 class AdmissionQueue:
-    """Held queries, first come first served; they hold nothing.
+    """Queries that wait for admission, first come, first served. They have no reservations at engines.
 
-    Queries under different placement constraints wait in queues of their own: one whose engines are all down
-    would stand before all others.
+    There is a queue for each set of placement constraints. In a single queue, a query whose engines are all
+    down would block all others.
     """
 
     def __init__(self) -> None:
         self._queues: defaultdict[PlacementConstraints, list[Query]] = defaultdict(list)
 
-    def join(self, query: Query) -> bool:
-        """Takes in a query by its order of arrival; whether it is first, and the queue is to be served."""
+    def enqueue(self, query: Query) -> bool:
+        """Adds a query by its order of arrival.
+
+        Returns:
+            True if the query is at the head of its queue, so that `serve` is to be called.
+        """
         queue = self._queues[query.constraints()]
         heapq.heappush(queue, query)
         return queue[0] is query
 
     def serve(self, admit: Callable[[Query], bool]) -> None:
-        """Admits from the head of each queue for as long as heads fit somewhere."""
+        """Admits queries from the head of each queue until `admit` returns False for the head."""
         for constraints, queue in list(self._queues.items()):
             while queue and (not queue[0].is_held or admit(queue[0])):
                 heapq.heappop(queue)
@@ -35,12 +39,12 @@
                 self._queues.pop(constraints, None)
 
     def head_wait(self, now: int) -> int:
-        """How long the head that was held first has waited; 0 where none waits."""
+        """Returns the longest wait of a head of a queue, in ticks; 0 if no query waits."""
         return max((now - queue[0].held_since for queue in self._queues.values() if queue), default=0)
 
 
 class GiveUpSchedule:
-    """Held queries by the moment when they are given up."""
+    """Held queries by the time at which they are given up."""
 
     def __init__(self) -> None:
         self._scheduled = list[tuple[int, Query]]()
@@ -49,11 +53,11 @@
         return len(self._scheduled)
 
     def add(self, query: Query) -> None:
-        """Takes in a query with its present moment."""
+        """Adds a held query under its present `give_up_at`."""
         heapq.heappush(self._scheduled, (query.give_up_at, query))
 
-    def due(self, now: int) -> Iterator[Query]:
-        """Takes out the queries that are to be given up now; those admitted since are passed over."""
+    def take_due(self, now: int) -> Iterator[Query]:
+        """Removes and yields the queries to give up now; those admitted in the meantime are skipped."""
         while self._scheduled and self._scheduled[0][0] <= now:
             query = heapq.heappop(self._scheduled)[1]
             if query.is_held and query.give_up_at <= now:
--- a/vanerelay/policy/attempt_timeout.py
+++ b/vanerelay/policy/attempt_timeout.py
@@ -6,65 +6,75 @@
 
 from vanerelay.interface import Capabilities, Idempotency
 from vanerelay.policy.attempt import AttemptTable
-from vanerelay.policy.housekeeping import HOUSEKEEPING_INTERVAL
+from vanerelay.policy.periodic_work import PERIODIC_WORK_INTERVAL
 from vanerelay.policy.query import Query
 from vanerelay.policy.retry_budget import RetryBudget
 from vanerelay.policy.runtime_estimator import QUICK_RUN_DIVISOR, RuntimeEstimator
 
-EARLY_END = 0.7
-"""Part of the time to the latency objective after which an early timeout ends, to leave time for a retry."""
+EARLY_TIMEOUT_SHARE = 0.7
+"""The part of the time to the latency objective that an early timeout takes; the rest is left for a retry."""
 
-LOSSY_RATIO = 0.12
-"""Lost answers among queries from which on an early timeout leaves time for a retry."""
+MIN_LOSS_RATIO = 0.12
+"""Lost answers per recent query above which answers are unreliable, so that early timeouts are preferred."""
 
-SURE_SPREADS = 2.5
-"""An early timeout counts as conclusive after exp of this many spreads of the work..."""
+CONCLUSIVE_SPREADS = 2.5
+"""An early timeout is conclusive (an attempt that takes longer will hardly complete) if it is at least the
+expected duration times exp(this many standard deviations of the log of the work) ..."""
 
-SURE_RUNS = 4.0
-"""...and after this many expected durations. With less, one look-up in twenty was cut off while it ran."""
+CONCLUSIVE_DURATIONS = 4.0
+"""... and at least this many expected durations. With a lower limit, one short query in twenty was cut off
+while it ran."""
 
-LOSSY_SURE_SPREADS = 1.5
-"""The same where answers get lost: waiting for them costs more than cutting some off."""
+LOSSY_CONCLUSIVE_SPREADS = 1.5
+"""Replaces CONCLUSIVE_SPREADS where answers get lost: waiting for a lost answer costs more than cutting off
+some running attempts."""
 
 
 class AttemptTimeouts:
-    """Attempts run until the deadline, unless an early end would be conclusive and leave time for another."""
+    """Chooses timeouts: the deadline, or earlier if that is conclusive and leaves time for a retry."""
 
     def __init__(
         self,
         capabilities: Capabilities,
-        margin: int,
+        deadline_margin: int,
         runtime: RuntimeEstimator,
         retry_budget: RetryBudget,
         attempts: AttemptTable,
     ) -> None:
-        """`margin`: the time before a deadline in which nothing can be done any more."""
+        """`deadline_margin`: the ticks before a deadline in which it is too late to act on a query."""
         self._capabilities = capabilities
-        self._margin = margin
+        self._deadline_margin = deadline_margin
         self._runtime = runtime
         self._retry_budget = retry_budget
         self._attempts = attempts
 
     def timeout(self, now: int, query: Query, expected_duration: float) -> int:
-        """The timeout of the attempt that was made last."""
-        left = query.arrival.deadline - now - self._margin + HOUSEKEEPING_INTERVAL
-        early = (query.objective_at - now) * EARLY_END
+        """Returns the timeout in ticks of the newest attempt of a query.
+
+        Args:
+            now: The current time.
+            query: The query.
+            expected_duration: The time that the attempt is expected to take, in ticks.
+        """
+        remaining = query.arrival.deadline - now - self._deadline_margin + PERIODIC_WORK_INTERVAL
+        early = (query.objective_at - now) * EARLY_TIMEOUT_SHARE
         is_last = (
             query.service_class.idempotency is Idempotency.NON_IDEMPOTENT
             or len(query.attempts) >= self._capabilities.max_attempts
         )
         spread = self._runtime.work_spread(query.arrival.service_class)
         if self._is_lossy(now):
-            conclusive = expected_duration * math.exp(spread * LOSSY_SURE_SPREADS)
+            conclusive = expected_duration * math.exp(spread * LOSSY_CONCLUSIVE_SPREADS)
             early = max(early, conclusive)
-            earns_until = left if query.service_class.late_value else query.objective_at - now
-            is_last = is_last or early + expected_duration / QUICK_RUN_DIVISOR > earns_until
+            useful_time = remaining if query.service_class.late_value else query.objective_at - now
+            is_last = is_last or early + expected_duration / QUICK_RUN_DIVISOR > useful_time
         else:
-            conclusive = expected_duration * max(SURE_RUNS, math.exp(spread * SURE_SPREADS))
+            conclusive = expected_duration * max(CONCLUSIVE_DURATIONS, math.exp(spread * CONCLUSIVE_SPREADS))
         if is_last or conclusive > early:
-            return max(1, left)
-        return max(1, min(left, int(early)))
+            return max(1, remaining)
+        return max(1, min(remaining, int(early)))
 
     def _is_lossy(self, now: int) -> bool:
-        allowed = 1 + LOSSY_RATIO * self._retry_budget.recent_queries(now)
+        """Returns True if so many answers were lost recently that waiting for one is unreliable."""
+        allowed = 1 + MIN_LOSS_RATIO * self._retry_budget.recent_queries(now)
         return self._attempts.lost_answers(now) > allowed
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -1,7 +1,7 @@
-"""Every decision about a query: what runs, where, with how much memory, and what is given up.
+"""The policy of one gateway: takes queries and events, and decides through a transport.
 
-`Gateway.admit` is the ordinary path. The concerns it goes by stand in modules of their own beside this one.
-All of it is pure: the transport has the time and carries out what was decided.
+`Gateway.admit` is the main path of a query; the other modules of this package cover one concern each. The
+policy does no I/O itself: the transport supplies the time and carries out the decisions.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 from vanerelay.policy.engine import Engine
 from vanerelay.policy.engine_monitor import EngineMonitor
 from vanerelay.policy.engine_registry import EngineRegistry
-from vanerelay.policy.feedback import Feedback
-from vanerelay.policy.fitting import Fitting
-from vanerelay.policy.housekeeping import HOUSEKEEPING_INTERVAL, Housekeeping
 from vanerelay.policy.key_ordering import KeyOrdering
 from vanerelay.policy.load_shedding import LoadShedder
+from vanerelay.policy.memory_admission import MemoryAdmission
 from vanerelay.policy.memory_estimator import MemoryEstimator
+from vanerelay.policy.periodic_work import PERIODIC_WORK_INTERVAL, PeriodicWorkSchedule
 from vanerelay.policy.placement import Placement
 from vanerelay.policy.query import Query
 from vanerelay.policy.query_factory import QueryFactory
+from vanerelay.policy.report_dispatcher import ReportDispatcher
 from vanerelay.policy.retry_budget import RetryBudget
 from vanerelay.policy.retry_policy import RetryPolicy
 from vanerelay.policy.runtime_estimator import RuntimeEstimator
@@ -50,61 +50,67 @@
 HIGH_PRIORITY = 2
 
 RETRY_AFTER = SECOND
-"""The Retry-After of rejected queries, where one may be sent."""
+"""The Retry-After of rejected queries, in ticks; the settings may forbid or shorten it."""
 
 LIST_RETRY_INTERVAL = SECOND
-"""Time until the engine list is requested again."""
+"""Ticks until the engine list is requested again after a failure."""
 
 
 class Gateway:
-    """Decides for one gateway process, or for one set of settings in it."""
+    """The policy of one gateway process under one set of settings.
+
+    New settings need a new `Gateway`, which takes over from the old one (`take_over`).
+    """
 
     def __init__(self, transport: Transport, seed: int, settings: GatewaySettings) -> None:
         self._transport = transport
         self._classes = settings.service_classes
         self._capabilities = settings.capabilities
-        self._margin = 2 * settings.tick + HOUSEKEEPING_INTERVAL + 1  # before a deadline
-        self._is_succeeded = False
-        self._open_estimators(settings)
-        self._open_engines(seed, settings)
-        self._open_attempts()
-        transport.call_later(HOUSEKEEPING_INTERVAL, self._keep_house)
+        # The ticks before a deadline in which it is too late to act on a query
+        self._deadline_margin = 2 * settings.tick + PERIODIC_WORK_INTERVAL + 1
+        self._is_replaced = False
+        self._create_estimators(settings)
+        self._create_engines(seed, settings)
+        self._create_attempt_handling()
+        transport.call_later(PERIODIC_WORK_INTERVAL, self._run_periodic_work)
         if self._capabilities.subscribes_to_list:
             transport.subscribe_to_engine_list()
 
-    def _open_estimators(self, settings: GatewaySettings) -> None:
-        """What learns from queries, and what counts and queues them."""
+    def _create_estimators(self, settings: GatewaySettings) -> None:
+        """Creates the estimators, and the objects that count, shed, order and queue queries."""
         engines_page = self._capabilities.memory_shortage is MemoryShortage.PAGE
         self._memory = MemoryEstimator(len(self._classes), engines_page)
         self._runtime = RuntimeEstimator(self._classes)
         self._queries = QueryFactory(self._classes, self._runtime)
         self._retry_budget = RetryBudget(settings.retry_budget)
         self._key_ordering = KeyOrdering(settings.order_key_pause)
-        self._load_shedder = LoadShedder(min(group.latency_objective for group in self._classes))
+        self._load_shedder = LoadShedder(
+            min(service_class.latency_objective for service_class in self._classes)
+        )
         self._queue = AdmissionQueue()
         self._give_ups = GiveUpSchedule()
 
-    def _open_engines(self, seed: int, settings: GatewaySettings) -> None:
-        """What knows the engines, and what of them is ours."""
+    def _create_engines(self, seed: int, settings: GatewaySettings) -> None:
+        """Creates the objects that track engines, and that decide where a query may run."""
         transport, capabilities, position = self._transport, self._capabilities, settings.position
-        self._housekeeping = Housekeeping(transport.now, position.gateway_count)
+        self._periodic_work = PeriodicWorkSchedule(transport.now, position.gateway_count)
         self._capacity = CapacitySlice(transport.now, position, capabilities.may_gossip)
         self._monitor = EngineMonitor(transport, capabilities.polls_load)
         self._engines = EngineRegistry(transport, settings, self._monitor)
-        self._fitting = Fitting(
+        self._memory_admission = MemoryAdmission(
             capabilities.max_grant_share, self._memory, self._engines, self._capacity, self._monitor
         )
         self._placement = Placement(
             random.Random(seed), position.zone, self._queries.waits_for_data_loads, self._engines.order.names
         )
 
-    def _open_attempts(self) -> None:
-        """What follows attempts, and decides about further ones."""
-        capabilities, margin, runtime = self._capabilities, self._margin, self._runtime
+    def _create_attempt_handling(self) -> None:
+        """Creates the objects that track attempts and decide on timeouts, cancellations and retries."""
+        capabilities, margin, runtime = self._capabilities, self._deadline_margin, self._runtime
         self._attempts = AttemptTable()
         self._timeouts = AttemptTimeouts(capabilities, margin, runtime, self._retry_budget, self._attempts)
         self._retry_policy = RetryPolicy(capabilities, margin, runtime, self._retry_budget, self._engines)
-        self._feedback = Feedback(self._memory, runtime, self._engines, self._monitor)
+        self._report_dispatcher = ReportDispatcher(self._memory, runtime, self._engines, self._monitor)
         self._supervisor = AttemptSupervisor(
             self._transport,
             capabilities,
@@ -112,39 +118,47 @@
             runtime,
             self._engines,
             self._retry_policy,
-            self._feedback,
+            self._report_dispatcher,
         )
 
     @property
     def now(self) -> int:
-        """The present moment."""
+        """The current time in ticks."""
         return self._transport.now
 
-    # A query's way.
+    # The path of a query.
 
     def submit(self, arrival: QueryArrival) -> Query:
-        """Takes a query. It is admitted, held or rejected at once; the handle takes what happens to it."""
+        """Submits a query, which is admitted, held or rejected before this method returns.
+
+        Returns:
+            The handle of the query, to which the caller reports further events.
+        """
         now = self._transport.now
-        row, cost = arrival.service_class, arrival.estimated_cost
-        query = self._queries.open(self, arrival)
+        class_index, cost = arrival.service_class, arrival.estimated_cost
+        query = self._queries.create(self, arrival)
         self._retry_budget.query_arrived(now, not arrival.earns_no_retries)
-        self._capacity.work_offered(now, self._runtime.budgeted_work(row, cost))
-        work = self._runtime.expected_work(row, cost)
+        self._capacity.work_offered(now, self._runtime.budgeted_work(class_index, cost))
+        work = self._runtime.expected_work(class_index, cost)
         is_admitted = self._load_shedder.admits(query.service_class.value, work)
-        if not is_admitted or arrival.deadline <= now + self._margin:
+        if not is_admitted or arrival.deadline <= now + self._deadline_margin:
             self._give_up(query)
             return query
         if query.order_key is not None:
             self._key_ordering.enqueue(query.order_key, query)
-            for late in self._key_ordering.overbooked(now, query.order_key, self._runtime):
-                self._give_up(late)
+            for excess in self._key_ordering.unschedulable(now, query.order_key, self._runtime):
+                self._give_up(excess)
         if not query.is_ended:
             self._engines.poll_load(now)
             self.hold(query, self._has_turn(now, query))
         return query
 
     def admit(self, query: Query) -> bool:
-        """The ordinary path: size, fit, draw, send. False: nothing fits, and the query goes on waiting."""
+        """Sends an attempt of the query: sizes its grant, checks admission, chooses an engine and sends.
+
+        Returns:
+            False if no engine can admit the query now, so that it stays in the queue.
+        """
         now, arrival = self._transport.now, query.arrival
         work = self._runtime.budgeted_work(arrival.service_class, arrival.estimated_cost)
         candidates = self._engines.candidates(now, query.constraints())
@@ -153,21 +167,21 @@
         if not usable or (is_retry and not self._retry_budget.allows(now, query.is_low_value)):
             return False
 
-        # Size
-        grant = self._fitting.grant(now, query, usable)
+        # Size the memory grant
+        grant = self._memory_admission.size_grant(now, query, usable)
 
-        # Fit
-        fit = self._fitting.fit(now, query, usable, grant)
-        if fit is None:
+        # Check admission
+        admission = self._memory_admission.check(now, query, usable, grant)
+        if admission is None:
             return False
 
-        # Draw
-        engine = self._placement.draw(now, fit.engines, query, self._monitor.usual_load)
+        # Choose an engine
+        engine = self._placement.choose(now, admission.engines, query, self._monitor.usual_load)
 
-        # Send
-        self._transport.grant_memory(arrival.index, round(fit.grant.size), self._priority(query))
+        # Send the attempt
+        self._transport.grant_memory(arrival.index, round(admission.grant.size), self._priority(query))
         self._retry_budget.attempt_sent(now, is_retry)
-        attempt = Attempt(engine, fit.grant.size, fit.grant.reserved, now, now)
+        attempt = Attempt(engine, admission.grant.size, admission.grant.reserved, now, now)
         self._attempts.add(query, attempt)
         query.attempts.append(attempt)
         query.is_held = False
@@ -181,27 +195,37 @@
         return True
 
     def hold(self, query: Query, has_turn: bool = True) -> None:
-        """Holds a query until it is admitted or given up. Without its turn, it waits beside the queue."""
-        now, deadline = self._transport.now, query.arrival.deadline - self._margin
+        """Holds a query until it is admitted or given up.
+
+        Args:
+            query: The query.
+            has_turn: Whether the query may run now as far as its order key is concerned. If not, it is held
+                without being in the admission queue, until `Query.resume` is called.
+        """
+        now, deadline = self._transport.now, query.arrival.deadline - self._deadline_margin
         duration = int(self._runtime.duration_of(now, query))
         query.is_held = True
         query.held_since = now
-        earns_until = max(query.objective_at - duration, now + HOUSEKEEPING_INTERVAL)
-        query.give_up_at = int(min(deadline, earns_until, query.repeatable_until()))
+        useful_until = max(query.objective_at - duration, now + PERIODIC_WORK_INTERVAL)
+        query.give_up_at = int(min(deadline, useful_until, query.repeatable_until()))
         self._give_ups.add(query)
-        if has_turn and self._queue.join(query) and not self._engines.awaited_reports:
+        if has_turn and self._queue.enqueue(query) and not self._engines.awaited_reports:
             self._queue.serve(self.admit)
-        if query.is_held and query.give_up_at <= now:  # the next housekeeping may be too late
+        if query.is_held and query.give_up_at <= now:  # the next periodic work may come after the deadline
             self._give_up(query)
 
     def _has_turn(self, now: int, query: Query) -> bool:
+        """Returns True if the query has no order key, or is the next to run for its order key."""
         if query.order_key is None:
             return True
         turn = self._key_ordering.turn(now, query.order_key)
-        return turn.query is query and not turn.rest
+        return turn.query is query and not turn.blocked_for
 
     def _may_send(self, now: int, query: Query, engine: Engine, work: float) -> bool:
-        """Rules 2 and 4, and the engine's health: an ejected one gets queries with little at stake."""
+        """Returns True if rules 2 and 4 and the engine's health allow an attempt of the query there.
+
+        An ejected engine gets trial queries only, and only such as lose little if they fail.
+        """
         if now >= query.repeatable_until():
             return False
         if not engine.slow_start.allows(now, work, self._capacity.unproxied):
@@ -211,12 +235,16 @@
         return query.is_low_value and self._engines.may_try(now, engine)
 
     def _priority(self, query: Query) -> int:
-        """A higher priority for light queries: load reports leave seconds where a look-up has none."""
+        """Returns the priority of an attempt: higher for light queries, if engines accept priorities.
+
+        Load reports are seconds old when they arrive, so an engine chosen by them may be busy; a light query
+        cannot afford to wait there.
+        """
         is_preferred = self._runtime.is_light(query) and self._capabilities.sends_priorities
         return HIGH_PRIORITY if is_preferred else NORMAL_PRIORITY
 
     def _give_up(self, query: Query) -> None:
-        """Gives the final answer: rejected where a retry does no harm, else failed."""
+        """Ends a query without a result: rejects it if the client may safely retry it, otherwise fails it."""
         query.is_ended = True
         if query.is_retry_harmless():
             retry_after = 0
@@ -228,20 +256,20 @@
         self._finish(query)
 
     def _finish(self, query: Query) -> None:
-        """A query has ended: the next of its order key has its turn, once the key has rested."""
+        """Ends the hold on a query, and resumes the next of its order key once the key is not blocked."""
         query.is_held = False
         if query.order_key is None:
             return
         turn = self._key_ordering.turn(self._transport.now, query.order_key)
-        if turn.rest:
-            self._transport.call_later(turn.rest, lambda: self._finish(query))
+        if turn.blocked_for:
+            self._transport.call_later(turn.blocked_for, lambda: self._finish(query))
         elif turn.query is not None and turn.query.is_held and not turn.query.attempts:
             turn.query.resume()
 
-    # What is reported of attempts, through the queries' handles.
+    # Events that the caller reports through the handles of queries.
 
     def attempt_ended(self, query: Query, number: int, result: AttemptResult, is_final: bool) -> None:
-        """An attempt ended: the query is answered, tried again or given up."""
+        """Handles the end of an attempt: the query has its answer, or it is held for a retry or given up."""
         now, outcome = self._transport.now, result.outcome
         attempt = query.attempts[number]
         engine = attempt.engine
@@ -253,9 +281,9 @@
         if outcome is Outcome.REJECTED:
             engine.refused(now)
         if outcome is Outcome.COMPLETED:
-            self._feedback.completed(now, query, engine, result)
+            self._report_dispatcher.query_completed(now, query, engine, result)
         if outcome in ENGINE_RESPONDED:
-            self._feedback.engine_responded(engine, result.load_report)
+            self._report_dispatcher.engine_responded(engine, result.load_report)
         engine.health.attempt_ended(now, id(attempt), outcome, result.duration)
         if outcome in MAY_STILL_RUN and query.order_key is not None:
             self._key_ordering.attempt_may_still_run(now, query.order_key)
@@ -269,11 +297,14 @@
         self._queue.serve(self.admit)
 
     def attempt_progressed(self, query: Query, number: int, kind: ProgressKind, value: float) -> None:
-        """An engine reported on a running attempt."""
-        self._supervisor.progressed(query, number, kind, value)
+        """Handles a progress report of an engine about a running attempt."""
+        self._supervisor.progress_reported(query, number, kind, value)
 
     def client_left(self, query: Query) -> None:
-        """The client wants no answer any more: what runs is cancelled, as it takes the capacity of others."""
+        """Ends a query whose client no longer wants an answer.
+
+        Its running attempts are cancelled, as they use capacity that other queries need.
+        """
         query.is_ended = True
         self._retry_budget.credit_withdrawn(self._transport.now, not query.arrival.earns_no_retries)
         self._supervisor.cancel_all(query)
@@ -282,56 +313,69 @@
     # Engines, peers and proxies.
 
     def update_engines(self, entries: Sequence[EngineEntry], complete: bool) -> None:
-        """Takes in entries of the engine list. `complete`: engines without an entry have left it."""
-        self._engines.update(entries, complete, accepts_new=not self._is_succeeded)
+        """Applies entries of the engine list.
+
+        Args:
+            entries: The entries that are new or changed.
+            complete: Whether `entries` is the whole list, so that engines without an entry have left it.
+        """
+        self._engines.update(entries, complete, accepts_new=not self._is_replaced)
         self._queue.serve(self.admit)
 
     def engine_list_failed(self) -> None:
-        """The engine list could not be had: it is requested again."""
+        """Handles a failed request for the engine list: requests it again after LIST_RETRY_INTERVAL."""
         self._transport.call_later(LIST_RETRY_INTERVAL, self._transport.subscribe_to_engine_list)
 
     def probe_completed(self, index: int, outcome: Outcome, report: LoadReport | None) -> None:
-        """A probe of an engine ended."""
+        """Handles the end of a probe; `report` is the load report that the engine sent, if any."""
         engine = self._engines.probe_completed(index, outcome)
         if engine is not None:
-            self._feedback.engine_responded(engine, report)
+            self._report_dispatcher.engine_responded(engine, report)
         self._queue.serve(self.admit)
 
     def receive_from_peer(self, gateway: int, message: bytes) -> None:
-        """A datagram came from another gateway."""
+        """Handles a datagram from another gateway."""
         self._capacity.peer_reported(self._transport.now, gateway, message)
 
     def set_proxy_share(self, share: float) -> None:
-        """Leaves a part of our slice, and of our budgets for engines that warm up, to proxies."""
+        """Leaves a part of this gateway's slice, and of its slow start budgets, to proxies."""
         self._capacity.unproxied = 1.0 - share
 
     def update_proxy_load(self, engine: int, running: float, ended: float, errors: float) -> None:
-        """Proxies reported what they have running at an engine, and what ended since the last report."""
-        known = self._engines.get(engine)
-        if known is not None:
-            known.proxy_reported(self._transport.now, running, ended, errors)
-            self._monitor.watch(known)
+        """Handles a report of proxies about an engine, which is ignored if the engine is not known.
+
+        Args:
+            engine: The index of the engine.
+            running: The queries that proxies have running there.
+            ended: The queries that ended there since the last report.
+            errors: How many of those failed.
+        """
+        known_engine = self._engines.get(engine)
+        if known_engine is not None:
+            known_engine.proxy_reported(self._transport.now, running, ended, errors)
+            self._monitor.watch(known_engine)
 
-    # Housekeeping.
+    # Periodic work.
 
-    def _keep_house(self) -> None:
+    def _run_periodic_work(self) -> None:
+        """Gives up queries that are due, reviews the engines if that is due, and schedules the next call."""
         now = self._transport.now
-        self._housekeeping.interval_ended(now)
-        if self._housekeeping.is_review_due:
+        self._periodic_work.begin_interval(now)
+        if self._periodic_work.is_review_due:
             self._review(now)
-        for query in self._give_ups.due(now):
+        for query in self._give_ups.take_due(now):
             self._give_up(query)
         if not self.is_finished():
-            self._transport.call_later(HOUSEKEEPING_INTERVAL, self._keep_house)
+            self._transport.call_later(PERIODIC_WORK_INTERVAL, self._run_periodic_work)
 
     def _review(self, now: int) -> None:
-        """Looks over the engines, the attempts, the queue and our slice."""
-        is_stalled, is_slow_review = self._housekeeping.is_stalled, self._housekeeping.is_slow_review_due
+        """Reviews the engines, the attempts in flight, the admission queue and this gateway's slice."""
+        is_stalled, is_slow_review = self._periodic_work.is_stalled, self._periodic_work.is_slow_review_due
         if is_slow_review:
             self._monitor.update_baselines(now, self._engines.baseline())
         self._monitor.review(now, is_stalled)
         if not is_stalled:
-            self._supervisor.end_silent(now)
+            self._supervisor.cancel_silent(now)
         self._queue.serve(self.admit)
         self._capacity.update_borrowable(now, self._engines.pool.cores)
         if self._capacity.is_gossip_due(now):
@@ -341,59 +385,62 @@
         if is_slow_review:
             self._load_shedder.adjust(0 if is_stalled else self._queue.head_wait(now))
 
-    # New settings.
+    # Change of settings.
 
     def take_over(self, old: Gateway) -> None:
-        """Takes over from a gateway under former settings, which ends what it has taken.
+        """Takes over from the gateway of the previous settings, which only finishes the queries it has.
 
-        What means the same under both is kept: keys, counts, engines, and the estimates of classes of the
-        same name and threads.
+        State that means the same under both settings is kept: order keys, counts, engines, and the estimates
+        of service classes with the same name and number of threads.
         """
-        old._is_succeeded = True
-        self._key_ordering = old._key_ordering.under(self._key_ordering)
+        old._is_replaced = True
+        self._key_ordering = old._key_ordering.with_pause_of(self._key_ordering)
         self._attempts.inherit(old._attempts)
         self._retry_budget.inherit(old._retry_budget)
-        old_rows = {(group.name, group.threads): row for row, group in enumerate(old._classes)}
-        for row, group in enumerate(self._classes):
-            old_row = old_rows.get((group.name, group.threads))
-            if old_row is not None:
-                self._memory.inherit_class(row, old._memory, old_row)
-                self._runtime.inherit_class(row, old._runtime, old_row)
+        old_indexes = {
+            (service_class.name, service_class.threads): index
+            for index, service_class in enumerate(old._classes)
+        }
+        for index, service_class in enumerate(self._classes):
+            old_index = old_indexes.get((service_class.name, service_class.threads))
+            if old_index is not None:
+                self._memory.inherit_class(index, old._memory, old_index)
+                self._runtime.inherit_class(index, old._runtime, old_index)
         self._engines.inherit(old._engines)
         self._queue.serve(self.admit)
 
     def is_finished(self) -> bool:
-        """Whether another gateway has taken over, and all that this one took has ended."""
-        return self._is_succeeded and not self._attempts and not self._give_ups
+        """Returns True if another `Gateway` has taken over and no query or attempt of this one is left."""
+        return self._is_replaced and not self._attempts and not self._give_ups
 
-    # What others ask.
+    # State that other parts of the program read.
 
     def typical_work(self, service_class: int) -> float:
-        """The work of a query that nothing is estimated of."""
+        """Returns the work, in ticks of one thread, to budget for a query without a client's estimate."""
         return self._runtime.budgeted_work(service_class, 0)
 
     def typical_grant(self, service_class: int) -> float:
-        """The grant of a query that nothing is estimated of; 0 where nothing is known."""
+        """Returns the memory grant in MB of a query without a client's estimate; 0 if it is not known."""
         return self._memory.typical_size(self._transport.now, service_class)
 
     def shed_share(self, service_class: int) -> float:
-        """The part of a class's queries that is shed now; 0 where the class is admitted."""
+        """Returns the part of the traffic that is shed now; 0 if queries of this class are admitted."""
         value = self._classes[service_class].value
         return self._load_shedder.shed_share(value, self.typical_work(service_class))
 
     def queue_wait(self) -> int:
-        """How long the first query in the admission queue has waited; 0 where none waits."""
+        """Returns the longest wait, in ticks, at the head of an admission queue; 0 if no query waits."""
         return self._queue.head_wait(self._transport.now)
 
     def held_share(self) -> float:
-        """The part of all engines that our grants and threads fill."""
+        """Returns the part of all listed engines together that this gateway's grants and threads fill."""
         return self._engines.pool.used_share()
 
     def idle_shares(self) -> dict[int, float]:
-        """The part of each listed engine that nobody holds, as far as it was reported."""
+        """Returns the unused part of each listed engine by its index, according to the last load report."""
         return {engine.entry.index: engine.idle_share() for engine in self._engines.listed()}
 
     def engine_statuses(self) -> list[EngineStatus]:
-        """How each listed engine is seen."""
+        """Returns the present view of each listed engine."""
         now = self._transport.now
         return [engine.status(now, self._capacity.slice) for engine in self._engines.listed()]
--- a/vanerelay/policy/fitting.py
+++ b/vanerelay/policy/memory_admission.py
@@ -1,4 +1,4 @@
-"""Admission by memory: the engines where a query fits, and with what grant."""
+"""Admission by memory: sizes memory grants, and finds the engines that can admit a query."""
 
 from __future__ import annotations
 
@@ -14,34 +14,42 @@
 from vanerelay.policy.query import Query
 
 MAX_GRANT_SHARE = 1.0 / 3.0
-"""Largest grant as a part of an engine's memory, so that three fit."""
+"""Largest grant as a part of an engine's memory, so that three fit at once."""
 
 MAX_HEAD_WAIT = 2 * SECOND
-"""A query that was held for longer goes with a reduced grant."""
+"""A query that was held for this many ticks may be sent with a reduced grant."""
 
 HEAD_WAIT_DIVISOR = 2
-"""So does one that was held for its time to the deadline over this."""
+"""So may a query that was held for the time from its submission to its deadline, divided by this."""
 
 MIN_REDUCED_GRANT = 0.5
-"""Least part of a grant that it is reduced to. Without it, the queue emptied into full engines."""
+"""Smallest part that a grant is reduced to. Without it, the whole queue was sent to full engines."""
 
 
 class Grant(NamedTuple):
-    """A memory grant in MB, of which `reserved` counts against the engine."""
+    """A memory grant.
+
+    Attributes:
+        size: The size in MB.
+        reserved: The memory in MB that is reserved for it at the engine.
+    """
 
     size: float
     reserved: float
 
 
-class Fit(NamedTuple):
-    """Engines where a query fits with this grant."""
+class Admission(NamedTuple):
+    """The engines that can admit a query, and the grant that it is sent with."""
 
     engines: Sequence[Engine]
     grant: Grant
 
 
-class Fitting:
-    """Sizes grants, and holds queries against our slice of each engine and of the pool of all engines."""
+class MemoryAdmission:
+    """Sizes memory grants, and checks queries against this gateway's slices.
+
+    There is a slice of each engine, and one of the pool of all engines.
+    """
 
     def __init__(
         self,
@@ -57,34 +65,41 @@
         self._capacity = capacity
         self._monitor = monitor
 
-    def grant(self, now: int, query: Query, engines: Sequence[Engine]) -> Grant:
-        """The grant for a query that may go to any of these engines."""
+    def size_grant(self, now: int, query: Query, engines: Sequence[Engine]) -> Grant:
+        """Returns the grant for a query that may be sent to any of these engines."""
         arrival = query.arrival
         shape = (arrival.service_class, arrival.table_group, arrival.estimated_memory)
         cap = min(engine.reservations.memory for engine in engines) * self._grant_share
         size = self._memory.size(now, *shape, cap)
         return Grant(size, self._memory.reserved(now, *shape, size))
 
-    def fit(self, now: int, query: Query, engines: Sequence[Engine], grant: Grant) -> Fit | None:
-        """The engines where a query fits our slice; an idle one, while our slice of the pool lasts."""
-        usual, borrowable = self._monitor.usual_load, self._capacity.borrowable
+    def check(self, now: int, query: Query, engines: Sequence[Engine], grant: Grant) -> Admission | None:
+        """Returns the engines that can admit a query, or None if there is none.
+
+        An engine can admit it if the query fits into this gateway's part of the engine. While this gateway's
+        slice of the pool of all engines is not used up, an engine on which it runs nothing can admit it too.
+        """
+        typical_load, borrowable = self._monitor.usual_load, self._capacity.borrowable
         own_slice, pool = self._capacity.own_slice, self._engines.pool
         is_pool_free = not pool.running or pool.fits(grant.reserved, query.threads, own_slice)
-        shares = [engine.fillable_share(now, usual, own_slice, borrowable) for engine in engines]
-        fitting = [
+        shares = [engine.fillable_share(now, typical_load, own_slice, borrowable) for engine in engines]
+        admissible = [
             engine
             for share, engine in zip(shares, engines, strict=True)
             if engine.reservations.fits(grant.reserved, query.threads, share)
             or (is_pool_free and not engine.reservations.running and not engine.is_refusing(now))
         ]
-        if fitting:
-            return Fit(fitting, grant)
-        return self._reduced_fit(now, query, engines, shares, grant)
+        if admissible:
+            return Admission(admissible, grant)
+        return self._check_with_reduced_grant(now, query, engines, shares, grant)
 
-    def _reduced_fit(
+    def _check_with_reduced_grant(
         self, now: int, query: Query, engines: Sequence[Engine], shares: Sequence[float], grant: Grant
-    ) -> Fit | None:
-        """A query held for long goes to the engine with most free memory, its grant reduced to that."""
+    ) -> Admission | None:
+        """Admits a query that was held for long to the engine with most free memory, with a reduced grant.
+
+        Returns None if the query was not held for long, or even the reduced grant does not fit.
+        """
         max_wait = min(MAX_HEAD_WAIT, (query.arrival.deadline - query.submitted_at) // HEAD_WAIT_DIVISOR)
         if now - query.held_since < max_wait:
             return None
@@ -95,4 +110,4 @@
         reduced = max(grant.reserved * MIN_REDUCED_GRANT, min(grant.reserved, free_memory))
         if not engine.reservations.fits(reduced, query.threads, share):
             return None
-        return Fit([engine], Grant(min(grant.size, reduced), reduced))
+        return Admission([engine], Grant(min(grant.size, reduced), reduced))
--- a/vanerelay/policy/query.py
+++ b/vanerelay/policy/query.py
@@ -1,4 +1,4 @@
-"""The handle of one query: what the caller reports to it, and what the rules allow it."""
+"""The handle of a query, which takes events from the caller and tells which attempts the rules allow."""
 
 from __future__ import annotations
 
@@ -16,43 +16,51 @@
 )
 from vanerelay.policy.attempt import Attempt
 
-BEHIND_LOAD_SILENCE = 0.2
-"""Weight as a sign of an engine's silence of a query that may stand still behind a data load."""
+DATA_LOAD_SILENCE_WEIGHT = 0.2
+"""Weight, as a sign that its engine is silent, of a query that may be idle there because of a data load.
+Other queries have a weight of 1."""
 
 
 class QueryOwner(Protocol):
-    """The gateway that a query was submitted to."""
+    """The gateway that a query was submitted to, as far as the query uses it."""
 
     @property
     def now(self) -> int:
-        """The present moment."""
+        """The current time in ticks."""
 
     def attempt_ended(self, query: Query, number: int, result: AttemptResult, is_final: bool) -> None:
-        """An attempt ended."""
+        """Handles the end of an attempt of the query."""
 
     def attempt_progressed(self, query: Query, number: int, kind: ProgressKind, value: float) -> None:
-        """An engine reported on a running attempt."""
+        """Handles a progress report of an engine about a running attempt."""
 
     def client_left(self, query: Query) -> None:
-        """The client wants no answer any more."""
+        """Ends the query, as its client no longer wants an answer."""
 
     def hold(self, query: Query, has_turn: bool = True) -> None:
         """Holds the query until it is admitted or given up."""
 
 
 class Query:
-    """One query, from when it was submitted.
+    """A query that was submitted to this gateway.
+
+    Queries compare by the order in which they were submitted.
 
     Attributes:
-        sequence: The place in the order of submission.
-        threads: Threads charged for it. `has_full_threads` is False where it may stand behind a data load
-            and is charged for less.
-        is_low_value: Whether it is idempotent and worth no more than the least such class.
-        order_key: Its key, where its class is ordered.
+        arrival: The query as it arrived.
+        service_class: The settings of its service class.
+        sequence: Its number in the order of submission.
+        threads: The threads reserved for it at its engine. They are fewer than those of its service class if
+            it may be idle there because of a data load (see `has_full_threads`).
+        is_low_value: Whether it is idempotent and its value is the lowest of all idempotent service classes.
+        order_key: Its order key if its service class is ordered, otherwise None.
         attempts: All attempts so far, by number.
-        is_held: Whether it waits for admission; since `held_since`, until `give_up_at` at the latest.
+        is_held: Whether it waits for admission.
         is_ended: Whether the final answer was given or the client has left. Attempts may still be in flight.
-        objective_at: Until when an answer earns the full value.
+        submitted_at: When it was submitted.
+        held_since: When it was last held.
+        objective_at: The end of its latency objective, until which an answer has its full value.
+        give_up_at: When it is given up if it is still held.
     """
 
     def __init__(
@@ -83,34 +91,46 @@
     def __lt__(self, other: Query) -> bool:
         return self.sequence < other.sequence
 
-    # What the caller reports.
+    # Events that the caller reports.
 
     def attempt_ended(self, number: int, result: AttemptResult, is_final: bool) -> None:
-        """An attempt ended. `is_final`: the query was answered with it, or had been before."""
+        """Reports the end of an attempt.
+
+        Args:
+            number: The number of the attempt.
+            result: How it ended.
+            is_final: Whether the query has its answer, from this attempt or from before.
+        """
         self._owner.attempt_ended(self, number, result, is_final)
 
     def attempt_progressed(self, number: int, kind: ProgressKind, value: float) -> None:
-        """The engine of an attempt reported on it."""
+        """Reports the progress of an attempt, as its engine sent it."""
         self._owner.attempt_progressed(self, number, kind, value)
 
     def client_left(self) -> None:
-        """The client withdrew the query, or is gone."""
+        """Reports that the client has withdrawn the query or has disconnected."""
         self._owner.client_left(self)
 
     def may_begin(self, number: int) -> bool:
-        """Rules 1 to 3, checked again when an attempt is written: it may have waited for a connection."""
+        """Returns True if rules 1 to 3 allow the attempt with this number to be written to its engine now.
+
+        The caller checks this when it writes the attempt, as the attempt may have waited for a connection.
+        """
         if self.is_ended or self._owner.now >= self.repeatable_until(number):
             return False
         return self.attempts[number].engine.is_listed
 
-    # What the rules allow.
+    # Restrictions by the rules.
 
     def is_in_flight(self) -> bool:
-        """Whether an attempt is in flight."""
+        """Returns True if an attempt of the query is in flight."""
         return any(attempt.in_flight for attempt in self.attempts)
 
     def is_retry_harmless(self) -> bool:
-        """Rule 2, of a rejection: whether the client may submit the query again without a second effect."""
+        """Returns True if the client may submit the query again without a second effect.
+
+        Only then may the query be rejected, as clients retry rejected queries (rule 2).
+        """
         is_deduplicated_everywhere = (
             self.service_class.idempotency is Idempotency.DEDUPLICATED
             and self.service_class.deduplication_scope is DeduplicationScope.ALL
@@ -118,10 +138,15 @@
         return is_deduplicated_everywhere or self.repeatable_until() == math.inf
 
     def repeatable_until(self, before: int | None = None) -> float:
-        """Rule 2: until when another attempt may begin.
+        """Returns the time until which rule 2 allows another attempt to begin.
+
+        Args:
+            before: Only the attempts with numbers below this one count; None for all attempts.
 
-        Infinity where any may, as none of the attempts numbered below `before` (None: of all) may have run;
-        minus infinity where none may.
+        Returns:
+            Infinity if an attempt may begin at any time, as the query is idempotent or none of the attempts
+            that count may have run; minus infinity if none may begin. For deduplicated queries, the time until
+            which engines recognise a repeat of the first attempt that may have run.
         """
         ran_at = [attempt.sent_at for attempt in self.attempts[:before] if attempt.may_have_run]
         if self.service_class.idempotency is Idempotency.IDEMPOTENT or not ran_at:
@@ -131,7 +156,11 @@
         return min(ran_at) + self.service_class.deduplication_window - 1
 
     def constraints(self) -> PlacementConstraints:
-        """Rule 6, and of rule 2 the engines that recognise a repeat."""
+        """Returns the restrictions on the engines of the next attempt.
+
+        They are those of the service class (rule 6). Once an attempt of a deduplicated query may have run,
+        only engines that recognise the next one as a repeat are left (rule 2).
+        """
         ran_on = [attempt.engine.entry for attempt in self.attempts if attempt.may_have_run]
         scope = DeduplicationScope.ALL
         if ran_on and self.service_class.idempotency is Idempotency.DEDUPLICATED:
@@ -143,16 +172,16 @@
             engines=self.arrival.eligible_engines,
         )
 
-    # What other modules of the policy need.
+    # Used by other modules of the policy.
 
     def resume(self) -> None:
-        """It is this query's turn for its order key."""
+        """Holds the query for admission, as it is now the next to run for its order key."""
         self._owner.hold(self)
 
     def silence_weight(self) -> float:
-        """How much it counts as a sign of silence once an attempt is overdue."""
-        return BEHIND_LOAD_SILENCE if self.service_class.is_involved_in_data_loads() else 1.0
+        """Returns the weight of an overdue attempt of the query as a sign that its engine is silent."""
+        return DATA_LOAD_SILENCE_WEIGHT if self.service_class.is_involved_in_data_loads() else 1.0
 
     def has_full_threads(self) -> bool:
-        """Whether all its threads work, as it cannot stand behind a data load."""
+        """Returns True if all threads of its class are reserved for it, as no data load can make it idle."""
         return self.threads == self.service_class.threads
--- a/vanerelay/policy/query_factory.py
+++ b/vanerelay/policy/query_factory.py
@@ -1,4 +1,4 @@
-"""Makes the handles of submitted queries."""
+"""Creates the handles of submitted queries."""
 
 from __future__ import annotations
 
@@ -8,39 +8,46 @@
 from vanerelay.policy.query import Query, QueryOwner
 from vanerelay.policy.runtime_estimator import RuntimeEstimator
 
-BEHIND_LOAD_THREADS = 0.5
-"""Part of its threads that a query counts with that may stand behind a data load, using no core."""
+DATA_LOAD_THREAD_FACTOR = 0.5
+"""Part of its threads that is reserved for a query involved in data loads: a query that waits for a data load
+uses no core."""
 
 
 class QueryFactory:
-    """Numbers queries and works out what follows from their classes.
+    """Creates queries, numbered in the order of submission, from arrivals and the settings of their classes.
 
     Attributes:
-        waits_for_data_loads: Whether the queries of some class wait for data loads at their engine.
+        waits_for_data_loads: Whether queries of some service class wait for data loads at their engine.
     """
 
     def __init__(self, service_classes: Sequence[ServiceClass], runtime: RuntimeEstimator) -> None:
         self._classes = service_classes
         self._runtime = runtime
         self._sequence = 0
-        self.waits_for_data_loads = any(group.waits_for_data_loads for group in service_classes)
-        idempotent = (group for group in service_classes if group.idempotency is Idempotency.IDEMPOTENT)
-        self._low_value = min((group.value for group in idempotent), default=0.0)
+        self.waits_for_data_loads = any(
+            service_class.waits_for_data_loads for service_class in service_classes
+        )
+        idempotent = (
+            service_class
+            for service_class in service_classes
+            if service_class.idempotency is Idempotency.IDEMPOTENT
+        )
+        self._lowest_value = min((service_class.value for service_class in idempotent), default=0.0)
 
-    def open(self, owner: QueryOwner, arrival: QueryArrival) -> Query:
-        """The handle of a query that was just submitted."""
-        group = self._classes[arrival.service_class]
+    def create(self, owner: QueryOwner, arrival: QueryArrival) -> Query:
+        """Returns the handle of a query that was just submitted to `owner`."""
+        class_settings = self._classes[arrival.service_class]
         self._sequence += 1
-        may_stand_still = self.waits_for_data_loads and group.is_involved_in_data_loads()
-        is_idempotent = group.idempotency is Idempotency.IDEMPOTENT
+        may_be_idle = self.waits_for_data_loads and class_settings.is_involved_in_data_loads()
+        is_idempotent = class_settings.idempotency is Idempotency.IDEMPOTENT
         unloaded = self._runtime.unloaded_duration(arrival.service_class, arrival.estimated_cost)
-        objective = group.latency_objective + int(group.objective_stretch * unloaded)
+        objective = class_settings.latency_objective + int(class_settings.objective_stretch * unloaded)
         return Query(
             owner=owner,
             arrival=arrival,
-            service_class=group,
+            service_class=class_settings,
             sequence=self._sequence,
-            threads=group.threads * (BEHIND_LOAD_THREADS if may_stand_still else 1.0),
-            is_low_value=is_idempotent and group.value <= self._low_value,
+            threads=class_settings.threads * (DATA_LOAD_THREAD_FACTOR if may_be_idle else 1.0),
+            is_low_value=is_idempotent and class_settings.value <= self._lowest_value,
             objective_at=min(arrival.deadline, owner.now + objective),
         )
--- a/vanerelay/policy/feedback.py
+++ b/vanerelay/policy/report_dispatcher.py
@@ -1,4 +1,4 @@
-"""What answers and reports teach: hands each figure to the estimator or engine that learns from it."""
+"""Passes figures in the answers and reports of engines to the estimators that learn from them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from vanerelay.policy.runtime_estimator import RuntimeEstimator
 
 PROGRESS_WEIGHT = 0.5
-"""Weight of a progress report as an observation of an engine's pace, beside an answer's 1."""
+"""Weight of a progress report as an observation of an engine's pace; that of an answer is 1."""
 
 
-class Feedback:
-    """Learns from what engines report."""
+class ReportDispatcher:
+    """Passes what engines report to the memory and runtime estimators, engine health and engine monitor."""
 
     def __init__(
         self,
@@ -30,8 +30,8 @@
         self._engines = engines
         self._monitor = monitor
 
-    def completed(self, now: int, query: Query, engine: Engine, result: AttemptResult) -> None:
-        """A query completed."""
+    def query_completed(self, now: int, query: Query, engine: Engine, result: AttemptResult) -> None:
+        """Handles the answer to a completed query."""
         arrival, work, duration = query.arrival, result.work, result.duration
         if work:
             self._runtime.learn(now, arrival.service_class, arrival.estimated_cost, work, duration)
@@ -43,20 +43,20 @@
             self._memory.forget_table_group(arrival.table_group)
 
     def peak_observed(self, now: int, query: Query, peak: float) -> None:
-        """A query needed so much memory, in MB; 0 where nothing is known."""
+        """Handles the peak memory of a query in MB; 0 if it is not known."""
         arrival = query.arrival
         if peak:
             self._memory.learn(
                 now, arrival.service_class, arrival.table_group, arrival.estimated_memory, peak
             )
 
-    def progressed(self, now: int, query: Query, attempt: Attempt, share: float) -> None:
-        """A share of an attempt's work is done."""
+    def attempt_progressed(self, now: int, query: Query, attempt: Attempt, share: float) -> None:
+        """Handles a progress report; `share` is the completed part of the attempt's work, above 0."""
         arrival, elapsed = query.arrival, now - attempt.sent_at
         unloaded = self._runtime.unloaded_duration(arrival.service_class, arrival.estimated_cost)
         slowdown = attempt.engine.slow_start.ramp_share(now) * elapsed / share / unloaded
         attempt.engine.health.run_observed(slowdown, PROGRESS_WEIGHT)
 
     def engine_responded(self, engine: Engine, report: LoadReport | None) -> None:
-        """An engine answered, with a load report or without one."""
+        """Handles a sign of life of an engine, with its load report if it sent one."""
         self._monitor.load_reported(engine, report, self._engines.threads_per_query())
--- a/vanerelay/policy/retry_budget.py
+++ b/vanerelay/policy/retry_budget.py
@@ -1,44 +1,46 @@
-"""Rule 7: attempts beyond the first of each query, within any window, stay within a budget."""
+"""The retry budget (rule 7): limits the attempts beyond the first of each query in any time window."""
 
 from __future__ import annotations
 
 from vanerelay.estimation import SlidingSums
 from vanerelay.interface import SECOND, RetryBudgetTerms
 
-LOW_VALUE_PART = 0.5
-"""Part of the budget that queries of the least value may use: their lost answers would spend it all."""
+LOW_VALUE_BUDGET_SHARE = 0.5
+"""Part of the budget that low-value queries may use. Without this limit, retries after their lost answers use
+up the whole budget."""
 
-UNSTATED_WINDOW = 10 * SECOND
-"""Span over which queries are counted where no budget is stated."""
+DEFAULT_WINDOW = 10 * SECOND
+"""Ticks over which queries are counted if the settings state no budget."""
 
 WINDOW_BUCKETS = 50
-"""Many, as at the end of a window a whole bucket is left out of the count of queries."""
+"""Number of buckets of the window. It is large, as the count of queries leaves out whole buckets at the end
+of the window."""
 
 _QUERIES = 0
 _RETRIES = 1
-_WITHOUT_CREDIT = 2
+_WITHDRAWN = 2
 
 
 class RetryBudget:
-    """Counts queries and retries."""
+    """Counts queries and retries within the window of the budget."""
 
     def __init__(self, terms: RetryBudgetTerms) -> None:
         self._terms = terms
-        self._counts = SlidingSums(terms.window or UNSTATED_WINDOW, 3, WINDOW_BUCKETS)
+        self._counts = SlidingSums(terms.window or DEFAULT_WINDOW, 3, WINDOW_BUCKETS)
 
     def allows(self, now: int, is_low_value: bool = False) -> bool:
-        """Whether another retry is within the budget."""
-        earning = max(
-            0.0, self._counts.total(now, _QUERIES, short=True) - self._counts.total(now, _WITHOUT_CREDIT)
+        """Returns True if another retry is within the budget, or the part of it for low-value queries."""
+        counted_queries = max(
+            0.0, self._counts.total(now, _QUERIES, short=True) - self._counts.total(now, _WITHDRAWN)
         )
-        budget = self._terms.min_retries + self._terms.retry_ratio * earning
+        budget = self._terms.min_retries + self._terms.retry_ratio * counted_queries
         if not self._terms.window:
             return True
-        part = LOW_VALUE_PART if is_low_value else 1.0
-        return self._counts.total(now, _RETRIES) + 1 <= budget * part
+        share = LOW_VALUE_BUDGET_SHARE if is_low_value else 1.0
+        return self._counts.total(now, _RETRIES) + 1 <= budget * share
 
     def query_arrived(self, now: int, earns_retries: bool) -> None:
-        """Counts a query."""
+        """Counts a query; `earns_retries` tells whether it raises the budget."""
         self._counts.add(now, 1 if earns_retries else 0, 0, 0)
 
     def attempt_sent(self, now: int, is_retry: bool) -> None:
@@ -46,14 +48,17 @@
         self._counts.add(now, 0, 1 if is_retry else 0, 0)
 
     def credit_withdrawn(self, now: int, earned_retries: bool) -> None:
-        """The client of a query left: many may come and leave at once, and earn nothing."""
+        """Withdraws what a query added to the budget, as its client has left.
+
+        Otherwise a client could raise the budget by submitting many queries and leaving at once.
+        """
         self._counts.add(now, 0, 0, 1 if earned_retries else 0)
 
     def recent_queries(self, now: int) -> float:
-        """Queries counted within the window."""
+        """Returns the number of queries counted within the window."""
         return self._counts.total(now, _QUERIES)
 
     def inherit(self, old: RetryBudget) -> None:
-        """Goes on with the counts of a budget under former settings, if its window is as long."""
+        """Takes over the counts of the budget of the previous settings, if its window has the same length."""
         if self._terms.window == old._terms.window:
             self._counts = old._counts
