--- a/vanerelay/policy/attempt.py
+++ b/vanerelay/policy/attempt.py
@@ -30,8 +30,8 @@
         in_flight: Whether it has not ended yet.
         may_have_run: Whether the query may have run there: True until an outcome proves that it did not.
         is_waiting: Whether its engine reported that it waits there, so that no progress reports are due.
-        is_released: Whether its reservations were released, as it has ended, or its progress reports have stopped
-            and its answer is presumed lost.
+        is_released: Whether its reservations were released, as it has ended, or its progress reports have
+            stopped and its answer is presumed lost.
     """
 
     engine: Engine
--- a/vanerelay/policy/query.py
+++ b/vanerelay/policy/query.py
@@ -145,8 +145,8 @@
 
         Returns:
             Infinity if an attempt may begin at any time, as the query is idempotent or none of the attempts
-            that count may have run; minus infinity if none may begin. For deduplicated queries, the time until
-            which engines recognise a repeat of the first attempt that may have run.
+            that count may have run; minus infinity if none may begin. For a deduplicated query, the
+            time until which engines recognise a repeat of the first attempt that may have run.
         """
         ran_at = [attempt.sent_at for attempt in self.attempts[:before] if attempt.may_have_run]
         if self.service_class.idempotency is Idempotency.IDEMPOTENT or not ran_at:
