--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -52,13 +52,7 @@
         ([], 1000.0, 9e9, 1250, 1401),  # no peak known: the client's estimate times the margin, rounded up
         ([(1000.0, 400.0)] * 9, 1000.0, 9e9, 500, 640),  # peak times margin
         ([(1000.0, 500.0), (4000.0, 2000.0)] * 9, 2000.0, 9e9, 1250, 1420),  # peaks follow the estimates
-        (
-            [(1000.0, 400.0), (1000.0, 1600.0)] * 9,
-            1000.0,
-            9e9,
-            1400,
-            2000,
-        ),  # peaks spread widely: a larger margin
+        ([(1000.0, 400.0), (1000.0, 1600.0)] * 9, 1000.0, 9e9, 1400, 2000),  # wide spread: larger margin
         ([(0.0, 400.0)] * 9, 0.0, 9e9, 500, 640),  # no estimate: the mean of the peaks
         ([], 5000.0, 3000.0, 3000, 3000),  # limited by the cap
         ([], 0.0, 9e9, 0, 0),  # nothing known: 0, so that the engine chooses
@@ -113,9 +107,8 @@
     for _ in range(retries):
         budget.attempt_sent(SECOND, is_retry=True)
     assert budget.allows(SECOND) is allowed
-    assert budget.allows(SECOND, is_low_value=True) is (
-        retries < 1 + queries // 10
-    )  # low-value queries may use half of the budget
+    # Low-value queries may use half of the budget
+    assert budget.allows(SECOND, is_low_value=True) is (retries < 1 + queries // 10)
     assert budget.allows(30 * SECOND)
 
 
@@ -250,10 +243,8 @@
     harness = GatewayHarness(engines=engines, gateways=gateways)
     for _ in range(60):
         harness.submit(memory=9000.0)
-    for harness.gateway._engines.pool.running in (
-        0,
-        20,
-    ):  # at least as many candidates as queries run: 30% of the traffic was limited to 8 of 32 engines
+    # At least as many candidates as queries run: with 8 of 32 engines, 30% of the traffic had only these
+    for harness.gateway._engines.pool.running in (0, 20):
         most = min(engines, max(candidates, harness.gateway._engines.pool.running))
         assert len(list(harness.gateway._engines.candidates(harness.now, ANYWHERE))) == most
     most = max(1.0, 1.25 * engines * 32000 / gateways / 9000) if engines else 0
@@ -296,7 +287,7 @@
             query = harness.submit()
             if query.attempts and query.attempts[0].in_flight and query.attempts[0].engine.entry.index == 1:
                 harness.end_attempt(query, Outcome.COMPLETED)
-        tried = sum(d[1] == 0 for d in harness.calls_of("send_attempt"))
+        tried = sum(call[1] == 0 for call in harness.calls_of("send_attempt"))
         trials += tried / 10 * gateways / min(gateways, 8)
     assert trials <= limit
 
@@ -332,25 +323,24 @@
     harness.service_classes[1] = dataclasses.replace(harness.service_classes[1], is_data_load=True)
     engines_used = [{0: set(), 1: set()} for _ in range(2)]
     for count in range(60):
-        group = count % 2
-        query = harness.submit(memory=50.0, service_class=group, table_group=count % 4 // 2)
-        engines_used[group][count % 4 // 2].add(query.attempts[0].engine.entry.index)
+        class_index = count % 2
+        query = harness.submit(memory=50.0, service_class=class_index, table_group=count % 4 // 2)
+        engines_used[class_index][count % 4 // 2].add(query.attempts[0].engine.entry.index)
         harness.end_attempt(query, Outcome.COMPLETED)
     assert all(len(engines_used[0][tables] & engines_used[1][tables]) <= 1 for tables in (0, 1))
-    assert not any(
-        engine.health.has_pace for engine in harness.engines()
-    )  # such queries may be idle and are not observed
+    # The pace of such queries is not observed, as they may be idle
+    assert not any(engine.health.has_pace for engine in harness.engines())
 
 
 def test_admission_queue_admits_in_order_of_arrival_and_reserves_nothing():
     harness = GatewayHarness(engines=1, gateways=3)
     first = harness.submit(memory=9000.0)
-    held = [harness.submit(memory=m) for m in (9000.0, 3000.0, 9000.0)]
+    held = [harness.submit(memory=size) for size in (9000.0, 3000.0, 9000.0)]
     assert len(harness.calls_of("send_attempt")) == 1 and all(not query.attempts for query in held)
     harness.end_attempt(first, Outcome.COMPLETED, memory=0.0)
-    assert [d[0] for d in harness.calls_of("send_attempt")] == [1, 2]
+    assert [call[0] for call in harness.calls_of("send_attempt")] == [1, 2]
     harness.end_attempt(held[0], Outcome.COMPLETED, memory=0.0)
-    assert [d[0] for d in harness.calls_of("send_attempt")][:3] == [1, 2, 3]
+    assert [call[0] for call in harness.calls_of("send_attempt")][:3] == [1, 2, 3]
 
 
 def test_head_of_the_queue_is_sent_with_a_reduced_grant_after_its_maximum_wait():
@@ -411,9 +401,9 @@
         [entry(0, **{field: 1}), entry(1, **{field: 2}), entry(2, **{field: 1})], True
     )
     query = harness.submit()
-    home = getattr(query.attempts[0].engine.entry, field)
+    first_place = getattr(query.attempts[0].engine.entry, field)
     harness.end_attempt(query, Outcome.FAILED)
-    assert all(getattr(attempt.engine.entry, field) == home for attempt in query.attempts)
+    assert all(getattr(attempt.engine.entry, field) == first_place for attempt in query.attempts)
     expired = harness.submit()
     harness.advance(2 * SECOND)
     harness.end_attempt(expired, Outcome.FAILED, duration=2 * SECOND)
@@ -429,7 +419,7 @@
         harness.gateway.update_engines([dataclasses.replace(harness.entries[0], state=state)], False)
     for _ in range(20):
         harness.submit()
-    assert {d[1] for d in harness.calls_of("send_attempt")} == {1}
+    assert {call[1] for call in harness.calls_of("send_attempt")} == {1}
 
 
 @pytest.mark.parametrize("constraint", [{"zones": (1,)}, {"machine_kinds": (1,)}])
@@ -442,7 +432,7 @@
     harness.gateway.update_engines([entry(2, zone=1, machine_kind=1, state=EngineState.GONE)], False)
     harness.submit()
     harness.advance(12 * SECOND)
-    assert {d[1] for d in harness.calls_of("send_attempt")} == {2}
+    assert {call[1] for call in harness.calls_of("send_attempt")} == {2}
     assert len(harness.calls_of("reject")) >= 1
 
 
@@ -479,8 +469,8 @@
             for number, attempt in enumerate(query.attempts):
                 assert harness.now <= deadlines[query.arrival.index] or not attempt.in_flight
                 if attempt.in_flight and any(
-                    d[0] == query.arrival.index and attempt.sent_at + d[2] <= harness.now
-                    for d in harness.calls_of("send_attempt")
+                    sent_call[0] == query.arrival.index and attempt.sent_at + sent_call[2] <= harness.now
+                    for sent_call in harness.calls_of("send_attempt")
                 ):
                     query.attempt_ended(number, AttemptResult(Outcome.TIMED_OUT, 1), False)
         for name in ("reject", "fail"):
@@ -531,11 +521,11 @@
     harness = GatewayHarness(engines=2)
     query = harness.submit()
     for number in range(2, 40):
-        there = [entry(number), entry(number - 1, state=EngineState.GONE)]
-        harness.gateway.update_engines(there, number % 2 == 0)
+        entries = [entry(number), entry(number - 1, state=EngineState.GONE)]
+        harness.gateway.update_engines(entries, number % 2 == 0)
         harness.advance(100)
-    kept = {39, query.attempts[0].engine.entry.index}
-    assert set(harness.gateway._engines._engines) - {0, 1} == {39} and kept <= set(
+    expected = {39, query.attempts[0].engine.entry.index}
+    assert set(harness.gateway._engines._engines) - {0, 1} == {39} and expected <= set(
         harness.gateway._engines._engines
     )
     harness.end_attempt(query, Outcome.COMPLETED)
@@ -653,27 +643,33 @@
 def test_candidate_engines_under_constraints_follow_changes_of_the_engine_list():
     harness = GatewayHarness(0, zones=(1,))
     rng = random.Random(3)
-    there = {}
+    entries = {}
     for step in range(300):
-        name = rng.randrange(40)
+        index = rng.randrange(40)
         state = rng.choice([EngineState.UP, EngineState.UP, EngineState.DRAINING, EngineState.GONE])
-        there[name] = entry(
-            name,
+        entries[index] = entry(
+            index,
             state=state,
             zone=rng.randrange(3),
             cell=rng.randrange(2),
             weight=rng.choice([0.0, 0.5, 1.0, 2.0]),
         )
-        harness.gateway.update_engines([there[name]], False)
-        for bounds in (
+        harness.gateway.update_engines([entries[index]], False)
+        for constraints in (
             ANYWHERE,
             PlacementConstraints((1,), None, None),
             PlacementConstraints((0, 2), None, 1),
         ):
-            kept = {e.entry.index for e in harness.gateway._engines.candidates(harness.now, bounds)}
-            up = {n for n, e in there.items() if e.state is EngineState.UP and e.weight and bounds.allow(e)}
-            assert kept <= up and (len(kept) == len(up) or len(kept) >= 8), step
-        memory = sum(32000.0 * min(1.0, e.weight) for e in there.values() if e.state is EngineState.UP)
+            candidates = {
+                e.entry.index for e in harness.gateway._engines.candidates(harness.now, constraints)
+            }
+            up = {
+                n
+                for n, e in entries.items()
+                if e.state is EngineState.UP and e.weight and constraints.allow(e)
+            }
+            assert candidates <= up and (len(candidates) == len(up) or len(candidates) >= 8), step
+        memory = sum(32000.0 * min(1.0, e.weight) for e in entries.values() if e.state is EngineState.UP)
         assert abs(harness.gateway._engines.pool.memory - 1.0 - memory) < 1e-3
 
 
--- a/tests/test_policy_reports.py
+++ b/tests/test_policy_reports.py
@@ -97,9 +97,7 @@
             0, AttemptResult(Outcome.COMPLETED, cost, cost, 10.0), True
         )
     queries_without_answer = [harness.submit(cost=0, memory=10.0) for _ in range(20)]
-    assert (
-        harness.calls_of("send_attempt")[-1][2] > 5 * SECOND
-    )  # no answer was lost so far: the timeout is the deadline
+    assert harness.calls_of("send_attempt")[-1][2] > 5 * SECOND  # no answer lost yet: until the deadline
     reservations, running = harness.engine(0).reservations, harness.gateway._engines.pool.running
     for query in queries_without_answer:
         query.attempt_progressed(0, ProgressKind.PROGRESS, 0.1)
