--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -243,7 +243,7 @@
     harness = GatewayHarness(engines=engines, gateways=gateways)
     for _ in range(60):
         harness.submit(memory=9000.0)
-    # At least as many candidates as queries run: with 8 of 32 engines, 30% of the traffic had only these
+    # At least as many candidates as queries run: 30% of all traffic was limited to 8 of 32 engines
     for harness.gateway._engines.pool.running in (0, 20):
         most = min(engines, max(candidates, harness.gateway._engines.pool.running))
         assert len(list(harness.gateway._engines.candidates(harness.now, ANYWHERE))) == most
