--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -91,7 +91,7 @@
         self._give_ups = GiveUpSchedule()
 
     def _create_engines(self, seed: int, settings: GatewaySettings) -> None:
-        """Creates the objects that track engines, and that decide where a query may run."""
+        """Creates the periodic schedule, and the objects that track engines and decide on placement."""
         transport, capabilities, position = self._transport, self._capabilities, settings.position
         self._periodic_work = PeriodicWorkSchedule(transport.now, position.gateway_count)
         self._capacity = CapacitySlice(transport.now, position, capabilities.may_gossip)
--- a/vanerelay/policy/placement.py
+++ b/vanerelay/policy/placement.py
@@ -73,6 +73,7 @@
         return self._rng.choices(engines, weights)[0]
 
     def _weight(self, now: int, engine: Engine, query: Query, typical_load: float) -> float:
+        """Returns the weight of an engine in the random choice."""
         weight = 1.0  # an ejected engine gets trial queries as if it were idle
         if not engine.health.is_ejected:
             load = engine.held_by_others(now, typical_load) + engine.reservations.used_share()
