--- a/tests/recorded_decisions.py
+++ b/tests/recorded_decisions.py
@@ -1,8 +1,8 @@
-"""Seeded runs of a few gateways on the simulator's wire: the same lines in give the same lines out.
+"""Records the policy's orders in seeded runs of a few gateways, as a reference for later versions.
 
-`python -m tests.recorded_decisions` plays every run and writes what went in and came out to
-`tests/data/decisions/`. What is kept there was written by the release before the code was renamed: it is
-written anew only where a change of the decisions is meant, and the commit says so.
+`python -m tests.recorded_decisions` simulates every run, and writes the messages and replies of the adapter
+to `tests/data/decisions/`. The files there were written by the release before the code was renamed. They are
+replaced only if a change of the policy's behaviour is intended, and the commit says so.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
     "report": {"how": "piggyback", "columns": ["x0", "cpu_share", "busy_reqs"]},
 }
 
-# The settings of each run, its gateways, engines, queries a second and length, and how its engines behave.
+# The parameters of each run. `rate` is in queries per second, `faults` is the part of attempts that fail.
 RUNS: dict[str, dict[str, Any]] = {
     "plain": {"profile": BASE, "gateways": 2, "engines": 6, "rate": 40, "seconds": 9, "faults": 0.03},
     "in-turn": {
@@ -126,107 +126,124 @@
 
 
 class Run:
-    """Engines, clients and the network of one run, on the other side of the wire."""
+    """Simulates the engines, the clients and the network of one run. Times are in microseconds.
+
+    Attributes:
+        events: Scheduled events as a heap by time and serial number.
+        attempts: The number of the last attempt, by gateway and query.
+        open_queries: Unanswered queries, by gateway and query name.
+        granted_mb: The last memory grant, by gateway and query.
+        running: The engines of running attempts, by gateway, query and attempt number.
+        cancelled: The running attempts that were cancelled.
+        speeds: The speeds of the engines, 1 for the full speed.
+    """
 
     def __init__(self, name: str) -> None:
-        self.terms = RUNS[name]
-        self.chance = random.Random(f"recorded/{name}")
+        self.parameters = RUNS[name]
+        self.rng = random.Random(f"recorded/{name}")
         self.serial, self.now = itertools.count(), START_US
         self.events: list[tuple[int, int, dict[str, Any]]] = []
         self.attempts: dict[tuple[int, str], int] = {}
-        self.open: dict[tuple[int, str], dict[str, Any]] = {}
-        self.equipped: dict[tuple[int, str], int] = {}
+        self.open_queries: dict[tuple[int, str], dict[str, Any]] = {}
+        self.granted_mb: dict[tuple[int, str], int] = {}
         self.running: dict[tuple[int, str, int], str] = {}
         self.cancelled: set[tuple[int, str, int]] = set()
-        self.speeds = [1.0 if at % 4 else 0.4 for at in range(self.terms["engines"])]
+        self.speeds = [1.0 if index % 4 else 0.4 for index in range(self.parameters["engines"])]
         self.requests = 0
 
-    def later(self, delay_us: float, event: dict[str, Any]) -> None:
+    def schedule(self, delay_us: float, event: dict[str, Any]) -> None:
+        """Schedules an event after a delay."""
         heapq.heappush(self.events, (self.now + max(0, int(delay_us)), next(self.serial), event))
 
-    def page(self, number: int) -> list[dict[str, Any]]:
-        """The engines as the list tells them: some drain, one starts cold."""
-        found = []
-        for at in range(self.terms["engines"]):
+    def engine_page(self, number: int) -> list[dict[str, Any]]:
+        """Returns the rows of an engine page. Engine 0 drains on page 1, and engine 1 restarts on page 2."""
+        rows = []
+        for index in range(self.parameters["engines"]):
             row = {
-                "engine": f"engine_{at}",
+                "engine": f"engine_{index}",
                 "condition": "U",
-                "rackZone": at % 2,
-                "generationHw": at % 2,
-                "cell": at % 3,
+                "rackZone": index % 2,
+                "generationHw": index % 2,
+                "cell": index % 3,
             }
-            if number >= 1 and at == 0:
+            if number >= 1 and index == 0:
                 row["condition"] = "L"
-            if number >= 2 and at == 0:
+            if number >= 2 and index == 0:
                 row["condition"] = "D"
-            if number >= 2 and at == 1:
+            if number >= 2 and index == 1:
                 row["bornUs"] = START_US + 4_000_000
-            found.append(row)
-        return found
+            rows.append(row)
+        return rows
 
-    def begin(self) -> list[dict[str, Any]]:
-        gateways = self.terms["gateways"]
-        events: list[dict[str, Any]] = [{"verb": "census", "page": 0, "items": self.page(0)}]
+    def initial_events(self) -> list[dict[str, Any]]:
+        """Returns the events that start the gateways, and schedules the first clients and list changes."""
+        gateways = self.parameters["gateways"]
+        events: list[dict[str, Any]] = [{"verb": "census", "page": 0, "items": self.engine_page(0)}]
         for number in range(gateways):
-            profile = {**self.terms["profile"], "groupSize": gateways, "position": number, "az": number % 2}
+            profile = {
+                **self.parameters["profile"],
+                "groupSize": gateways,
+                "position": number,
+                "az": number % 2,
+            }
             events.append({"verb": "up", "manager": number, "initSeed": 7 + number, "profileData": profile})
             events.append({"verb": "rosterChange", "manager": number, "form": "cached", "page": 0, "rev": 1})
             for page, at_us in ((1, 3_000_000), (2, 4_100_000)):
-                self.later(at_us, {"verb": "list", "manager": number, "page": page})
-            self.later(self._gap(), {"verb": "client", "manager": number})
+                self.schedule(at_us, {"verb": "list", "manager": number, "page": page})
+            self.schedule(self._gap(), {"verb": "client", "manager": number})
         return events
 
     def _gap(self) -> float:
-        return self.chance.expovariate(self.terms["rate"] / self.terms["gateways"]) * 1e6
+        return self.rng.expovariate(self.parameters["rate"] / self.parameters["gateways"]) * 1e6
 
-    def due(self) -> list[dict[str, Any]]:
-        """Events of the wire that have come by now."""
-        found = []
+    def due_events(self) -> list[dict[str, Any]]:
+        """Returns the events for the gateways that are due by now."""
+        events = []
         while self.events and self.events[0][0] <= self.now:
             event = heapq.heappop(self.events)[2]
-            found += getattr(self, f"_{event['verb']}", lambda one: [one])(event)
-        return found
+            events += getattr(self, f"_{event['verb']}", lambda unchanged: [unchanged])(event)
+        return events
 
     def _list(self, event: dict[str, Any]) -> list[dict[str, Any]]:
         page, number = event["page"], event["manager"]
         form = "delta" if page == 1 else "full"
-        items = self.page(page)[:1] if page == 1 else self.page(page)
-        place = 10 * (number + 1) + page
+        items = self.engine_page(page)[:1] if page == 1 else self.engine_page(page)
+        page_number = 10 * (number + 1) + page
         return [
-            {"verb": "census", "page": place, "items": items},
-            {"verb": "rosterChange", "manager": number, "form": form, "page": place, "rev": page + 1},
+            {"verb": "census", "page": page_number, "items": items},
+            {"verb": "rosterChange", "manager": number, "form": form, "page": page_number, "rev": page + 1},
         ]
 
     def _client(self, event: dict[str, Any]) -> list[dict[str, Any]]:
         number = event["manager"]
-        if self.now < START_US + self.terms["seconds"] * 1_000_000:
-            self.later(self._gap(), event)
+        if self.now < START_US + self.parameters["seconds"] * 1_000_000:
+            self.schedule(self._gap(), event)
         self.requests += 1
-        request, lane = f"r{self.requests}", self.chance.choices((0, 1, 2), (6, 2, 2))[0]
-        work_us = self.chance.lognormvariate(0.0, 0.6) * (60_000, 700_000, 150_000)[lane]
-        memory = self.chance.lognormvariate(0.0, 0.5) * (80, 1500, 300)[lane]
-        told = {
+        request, lane = f"r{self.requests}", self.rng.choices((0, 1, 2), (6, 2, 2))[0]
+        work_us = self.rng.lognormvariate(0.0, 0.6) * (60_000, 700_000, 150_000)[lane]
+        memory = self.rng.lognormvariate(0.0, 0.5) * (80, 1500, 300)[lane]
+        arrival = {
             "verb": "ingress",
             "manager": number,
             "requestId": request,
             "lane": lane,
             "clientDeadlineUs": self.now + (3_000_000, 8_000_000, 5_000_000)[lane],
-            "guessUs": int(work_us * self.chance.uniform(0.6, 1.6)),
-            "memMb": round(memory * self.chance.uniform(0.5, 1.5), 2),
-            "tableGroup": self.chance.randrange(5),
-            "bits": self.chance.choice((1, 1, 1, 0, 3)),
+            "guessUs": int(work_us * self.rng.uniform(0.6, 1.6)),
+            "memMb": round(memory * self.rng.uniform(0.5, 1.5), 2),
+            "tableGroup": self.rng.randrange(5),
+            "bits": self.rng.choice((1, 1, 1, 0, 3)),
         }
-        if lane and self.chance.random() < 0.6:
-            told["relation"] = self.chance.randrange(6)
-        self.open[number, request] = {"work": work_us, "memory": memory, "lane": lane}
-        if self.chance.random() < 0.03:
-            self.later(
-                self.chance.uniform(0, 600_000), {"verb": "leave", "manager": number, "requestId": request}
+        if lane and self.rng.random() < 0.6:
+            arrival["relation"] = self.rng.randrange(6)
+        self.open_queries[number, request] = {"work": work_us, "memory": memory, "lane": lane}
+        if self.rng.random() < 0.03:
+            self.schedule(
+                self.rng.uniform(0, 600_000), {"verb": "leave", "manager": number, "requestId": request}
             )
-        return [told]
+        return [arrival]
 
     def _leave(self, event: dict[str, Any]) -> list[dict[str, Any]]:
-        if self.open.pop((event["manager"], event["requestId"]), None) is None:
+        if self.open_queries.pop((event["manager"], event["requestId"]), None) is None:
             return []
         return [{**event, "verb": "left"}]
 
@@ -237,55 +254,55 @@
         if key in self.cancelled:
             event = {**event, "status": "CXL", "note": 0}
         if event["status"] == "GOOD":
-            event = {**event, "over": self.open.pop(key[:2], None) is not None}
+            event = {**event, "over": self.open_queries.pop(key[:2], None) is not None}
         return [event]
 
     def _notice(self, event: dict[str, Any]) -> list[dict[str, Any]]:
         key = event["manager"], event["requestId"], event["seqNo"]
         return [event] if key in self.running else []
 
-    def order(self, one: dict[str, Any]) -> None:
-        """What a gateway ordered; what is for people alone has no effect here."""
-        carry_out = getattr(self, f"_ordered_{one['verb']}", None)
-        if carry_out is not None:
-            carry_out(one["manager"], one)
+    def carry_out(self, order: dict[str, Any]) -> None:
+        """Carries out an order of a gateway. Orders without a method here, such as `log`, have no effect."""
+        method = getattr(self, f"_ordered_{order['verb']}", None)
+        if method is not None:
+            method(order["manager"], order)
 
-    def _ordered_equip(self, number: int, one: dict[str, Any]) -> None:
-        self.equipped[number, one["requestId"]] = one["workspaceMb"]
+    def _ordered_equip(self, number: int, order: dict[str, Any]) -> None:
+        self.granted_mb[number, order["requestId"]] = order["workspaceMb"]
 
-    def _ordered_deliver(self, number: int, one: dict[str, Any]) -> None:
-        self._deliver(number, one)
+    def _ordered_deliver(self, number: int, order: dict[str, Any]) -> None:
+        self._deliver(number, order)
 
-    def _ordered_bounce(self, number: int, one: dict[str, Any]) -> None:
-        self.open.pop((number, one["requestId"]), None)
+    def _ordered_bounce(self, number: int, order: dict[str, Any]) -> None:
+        self.open_queries.pop((number, order["requestId"]), None)
 
     _ordered_finishError = _ordered_bounce  # noqa: N815
 
-    def _ordered_revoke(self, number: int, one: dict[str, Any]) -> None:
-        key = number, one["requestId"], one["seqNo"]
+    def _ordered_revoke(self, number: int, order: dict[str, Any]) -> None:
+        key = number, order["requestId"], order["seqNo"]
         if key in self.running:
             self.cancelled.add(key)
-            self.later(2_000, self._end(key, "CXL", 0))
+            self.schedule(2_000, self._end(key, "CXL", 0))
 
-    def _ordered_setTimer(self, number: int, one: dict[str, Any]) -> None:
-        self.later(one["waitUs"], {"verb": "fired", "manager": number, "keyBack": one["keyBack"]})
+    def _ordered_setTimer(self, number: int, order: dict[str, Any]) -> None:
+        self.schedule(order["waitUs"], {"verb": "fired", "manager": number, "keyBack": order["keyBack"]})
 
-    def _ordered_broadcastTo(self, number: int, one: dict[str, Any]) -> None:
-        for other in range(self.terms["gateways"]):
+    def _ordered_broadcastTo(self, number: int, order: dict[str, Any]) -> None:
+        for other in range(self.parameters["gateways"]):
             if other != number:
-                told = {"verb": "fromPeer", "manager": other, "neighbour": number, "data": one["data"]}
-                self.later(1_000, told)
+                event = {"verb": "fromPeer", "manager": other, "neighbour": number, "data": order["data"]}
+                self.schedule(1_000, event)
 
-    def _ordered_inspect(self, number: int, one: dict[str, Any]) -> None:
-        told = {"verb": "checkResult", "manager": number, "engine": one["engine"], "status": "GOOD"}
-        self.later(3_000, {**told, "telemetry": self._telemetry(one["engine"])})
+    def _ordered_inspect(self, number: int, order: dict[str, Any]) -> None:
+        event = {"verb": "checkResult", "manager": number, "engine": order["engine"], "status": "GOOD"}
+        self.schedule(3_000, {**event, "telemetry": self._telemetry(order["engine"])})
 
-    def _ordered_fatal(self, number: int, one: dict[str, Any]) -> None:
-        raise AssertionError(one["message"])
+    def _ordered_fatal(self, number: int, order: dict[str, Any]) -> None:
+        raise AssertionError(order["message"])
 
     def _telemetry(self, engine: str) -> dict[str, float]:
-        there = sum(one == engine for one in self.running.values())
-        return {"busy_reqs": there, "cpu_share": min(1.0, there / 8), "x0": min(1.0, there / 12)}
+        running = sum(other == engine for other in self.running.values())
+        return {"busy_reqs": running, "cpu_share": min(1.0, running / 8), "x0": min(1.0, running / 12)}
 
     def _end(
         self, key: tuple[int, str, int], status: str, duration_us: float, note: int = 0
@@ -304,82 +321,84 @@
             "telemetry": self._telemetry(engine),
         }
 
-    def _deliver(self, number: int, one: dict[str, Any]) -> None:
-        request, engine = one["requestId"], one["engine"]
+    def _deliver(self, number: int, order: dict[str, Any]) -> None:
+        request, engine = order["requestId"], order["engine"]
         attempt = self.attempts[number, request] = self.attempts.get((number, request), -1) + 1
         key = number, request, attempt
-        query = self.open.get((number, request))
+        query = self.open_queries.get((number, request))
         self.running[key] = engine
         if query is None:
-            self.later(1_000, self._end(key, "NOP", 0))
+            self.schedule(1_000, self._end(key, "NOP", 0))
             return
-        there = sum(other == engine for other in self.running.values())
-        speed = self.speeds[int(engine.rpartition("_")[2])] / max(1.0, there / 8)
-        lasts_us = query["work"] / speed
-        wait_us = min(one["capUs"] or 10**9, 10**9)
-        fault = self.chance.random() < self.terms["faults"]
-        if fault:
-            status = self.chance.choice(("BAD", "FULL", "NOCONN", "RST", "HANG"))
+        running = sum(other == engine for other in self.running.values())
+        speed = self.speeds[int(engine.rpartition("_")[2])] / max(1.0, running / 8)
+        duration_us = query["work"] / speed
+        timeout_us = min(order["capUs"] or 10**9, 10**9)
+        has_fault = self.rng.random() < self.parameters["faults"]
+        if has_fault:
+            status = self.rng.choice(("BAD", "FULL", "NOCONN", "RST", "HANG"))
             if status == "HANG":
-                self.later(wait_us, self._end(key, "LATE", wait_us))
+                self.schedule(timeout_us, self._end(key, "LATE", timeout_us))
             else:
-                self.later(5_000, self._end(key, status, 5_000))
+                self.schedule(5_000, self._end(key, status, 5_000))
             return
-        if lasts_us > wait_us:
-            self.later(wait_us, self._end(key, "LATE", wait_us))
+        if duration_us > timeout_us:
+            self.schedule(timeout_us, self._end(key, "LATE", timeout_us))
             return
         note = (int(query["work"] / 1_000) << 12) + min(4095, int(query["memory"] / 4))
-        self.later(lasts_us, self._end(key, "GOOD", lasts_us, note))
-        every_us = self.terms["profile"]["familyInfo"]["progressUs"]
-        if every_us:
-            told = {
+        self.schedule(duration_us, self._end(key, "GOOD", duration_us, note))
+        interval_us = self.parameters["profile"]["familyInfo"]["progressUs"]
+        if interval_us:
+            progress = {
                 "verb": "notice",
                 "manager": number,
                 "requestId": request,
                 "seqNo": attempt,
                 "engine": engine,
             }
-            for step in range(1, min(6, int(lasts_us // every_us) + 1)):
-                share = round(step * every_us / lasts_us, 4)
-                self.later(step * every_us, {**told, "sort": 1, "x": share})
-            if query["memory"] > self.equipped.get((number, request), 0):
-                spilt = query["memory"] - self.equipped.get((number, request), 0)
-                self.later(20_000, {**told, "sort": 2, "x": round(spilt, 2)})
-            if there > 8:
-                self.later(1_000, {**told, "sort": 3, "x": 1.0})
-
-
-def play(name: str) -> tuple[list[str], list[str]]:
-    """The lines that went in, and those that came out."""
+            for step in range(1, min(6, int(duration_us // interval_us) + 1)):
+                share = round(step * interval_us / duration_us, 4)
+                self.schedule(step * interval_us, {**progress, "sort": 1, "x": share})
+            if query["memory"] > self.granted_mb.get((number, request), 0):
+                missing_mb = query["memory"] - self.granted_mb.get((number, request), 0)
+                self.schedule(20_000, {**progress, "sort": 2, "x": round(missing_mb, 2)})
+            if running > 8:
+                self.schedule(1_000, {**progress, "sort": 3, "x": 1.0})
+
+
+def simulate(name: str) -> tuple[list[str], list[str]]:
+    """Simulates a run, and returns the lines of its messages and of their replies."""
     run, host = Run(name), Host()
-    given, came = list[str](), list[str]()
-    until = START_US + (RUNS[name]["seconds"] + 9) * 1_000_000
-    events = run.begin()
-    while run.now < until:
+    messages, replies = list[str](), list[str]()
+    end_us = START_US + (RUNS[name]["seconds"] + 9) * 1_000_000
+    events = run.initial_events()
+    while run.now < end_us:
         if events:
             message = {"clockUs": run.now, "input": events}
-            given.append(json.dumps(message, separators=(",", ":")))
-            reply = host.reply(json.loads(given[-1]))
-            came.append(json.dumps(reply, separators=(",", ":")))
-            for one in reply["orders"]:
-                run.order(one)
+            messages.append(json.dumps(message, separators=(",", ":")))
+            reply = host.reply(json.loads(messages[-1]))
+            replies.append(json.dumps(reply, separators=(",", ":")))
+            for order in reply["orders"]:
+                run.carry_out(order)
         run.now += STEP_US
-        events = run.due()
-    return given, came
+        events = run.due_events()
+    return messages, replies
 
 
-def keep(name: str) -> None:
-    given, came = play(name)
-    lines = "".join(f"{line}\n" for pair in zip(given, came, strict=True) for line in pair)
+def record(name: str) -> None:
+    """Simulates a run, and replaces its file."""
+    messages, replies = simulate(name)
+    lines = "".join(f"{line}\n" for pair in zip(messages, replies, strict=True) for line in pair)
     FOLDER.mkdir(parents=True, exist_ok=True)
     (FOLDER / f"{name}.jsonl.xz").write_bytes(lzma.compress(lines.encode(), preset=9))
 
 
-def kept(name: str) -> tuple[list[str], list[str]]:
+def recorded_lines(name: str) -> tuple[list[str], list[str]]:
+    """Returns the lines of the messages and of the replies in the file of a run."""
     lines = lzma.decompress((FOLDER / f"{name}.jsonl.xz").read_bytes()).decode().splitlines()
     return lines[::2], lines[1::2]
 
 
 if __name__ == "__main__":
     for run_name in RUNS:
-        keep(run_name)
+        record(run_name)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire, played in a few scripted lines."""
+"""Tests of the simulator's adapter, with short scripted sequences of events."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from vanerelay.adapter.__main__ import Host, main
-from vanerelay.adapter.wire import cost
+from vanerelay.adapter.wire import decode_cost
 from vanerelay.settings import ticks_ceil, ticks_floor
 
 RAW_SETTINGS = {
@@ -38,12 +38,12 @@
     return {"verb": verb, "manager": manager, **fields}
 
 
-def census(page, *engines):
+def engine_page(page, *engines):
     items = [{"engine": name, "condition": "U", "rackZone": 0, "generationHw": 0} for name in engines]
     return {"verb": "census", "page": page, "items": items}
 
 
-def ingress(request, manager=0, limit=T0 + 5_000_000):
+def query_arrival(request, manager=0, limit=T0 + 5_000_000):
     return event(
         "ingress",
         manager,
@@ -57,23 +57,27 @@
     )
 
 
-def started(manager=0, page=0):
+def gateway_start(manager=0, page=0):
     return [
         event("up", manager, initSeed=7, profileData=RAW_SETTINGS),
         event("rosterChange", manager, form="cached", page=page, rev=1),
     ]
 
 
-def play(host, *events, at=T0):
+def handle(host, *events, at=T0):
     return host.reply({"clockUs": at, "input": list(events)})["orders"]
 
 
-def sent(orders):
-    return [(o["manager"], o["requestId"], o["engine"]) for o in orders if o["verb"] == "deliver"]
+def sent_attempts(orders):
+    return [
+        (order["manager"], order["requestId"], order["engine"])
+        for order in orders
+        if order["verb"] == "deliver"
+    ]
 
 
 @pytest.mark.parametrize(
-    ("turn", "micros", "units"),
+    ("convert", "microseconds", "ticks"),
     [
         (ticks_floor, 199, 1),
         (ticks_floor, 200, 2),
@@ -82,20 +86,23 @@
         (ticks_ceil, 0, 0),
     ],
 )
-def test_units_round_to_the_safe_side(turn, micros, units):
-    assert turn(micros) == units
+def test_conversion_to_ticks_rounds_down_or_up(convert, microseconds, ticks):
+    assert convert(microseconds) == ticks
 
 
-def test_a_reported_cost_holds_work_and_memory():
-    assert cost(4096 * 17 + 96) == (170, 384.0)
+def test_reported_cost_is_decoded_into_work_and_memory():
+    assert decode_cost(4096 * 17 + 96) == (170, 384.0)
 
 
-def test_a_query_is_sent_with_its_grant_and_ends_once():
+def test_query_is_sent_after_its_grant_and_released_when_it_has_ended():
     host = Host()
-    orders = play(host, census(0, "engine_a"), *started(), ingress("r-1"))
-    assert [o["verb"] for o in orders if o["verb"] in ("equip", "deliver")] == ["equip", "deliver"]
-    assert orders[-1]["capUs"] < 5_000_000 and sent(orders) == [(0, "r-1", "engine_a")]
-    done = event(
+    orders = handle(host, engine_page(0, "engine_a"), *gateway_start(), query_arrival("r-1"))
+    assert [order["verb"] for order in orders if order["verb"] in ("equip", "deliver")] == [
+        "equip",
+        "deliver",
+    ]
+    assert orders[-1]["capUs"] < 5_000_000 and sent_attempts(orders) == [(0, "r-1", "engine_a")]
+    completed = event(
         "verdict",
         requestId="r-1",
         seqNo=0,
@@ -106,51 +113,53 @@
         note=4096 * 200 + 50,
         telemetry={"x0": 0.4, "new_key": 3},
     )
-    play(host, done, at=T0 + 5000)
-    late = event("notice", requestId="r-1", sort=1, engine="engine_a", x=0.5)
-    play(host, event("left", requestId="r-1"), late, at=T0 + 10000)
+    handle(host, completed, at=T0 + 5000)
+    late_progress = event("notice", requestId="r-1", sort=1, engine="engine_a", x=0.5)
+    handle(host, event("left", requestId="r-1"), late_progress, at=T0 + 10000)
     assert not host._instances[0]._held
 
 
-def test_a_page_is_read_in_order_and_reused_in_one_message():
+def test_engine_page_replaced_within_a_message_applies_to_the_events_after_it():
     host = Host()
-    orders = play(
+    orders = handle(
         host,
-        census(0, "engine_a"),
-        *started(0),
-        ingress("r-1"),
-        census(0, "engine_b"),
-        *started(1),
-        ingress("r-2", 1),
+        engine_page(0, "engine_a"),
+        *gateway_start(0),
+        query_arrival("r-1"),
+        engine_page(0, "engine_b"),
+        *gateway_start(1),
+        query_arrival("r-2", 1),
     )
-    assert sent(orders) == [(0, "r-1", "engine_a"), (1, "r-2", "engine_b")]
+    assert sent_attempts(orders) == [(0, "r-1", "engine_a"), (1, "r-2", "engine_b")]
 
 
 @pytest.mark.parametrize(
     ("form", "items", "target"),
     [("full", ["engine_b"], "engine_b"), ("delta", [], "engine_a"), ("failed", [], "engine_a")],
 )
-def test_list_changes(form, items, target):
+def test_engine_list_change_applies_according_to_its_form(form, items, target):
     host = Host()
-    play(host, census(0, "engine_a"), *started())
+    handle(host, engine_page(0, "engine_a"), *gateway_start())
     fields = {} if form == "failed" else {"page": 1, "rev": 2}
-    orders = play(host, census(1, *items), event("rosterChange", form=form, **fields), ingress("r-1"))
-    assert sent(orders) == [(0, "r-1", target)]
+    orders = handle(
+        host, engine_page(1, *items), event("rosterChange", form=form, **fields), query_arrival("r-1")
+    )
+    assert sent_attempts(orders) == [(0, "r-1", target)]
 
 
-def test_a_restart_in_one_message_forgets_all():
+def test_gateway_restarted_within_a_message_keeps_no_queries():
     host = Host()
-    play(host, census(0, "engine_a"), *started(), ingress("r-1"))
-    orders = play(host, event("killed"), *started(), ingress("r-2"), at=T0 + 5000)
-    assert sent(orders) == [(0, "r-2", "engine_a")]
+    handle(host, engine_page(0, "engine_a"), *gateway_start(), query_arrival("r-1"))
+    orders = handle(host, event("killed"), *gateway_start(), query_arrival("r-2"), at=T0 + 5000)
+    assert sent_attempts(orders) == [(0, "r-2", "engine_a")]
     assert list(host._instances[0]._held) == ["r-2"]
 
 
-def test_events_for_unknown_queries_are_ignored():
+def test_unknown_timer_peer_datagram_and_probe_result_give_no_orders():
     host = Host()
-    play(host, census(0, "engine_a"), *started())
+    handle(host, engine_page(0, "engine_a"), *gateway_start())
     assert (
-        play(
+        handle(
             host,
             event("fired", keyBack=999),
             event("fromPeer", neighbour=1, data="aGk="),
@@ -160,13 +169,15 @@
     )
 
 
-def test_a_query_given_up_in_the_admission_queue_is_released():
-    """Nothing comes for it any more: still held, it and its index were lost to the process for good."""
+def test_query_rejected_from_the_admission_queue_is_released():
+    """No further event arrives for such a query. If it were still held, it and its index would leak."""
     host = Host()
-    orders = play(host, census(0), *started(), ingress("r-1", limit=T0 + 100_000))
+    orders = handle(host, engine_page(0), *gateway_start(), query_arrival("r-1", limit=T0 + 100_000))
     while not any(order["verb"] == "bounce" for order in orders):
-        wait, key = next((o["waitUs"], o["keyBack"]) for o in orders if o["verb"] == "setTimer")
-        orders = play(host, event("fired", keyBack=key), at=host._instances[0].now * 100 + wait)
+        wait, key = next(
+            (timer["waitUs"], timer["keyBack"]) for timer in orders if timer["verb"] == "setTimer"
+        )
+        orders = handle(host, event("fired", keyBack=key), at=host._instances[0].now * 100 + wait)
     assert not host._instances[0]._held and len(host._instances[0]._queries) == 0
 
 
@@ -181,7 +192,7 @@
         '{"clockUs":1,"input":[{"verb":"what","manager":0}]}',
     ],
 )
-def test_malformed_input_gets_one_plain_line(line, capsys):
+def test_malformed_input_ends_the_run_with_one_error_line(line, capsys):
     out = io.StringIO()
     assert main(io.StringIO('{"clockUs":0,"input":[]}\n' + line + "\n"), out) == 1
     assert out.getvalue() == '{"orders":[]}\n'
@@ -189,18 +200,18 @@
     assert printed.count("\n") == 1 and "malformed" in printed and "Traceback" not in printed
 
 
-def test_a_fault_in_the_decisions_is_reported_with_its_cause():
+def test_exception_in_the_policy_is_reported_as_fatal_with_its_cause():
     host = Host()
-    play(host, census(0, "engine_a"), *started())
+    handle(host, engine_page(0, "engine_a"), *gateway_start())
     host._instances[0]._gateway._queries = None
-    orders = play(host, ingress("r-1"))
+    orders = handle(host, query_arrival("r-1"))
     assert orders[-1]["verb"] == "fatal" and "AttributeError" in orders[-1]["message"]
 
 
-def test_the_same_events_give_the_same_orders():
-    def day():
+def test_same_events_give_the_same_orders():
+    def run():
         host = Host()
-        orders = play(host, census(0, *(f"engine_{n}" for n in range(9))), *started())
-        return json.dumps(orders + play(host, *(ingress(f"r-{n}") for n in range(60))))
+        orders = handle(host, engine_page(0, *(f"engine_{n}" for n in range(9))), *gateway_start())
+        return json.dumps(orders + handle(host, *(query_arrival(f"r-{n}") for n in range(60))))
 
-    assert day() == day()
+    assert run() == run()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The guard: each invariant is violated on purpose, by calls or by decisions that err."""
+"""Tests of the invariant guard. Each invariant is violated on purpose, by calls or by a faulty policy."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 LIMIT = NOW + 20 * SECOND
 
 
-def guard_of(budget=RetryBudgetTerms(0, 0, 0.0), may_hedge=False, max_attempts=3, **group):  # noqa: B008
+def guard_of(budget=RetryBudgetTerms(0, 0, 0.0), may_hedge=False, max_attempts=3, **class_fields):  # noqa: B008
     terms = GuardTerms(
-        [dataclasses.replace(SERVICE_CLASS, **group)],
+        [dataclasses.replace(SERVICE_CLASS, **class_fields)],
         [MachineKind(16, 32000.0)] * 2,
         budget,
         SLOW_START,
@@ -41,12 +41,12 @@
 
 
 def attempt(guard, record, number, outcome, at=NOW, engine=0):
-    """Begins an attempt and ends it with this outcome."""
+    """Begins an attempt, and ends it with this outcome."""
     assert guard.begin_attempt(at, record, number, engine) is None
     guard.attempt_ended(record, number, outcome, 0)
 
 
-def test_attempts_within_the_rules_break_nothing():
+def test_retries_within_all_rules_cause_no_violation():
     guard = guard_of()
     record = guard.query_submitted(NOW, 0, LIMIT, True)
     for number, outcome in enumerate([Outcome.FAILED, Outcome.RESET, Outcome.COMPLETED]):
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE])
-def test_nothing_is_sent_to_an_engine_that_drains_or_is_gone(state):
+def test_attempt_is_refused_at_an_engine_that_drains_or_is_gone(state):
     guard = guard_of()
     record = guard.query_submitted(NOW, 0, LIMIT, True)
     guard.engine_listed(entry(1, state=state))
@@ -69,24 +69,23 @@
     assert guard.violations() == {"drain": 3}
 
 
-def test_retries_stay_within_the_budget():
+def test_retry_is_refused_when_the_budget_is_spent():
     guard = guard_of(RetryBudgetTerms(10 * SECOND, 1, 0.1), max_attempts=99)
     records = [guard.query_submitted(NOW, 0, LIMIT, True) for _ in range(20)]
-    spare = guard.query_submitted(NOW, 0, LIMIT, False)
-    found = []
-    for record in [*records, spare]:
+    without_credit = guard.query_submitted(NOW, 0, LIMIT, False)
+    results = []
+    for record in [*records, without_credit]:
         attempt(guard, record, 0, Outcome.FAILED)
-        found.append(guard.begin_attempt(NOW + 1, record, 1, 1))
-    assert found.count(None) == 3 and set(found[3:]) == {Invariant.BUDGET}
+        results.append(guard.begin_attempt(NOW + 1, record, 1, 1))
+    assert results.count(None) == 3 and set(results[3:]) == {Invariant.BUDGET}
     later = NOW + 10 * SECOND + SECOND // 10
-    assert (
-        guard.begin_attempt(later, records[-1], 1, 1) is None
-    )  # one is free whenever nothing counts any more
-    assert guard.begin_attempt(later, spare, 1, 1) is Invariant.BUDGET
+    # One retry in a window is allowed whatever the traffic.
+    assert guard.begin_attempt(later, records[-1], 1, 1) is None
+    assert guard.begin_attempt(later, without_credit, 1, 1) is Invariant.BUDGET
 
 
 @pytest.mark.parametrize(
-    ("effect", "scope", "outcome", "at", "engine", "broken"),
+    ("semantics", "scope", "outcome", "delay", "engine", "expected"),
     [
         (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, Outcome.RESET, 9 * SECOND, 1, None),
         (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, Outcome.RESET, 1, 1, Invariant.EFFECT),
@@ -102,16 +101,16 @@
         (Idempotency.DEDUPLICATED, DeduplicationScope.CELL, Outcome.RESET, 1, 0, None),
     ],
 )
-def test_a_query_that_may_have_run_is_retried_only_without_a_second_effect(
-    effect, scope, outcome, at, engine, broken
+def test_retry_is_refused_if_the_query_could_take_effect_twice(
+    semantics, scope, outcome, delay, engine, expected
 ):
-    guard = guard_of(idempotency=effect, deduplication_scope=scope, deduplication_window=5 * SECOND)
+    guard = guard_of(idempotency=semantics, deduplication_scope=scope, deduplication_window=5 * SECOND)
     record = guard.query_submitted(NOW, 0, LIMIT, True)
     attempt(guard, record, 0, outcome)
-    assert guard.begin_attempt(NOW + at, record, 1, engine) is broken
+    assert guard.begin_attempt(NOW + delay, record, 1, engine) is expected
 
 
-def test_ends_deadlines_hedging_and_attempt_limits_hold():
+def test_attempt_is_refused_after_the_deadline_or_answer_while_another_runs_or_past_the_limit():
     guard = guard_of()
     record = guard.query_submitted(NOW, 0, LIMIT, True)
     assert guard.begin_attempt(LIMIT, record, 0, 0) is Invariant.DEADLINE
@@ -122,7 +121,8 @@
     assert guard.begin_attempt(NOW, record, 3, 1) is Invariant.ATTEMPTS
     assert guard_of(may_hedge=True).begin_attempt(NOW, record, 1, 1) is None
     record.in_flight.discard(1)
-    guard.attempt_ended(record, 1, Outcome.NOT_SENT, 0)  # one that never began says nothing of the other
+    # Attempt 1 never ran, but attempt 0 is still in flight.
+    guard.attempt_ended(record, 1, Outcome.NOT_SENT, 0)
     assert guard.begin_attempt(NOW, record, 2, 1) is Invariant.COPY
     assert guard.may_answer(record) and not guard.may_close(1)
     record.is_ended = True
@@ -137,40 +137,40 @@
     }
 
 
-def test_an_engine_that_warms_up_gets_no_more_than_all_together_may_send():
+def test_attempt_is_refused_at_an_engine_in_slow_start_when_its_budget_is_spent():
     guard = guard_of(max_attempts=99)
     guard.engine_listed(entry(1, started_at=NOW - 1))
-    warm = guard.query_submitted(NOW, 0, LIMIT, True)
+    answered = guard.query_submitted(NOW, 0, LIMIT, True)
     for _ in range(MIN_ANSWERS):
-        guard.attempt_ended(warm, 0, Outcome.COMPLETED, SECOND)
+        guard.attempt_ended(answered, 0, Outcome.COMPLETED, SECOND)
     allowed = (
         SLOW_START.overload_multiple * SLOW_START.initial_share * 16 * SLOW_START.overload_window / SECOND
     )
-    found = [guard.begin_attempt(NOW, guard.query_submitted(NOW, 0, LIMIT, True), 0, 1) for _ in range(60)]
-    assert allowed < found.count(None) <= allowed + 3 * allowed**0.5 + 3 and found[-1] is Invariant.COLD
-    assert guard.begin_attempt(NOW, warm, 0, 0) is None  # one that is warm takes what comes
+    results = [guard.begin_attempt(NOW, guard.query_submitted(NOW, 0, LIMIT, True), 0, 1) for _ in range(60)]
+    assert allowed < results.count(None) <= allowed + 3 * allowed**0.5 + 3 and results[-1] is Invariant.COLD
+    assert guard.begin_attempt(NOW, answered, 0, 0) is None  # engine 0 is not in slow start
     after = NOW + SLOW_START.ramp_duration + SLOW_START.overload_window
     assert guard.begin_attempt(after, guard.query_submitted(after, 0, 2 * after, True), 0, 1) is None
 
 
 @pytest.mark.parametrize("span", [0, 10 * SECOND])
-def test_the_guard_s_memory_is_bounded(span):
-    """Also where nothing is ever repeated, and where no budget is stated."""
+def test_buckets_of_the_guard_are_bounded_without_retries_and_without_a_budget(span):
+    """Old buckets are dropped when queries are counted, not only when retries are checked."""
     guard = guard_of(RetryBudgetTerms(span, 1, 0.1))
     for number in range(5_000):
         guard.query_submitted(NOW + number * BUCKET_WIDTH, 0, LIMIT, True)
     assert guard.bucket_count() <= 10 * SECOND // BUCKET_WIDTH + 2
 
 
-def broken_by(node):
-    """What the guard counted, as the process says at its end."""
-    node.process.terminate()
-    assert node.process.wait(30) == 0
-    lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
+def violations_logged_by(gateway):
+    """Stops a gateway process, and returns the violations that it logs at its end."""
+    gateway.process.terminate()
+    assert gateway.process.wait(30) == 0
+    lines = [json.loads(line) for line in gateway.log.read_text().splitlines() if line.startswith("{")]
     return next(line for line in lines if line["event"] == "ended")["broken"]
 
 
-ERRING = {
+FAULTS = {
     "drain": "query.Query.may_begin = lambda self, number: True\n"
     "registry = engine_registry.EngineRegistry\n"
     "listing = registry._set_listed\n"
@@ -181,29 +181,29 @@
 }
 
 
-@pytest.mark.parametrize("fault", ERRING)
-def test_decisions_that_err_do_no_harm_and_are_counted(started, tmp_path, fault):
-    """Real processes, whose decisions are broken on purpose when they start."""
+@pytest.mark.parametrize("fault", FAULTS)
+def test_violations_by_a_faulty_policy_are_refused_and_counted(started, tmp_path, fault):
+    """A gateway process whose policy is replaced at its start by one that violates an invariant."""
     shim = tmp_path / "erring"
     shim.mkdir()
     (shim / "sitecustomize.py").write_text(
-        f"from vanerelay.policy import engine_registry, query, retry_budget, retry_policy\n{ERRING[fault]}\n"
+        f"from vanerelay.policy import engine_registry, query, retry_budget, retry_policy\n{FAULTS[fault]}\n"
     )
-    one, two = (started.engine(returns if fault == "drain" else errs) for _ in "ab")
+    one, two = (started.engine(returns if fault == "drain" else reply_with_error) for _ in "ab")
     safety = {**SETTINGS["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
-    node = started(
+    gateway = started(
         member(one, "s-1"),
         member(two, "s-2"),
         settings={"safety": safety},
         environment={"PYTHONPATH": f"{shim}:{ROOT}"},
     )
-    client = joined(node)
+    client = joined(gateway)
     if fault == "drain":
-        node.feed.wait_for_poll(node.feed.publish(member(one, "s-1", "DRAINING")))
+        gateway.feed.wait_for_poll(gateway.feed.publish(member(one, "s-1", "DRAINING")))
     for stream in range(1, 13):
         client.ask(stream, f"a{stream}", "load" if fault == "effect" else "look")
         assert client.answer()[0] == stream
-    assert broken_by(node).get(fault, 0) > 0
+    assert violations_logged_by(gateway).get(fault, 0) > 0
     sent = len(one.served()) + len(two.served())
     if fault == "drain":
         assert one.served() == []
@@ -211,26 +211,26 @@
         assert sent == 12 if fault == "effect" else 12 < sent <= 14
 
 
-def errs(engine, connection, ident):
+def reply_with_error(engine, connection, ident):
     engine.reply(connection, ident, "ERR")
 
 
-def test_sound_decisions_violate_nothing(started):
+def test_unchanged_policy_causes_no_violation(started):
     engine = started.engine(returns)
-    node = started(member(engine))
-    client = joined(node)
+    gateway = started(member(engine))
+    client = joined(gateway)
     for stream in range(1, 13):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 0)
-    assert broken_by(node) == {}
+    assert violations_logged_by(gateway) == {}
 
 
-def test_lines_of_events_are_bounded_and_all_are_counted(capsys):
-    class Stopped:
+def test_event_log_limits_lines_and_reasons_and_counts_all_events(capsys):
+    class StoppedClock:
         def seconds(self):
             return 5.0
 
-    events = EventLog(Stopped())
+    events = EventLog(StoppedClock())
     for number in range(10 * BURST):
         events.note(LogEventKind.RETRY, "reset", id=f"{number:016x}")
     events.write_counts()
@@ -242,38 +242,38 @@
     assert events.counts.total() == 10 * BURST + 10 * MAX_REASONS
 
 
-def test_reasons_of_closes_are_few_whatever_clients_send(started):
-    """The reason of a close told what had come, so that each bad client made a count of its own."""
-    node = started(member(started.engine(returns)))
+def test_protocol_errors_of_clients_are_counted_under_one_close_reason(started):
+    """If a close reason contained the received bytes, each faulty client would add a count of its own."""
+    gateway = started(member(started.engine(returns)))
     for length in (1, 2, 3):
-        bad = node.client()
+        bad = gateway.client()
         bad.send(length.to_bytes(4, "big"))
         assert bad.read() == (4, 0, b"\2\0")
-    node.process.terminate()
-    assert node.process.wait(30) == 0
-    lines = [json.loads(line) for line in node.log.read_text().splitlines()]
+    gateway.process.terminate()
+    assert gateway.process.wait(30) == 0
+    lines = [json.loads(line) for line in gateway.log.read_text().splitlines()]
     counts = [line for line in lines if line["event"] == "events so far"][-1]
-    by_us = [name for name in counts if "client, by us" in name]
-    assert by_us == ["connection closed: client, by us: protocol error"]
+    close_reasons = [name for name in counts if "client, by us" in name]
+    assert close_reasons == ["connection closed: client, by us: protocol error"]
 
 
-def test_retries_refusals_closes_and_changes_of_state_are_in_the_log_with_their_reasons(started):
-    one, two = started.engine(errs), started.engine(errs)
-    node = started(member(one, "s-1"), member(two, "s-2"))
-    client = joined(node)
+def test_retries_rejections_closes_and_state_changes_are_logged_with_their_reasons(started):
+    one, two = started.engine(reply_with_error), started.engine(reply_with_error)
+    gateway = started(member(one, "s-1"), member(two, "s-2"))
+    client = joined(gateway)
     client.ask(1, "a1")
     client.answer()
     client.ask(2, "a2", "load")
     client.answer()
     client.send(b"\0\0\0\0")
-    node.feed.wait_for_poll(node.feed.publish(member(one, "s-1", "DRAINING")))
-    until(lambda: "up to draining" in node.log.read_text(), "the change of state")
-    until(lambda: "client, by us" in node.log.read_text(), "the close")
-    lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
+    gateway.feed.wait_for_poll(gateway.feed.publish(member(one, "s-1", "DRAINING")))
+    until(lambda: "up to draining" in gateway.log.read_text(), "the change of state")
+    until(lambda: "client, by us" in gateway.log.read_text(), "the close")
+    lines = [json.loads(line) for line in gateway.log.read_text().splitlines() if line.startswith("{")]
     retry = next(line for line in lines if line["event"] == LogEventKind.RETRY.value)
     assert bytes.fromhex(retry["id"]).lstrip(b"\0") == b"a1" and retry["why"] == "error, written whole"
-    refusal = [line for line in lines if line["event"] == LogEventKind.REJECTION.value]
-    assert [line["why"] for line in refusal] == ["rejected by the decisions", "failed by the decisions"]
+    rejections = [line for line in lines if line["event"] == LogEventKind.REJECTION.value]
+    assert [line["why"] for line in rejections] == ["rejected by the decisions", "failed by the decisions"]
     assert any(line["event"] == LogEventKind.CLOSE.value and "client, by us" in line["why"] for line in lines)
-    state = next(line for line in lines if line["event"] == LogEventKind.STATE.value)
-    assert state["engine"] == "s-1" and state["why"] == "engine up to draining"
+    state_change = next(line for line in lines if line["event"] == LogEventKind.STATE.value)
+    assert state_change["engine"] == "s-1" and state_change["why"] == "engine up to draining"
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -265,7 +265,7 @@
         ejected = world.engine(0)
         ejected.health.is_lost = True
         ejected.health.level = 0.0
-        ejected.health.tried_at = world.now
+        ejected.health.last_attempt_at = world.now
         world.gateway._monitor.watch(ejected)
         for _ in range(200):
             world.advance(500)
@@ -310,7 +310,7 @@
         sides[group][count % 4 // 2].add(query.attempts[0].engine.entry.index)
         world.end_attempt(query, Outcome.COMPLETED)
     assert all(len(sides[0][t] & sides[1][t]) <= 1 for t in (0, 1))
-    assert not any(engine.health.has_pace for engine in world.engines())  # they may stand still
+    assert not any(engine.health.has_slowdown for engine in world.engines())  # they may stand still
 
 
 def test_the_admission_queue_is_first_come_first_served_and_holds_nothing():
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,6 +1,7 @@
-"""The decisions on the simulator's wire are those of the release before the code was renamed, byte for byte.
+"""Compares the policy's orders with recorded ones, byte for byte, so that a change of behaviour is noticed.
 
-The text of `log` orders, which is for people, is left out; that there is one is not.
+The recorded orders come from the release before the code was renamed. Only the text of `log` orders may
+differ, as it is written for people.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from vanerelay.adapter.__main__ import main
 
 
-def told(line: str) -> str:
+def without_log_texts(line: str) -> str:
     reply = json.loads(line)
     for order in reply["orders"]:
         if order["verb"] == "log":
@@ -23,21 +24,23 @@
 
 
 @pytest.mark.parametrize("name", recorded_decisions.RUNS)
-def test_the_same_lines_in_give_the_same_lines_out(name):
-    given, came = recorded_decisions.kept(name)
+def test_recorded_input_gives_the_recorded_output(name):
+    messages, replies = recorded_decisions.recorded_lines(name)
     out = io.StringIO()
-    assert main(io.StringIO("".join(f"{line}\n" for line in given)), out) == 0
+    assert main(io.StringIO("".join(f"{line}\n" for line in messages)), out) == 0
     lines = out.getvalue().splitlines()
-    assert len(lines) == len(came)
-    for place, (line, was) in enumerate(zip(lines, came, strict=True)):
-        assert line == was or told(line) == told(was), f"line {place}: {given[place][:300]}"
+    assert len(lines) == len(replies)
+    for index, (line, recorded) in enumerate(zip(lines, replies, strict=True)):
+        assert line == recorded or without_log_texts(line) == without_log_texts(recorded), (
+            f"line {index}: {messages[index][:300]}"
+        )
 
 
-def test_the_runs_show_most_of_what_a_gateway_can_order():
+def test_recorded_runs_contain_the_orders_of_a_gateway():
     verbs = {
         order["verb"]
         for name in recorded_decisions.RUNS
-        for line in recorded_decisions.kept(name)[1]
+        for line in recorded_decisions.recorded_lines(name)[1]
         for order in json.loads(line)["orders"]
     }
     assert verbs >= {
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -82,7 +82,7 @@
     assert engine.health.level == pytest.approx(level, abs=0.01)
     engine.health.level = 0.0
     engine.health.run_observed(1.0, 1.0)
-    assert engine.health.pace == 0.0  # a trial stands for all runs before it
+    assert engine.health.mean_log_slowdown == 0.0  # a trial stands for all runs before it
 
 
 @pytest.mark.parametrize(("is_load", "used", "most"), [(False, 1, 150), (True, 4, 30)])
--- a/vanerelay/adapter/__init__.py
+++ b/vanerelay/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire on standard input and output, in front of the same decisions that serve on sockets."""
+"""An adapter that connects the policy to a simulator through standard input and output instead of sockets."""
--- a/vanerelay/adapter/__main__.py
+++ b/vanerelay/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Speaks the simulator's wire on standard input and output: one JSON line in, one out."""
+"""Runs the simulator's protocol on standard input and output: one JSON line is answered by one JSON line."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Host:
-    """The gateways of one process. They share the pages of the engine list, and no more."""
+    """The simulated gateways of one process. They share the pages of the engine list and nothing else."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
         self._pages: Pages = {}
 
     def reply(self, message: Any) -> dict[str, Any]:
-        """Handles all events of a message; the reply has the orders that came of them."""
+        """Handles all events of a message, and returns the reply with the resulting orders."""
         orders: list[Order] = []
         now = wire.now_of(message)
         for instance in self._instances.values():
@@ -44,19 +44,19 @@
         elif number in self._instances:
             self._instances[number].handle(verb, event, self._pages)
         else:
-            raise ValueError(f"{verb!r} for an instance that is not up")
+            raise ValueError(f"{verb!r} event for a gateway that was not started")
 
 
 def main(lines: IO[str], out: IO[str]) -> int:
-    """Answers each line until the input ends; the exit code is 1 where one is malformed."""
+    """Answers each line until the input ends or a line is malformed. Returns the exit code, 0 or 1."""
     host = Host()
     for line in lines:
         if not line.strip():
             continue
         try:
             reply = host.reply(json.loads(line))
-        except (KeyError, TypeError, ValueError, AttributeError, IndexError) as fault:
-            print(f"vanerelay: malformed input: {type(fault).__name__}: {fault}", file=sys.stderr)
+        except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
+            print(f"vanerelay: malformed input: {type(error).__name__}: {error}", file=sys.stderr)
             return 1
         out.write(json.dumps(reply, separators=(",", ":")) + "\n")
         out.flush()
--- a/vanerelay/adapter/instance.py
+++ b/vanerelay/adapter/instance.py
@@ -1,4 +1,4 @@
-"""One gateway on the simulator's wire: events become calls of the decisions, their calls become orders."""
+"""One simulated gateway: passes events of the simulator to the policy, and encodes its calls as orders."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from vanerelay.query_table import EngineNames, HeldQuery, QueryTable
 
 Pages = dict[int, list[dict[str, Any]]]
-"""Pages of the engine list, by the wire's numbers."""
+"""The pages of the engine list by their numbers in the protocol."""
 
 
 class Instance:
-    """Calls one Gateway for what the wire brings, and is the Transport that it calls out through.
+    """Calls one `Gateway` of the policy for each event, and is the `Transport` through which it acts.
 
     Attributes:
-        now: The present moment; set with each message.
-        orders: Where orders go; set with each message.
+        now: The current time, in ticks; set with each message.
+        orders: The list that orders are appended to; set with each message.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
 
         self._call(start)
 
-    # What the wire brings.
+    # Events.
 
     def handle(self, verb: str, event: Event, pages: Pages) -> None:
         """Handles one event."""
@@ -122,7 +122,7 @@
             self._call(self._gateway.engine_list_failed)
             return
         if form not in wire.LIST_FORMS:
-            raise ValueError(f"unknown list form {form!r}")
+            raise ValueError(f"unknown form of an engine list change {form!r}")
         entries = [
             wire.engine_entry(self._engines.index(wire.engine_name(row)), row)
             for row in pages[wire.page_number(event)]
@@ -148,15 +148,15 @@
             del self._held[held.name]
 
     def _call(self, method: Callable[..., None], *values: Any) -> None:
-        """Calls the decisions; a fault inside them ends the run with its cause."""
+        """Calls the policy. An exception is reported with its cause, which ends the run."""
         try:
             method(*values)
-        except Exception as fault:
-            frame = traceback.extract_tb(fault.__traceback__)[-1]
-            cause = f"{type(fault).__name__}: {fault} ({frame.name}, line {frame.lineno})"
+        except Exception as error:
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            cause = f"{type(error).__name__}: {error} ({frame.name}, line {frame.lineno})"
             self.orders.append(self._encoder.fatal(cause))
 
-    # What the decisions call out: the Transport.
+    # Operations of `Transport`.
 
     def send_attempt(self, query: int, engine: int, timeout: int) -> None:
         """See `Transport`."""
@@ -173,17 +173,17 @@
         """See `Transport`."""
         held = self._queries.get(query)
         self.orders.append(self._encoder.reject(held.name, retry_after))
-        self._given_up(held)
+        self._end_query(held)
 
     def fail(self, query: int) -> None:
         """See `Transport`."""
         held = self._queries.get(query)
         self.orders.append(self._encoder.fail(held.name))
-        self._given_up(held)
+        self._end_query(held)
 
-    def _given_up(self, held: HeldQuery) -> None:
+    def _end_query(self, held: HeldQuery) -> None:
         held.ended = True
-        self._forget_if_done(held)  # nothing else comes for one that was in the admission queue
+        self._forget_if_done(held)  # no event follows for a query in the admission queue
 
     def cancel_attempt(self, query: int, attempt: int) -> None:
         """See `Transport`."""
--- a/vanerelay/adapter/wire.py
+++ b/vanerelay/adapter/wire.py
@@ -1,7 +1,7 @@
-"""The names on the simulator's wire: its events, their fields and values, read into the project's own types.
+"""Decodes the events of the simulator's protocol into the types of this project.
 
-The wire's names stand in this module and in `orders`, and nowhere else. Fields are read when they are asked
-for: an event for a query that is not held any more is not looked at further.
+Only this module and `orders` contain the names of the protocol. Each field is read by a function of its own,
+so that the other fields of an event are not read if its query is no longer held.
 """
 
 from __future__ import annotations
@@ -46,123 +46,125 @@
 LIST_FORMS = ("delta", "full", "cached")
 
 HAS_COST_ESTIMATE = 1
+"""The flag in a query's bits that its cost estimate is valid."""
 IS_RETRY = 2
+"""The flag in a query's bits that its client sent it before."""
 
 COST_SHIFT = 12
-"""Bits below the work in what an answer reports of its cost; they hold the peak memory."""
+"""The number of low bits in a reported cost that hold the peak memory; the bits above hold the work."""
 
 TICKS_PER_MILLISECOND = 10
-"""Work is reported in milliseconds."""
+"""The ticks per unit of reported work, which is a millisecond."""
 
 MB_PER_MEMORY_UNIT = 4.0
-"""Peak memory is reported in units of 4 MB."""
+"""The megabytes per unit of reported peak memory."""
 
 
 def now_of(message: Any) -> int:
-    """The moment of a message, in ticks."""
+    """Returns the time of a message, in ticks."""
     return ticks_ceil(message["clockUs"])
 
 
 def events_of(message: Any) -> list[Event]:
-    """The events of a message."""
+    """Returns the events of a message."""
     events: list[Event] = message["input"]
     return events
 
 
 def verb(event: Event) -> str:
-    """What has happened: one of this module's constants."""
+    """Returns the kind of an event, which is one of the constants of this module."""
     name: str = event["verb"]
     return name
 
 
 def gateway_number(event: Event) -> int:
-    """The gateway that an event is for."""
+    """Returns the number of the gateway that an event is for."""
     number: int = event["manager"]
     return number
 
 
 def page_number(event: Event) -> int:
-    """The page of engine entries that an event brings or refers to."""
+    """Returns the number of the page of the engine list that an event contains or refers to."""
     number: int = event["page"]
     return number
 
 
 def page_rows(event: Event) -> list[dict[str, Any]]:
-    """The engine entries that an event brings."""
+    """Returns the rows of the page of the engine list that an event contains."""
     return list(event.get("items") or [])
 
 
 def seed(event: Event) -> int:
-    """The seed of a gateway that starts."""
+    """Returns the random seed of a gateway that starts."""
     value: int = event["initSeed"]
     return value
 
 
 def raw_settings(event: Event) -> dict[str, Any]:
-    """The settings of a gateway that starts."""
+    """Returns the undecoded settings of a gateway that starts."""
     value: dict[str, Any] = event["profileData"]
     return value
 
 
 def query_name(event: Event) -> str:
-    """The name of the query that an event is about."""
+    """Returns the name of the query that an event is about."""
     name: str = event["requestId"]
     return name
 
 
 def attempt_number(event: Event) -> int:
-    """The number of the attempt that an event is about."""
+    """Returns the number of the attempt that an event is about."""
     return int(event.get("seqNo", 0))
 
 
 def timer_key(event: Event) -> int:
-    """The key of a timer that fired."""
+    """Returns the key of a timer that fired."""
     key: int = event["keyBack"]
     return key
 
 
 def progress_kind(event: Event) -> ProgressKind | None:
-    """What an engine reported of an attempt; None where it is nothing that we know."""
+    """Returns the kind of a progress report; None if it is unknown."""
     return PROGRESS_KINDS.get(event["sort"])
 
 
 def progress_value(event: Event) -> float:
-    """The value of a progress report."""
+    """Returns the value of a progress report."""
     return float(event.get("x", 0.0))
 
 
 def is_final(event: Event) -> bool:
-    """Whether the query is answered with the end of this attempt, or was before."""
+    """Returns True if the query is answered at the end of this attempt, or was answered before."""
     return bool(event.get("over"))
 
 
 def outcome(event: Event) -> Outcome:
-    """How an attempt or a probe ended."""
+    """Returns the outcome of an attempt or a probe."""
     return OUTCOMES[event["status"]]
 
 
 def telemetry(event: Event) -> dict[str, Any] | None:
-    """The values that an engine reported of its load, by the wire's names."""
+    """Returns the load values that an engine reported, by their names in the protocol."""
     return event.get("telemetry")
 
 
 def attempt_result(event: Event, report_names: dict[str, str]) -> AttemptResult:
-    """The result of an attempt."""
-    ended_as = outcome(event)
-    work, memory = cost(int(event.get("note") or 0))
+    """Returns the result of an attempt."""
+    attempt_outcome = outcome(event)
+    work, memory = decode_cost(int(event.get("note") or 0))
     report = settings.load_report(report_names, telemetry(event))
-    return AttemptResult(ended_as, ticks_floor(event.get("durationUs", 0)), work, memory, report)
+    return AttemptResult(attempt_outcome, ticks_floor(event.get("durationUs", 0)), work, memory, report)
 
 
-def cost(note: int) -> tuple[int, float]:
-    """Work in ticks and peak memory in MB, as an answer reports them in one number."""
+def decode_cost(note: int) -> tuple[int, float]:
+    """Returns the work in ticks and the peak memory in MB that an answer reports in one number."""
     work = (note >> COST_SHIFT) * TICKS_PER_MILLISECOND
     memory = (note & ((1 << COST_SHIFT) - 1)) * MB_PER_MEMORY_UNIT
     return work, memory
 
 
 def arrival(event: Event, index: int) -> QueryArrival:
-    """A query that came in."""
+    """Returns the query that has arrived, under this index."""
     bits = int(event.get("bits") or 0)
     return QueryArrival(
         index=index,
@@ -178,19 +180,22 @@
 
 
 def list_form(event: Event) -> str:
-    """How the engine list came, or that it failed."""
+    """Returns the form of an engine list change: one of `LIST_FORMS`, or `LIST_FAILED`."""
     form: str = event["form"]
     return form
 
 
 def engine_name(event: Event) -> str:
-    """The name of the engine that an event or a row of a page is about."""
+    """Returns the name of the engine that an event or a row of a page is about."""
     name: str = event["engine"]
     return name
 
 
 def engine_entry(index: int, row: dict[str, Any]) -> EngineEntry:
-    """One row of a page. The wire's size of an engine is its machine's, which the kind states as well."""
+    """Returns the engine in a row of a page.
+
+    The size in the row is not used, as it is the size of the machine, which follows from the machine kind.
+    """
     return EngineEntry(
         index=index,
         name=row["engine"],
@@ -204,10 +209,10 @@
 
 
 def peer(event: Event) -> int:
-    """The gateway that sent a datagram."""
+    """Returns the number of the gateway that sent a datagram."""
     return int(event["neighbour"])
 
 
 def peer_data(event: Event) -> bytes:
-    """The bytes of a datagram."""
+    """Returns the content of a datagram."""
     return base64.b64decode(event.get("data") or "")
--- a/vanerelay/attempt_outcome.py
+++ b/vanerelay/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt ended on the wire, and the one table that names its outcome for the decisions."""
+"""How an attempt ended on its connection, and the outcome that is reported to the policy for it."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class AttemptStage(Enum):
-    """How far the attempt had come when it ended."""
+    """How far an attempt had progressed when it ended."""
 
     NOT_CONNECTED = "not connected"
     PARTLY_WRITTEN = "partly written"
-    """Proved: its last byte never left, so no engine had the whole of it."""
+    """It is certain that the last byte was not sent, so that no engine received the whole request."""
     WRITTEN = "written whole"
-    """Written, or not proved otherwise."""
+    """The request was written, or it is not certain that it was not."""
     PARTIAL_ANSWER = "answered, pages missing"
     COMPLETE_ANSWER = "answered whole"
 
 
 class EndCause(Enum):
-    """What ended the attempt."""
+    """The cause of an attempt's end."""
 
     OK = "ok"
     BUSY = "busy"
@@ -38,9 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """The end of an attempt: its cause, how far it had come, and what the engine answered.
-
-    `fields` are the named values of the engine's answer; `detail` says what of it could not be read.
+    """The end of an attempt.
+
+    Attributes:
+        cause: What ended the attempt.
+        stage: How far the attempt had progressed.
+        rows: The rows of the engine's answer.
+        fields: The named values of the engine's answer.
+        detail: The part of the answer that could not be read, and why.
     """
 
     cause: EndCause
@@ -50,8 +55,8 @@
     detail: str = ""
 
 
-# An attempt counts as one that never ran only where that is proved. An answer whose pages are missing was
-# given by an engine that ran the query, whatever comes after.
+# An attempt is treated as one that never ran only if that is certain. After a partial answer the query has
+# run, whatever follows.
 OUTCOMES: dict[tuple[EndCause, AttemptStage], Outcome] = {
     (EndCause.OK, AttemptStage.COMPLETE_ANSWER): Outcome.COMPLETED,
     (EndCause.BUSY, AttemptStage.WRITTEN): Outcome.REJECTED,
@@ -79,5 +84,5 @@
 
 
 def outcome(end: AttemptEnd) -> Outcome:
-    """The outcome that the decisions are told of."""
+    """Returns the outcome that is reported to the policy."""
     return OUTCOMES[end.cause, end.stage]
--- a/vanerelay/confidence.py
+++ b/vanerelay/confidence.py
@@ -1,6 +1,7 @@
-"""Means with confidence at any time: a confidence sequence over observations that come one by one. Pure.
+"""Confidence sequences: intervals for a mean that hold at every number of observations at once.
 
-After Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas (2021), asymptotic; the normal mixture of Robbins.
+They are the asymptotic confidence sequences of Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas (2021), with
+the normal mixture of Robbins. The functions have no side effects.
 """
 
 from __future__ import annotations
@@ -9,12 +10,17 @@
 from dataclasses import dataclass
 
 MAX_CORRELATION = 0.8
-"""Lag-1 correlation of observations up to which the variance is widened for it."""
+"""The largest lag-1 correlation of observations by which the variance is increased."""
 
 
 @dataclass(slots=True)
 class RunningVariance:
-    """Mean and variance of the observations so far, and how much each is like the one before."""
+    """The mean, variance and lag-1 correlation of the observations so far.
+
+    Attributes:
+        number: The number of observations.
+        mean: The mean of the observations.
+    """
 
     number: int = 0
     mean: float = 0.0
@@ -23,7 +29,7 @@
     _last: float | None = None
 
     def add(self, value: float) -> None:
-        """Takes in one observation."""
+        """Adds one observation."""
         self.number += 1
         mean_before = self.mean
         self.mean += (value - mean_before) / self.number
@@ -34,12 +40,12 @@
 
     @staticmethod
     def of(number: int, mean: float, variance: float) -> RunningVariance:
-        """So many uncorrelated observations of this mean and variance."""
+        """Returns the state after this number of uncorrelated observations with this mean and variance."""
         return RunningVariance(number, mean, variance * max(0, number - 1))
 
     @property
     def variance(self) -> float:
-        """The variance of one observation, made larger by how far observations depend on each other."""
+        """The variance of one observation, increased by the correlation of successive observations."""
         if self.number < 2:
             return 0.0
         variance = self._squares / (self.number - 1)
@@ -49,20 +55,20 @@
         return variance * (1.0 + correlation) / (1.0 - correlation)
 
 
-def half_width(number: int, variance: float, chance: float, telling: float) -> float:
-    """Half the width of the confidence sequence for a mean.
+def half_width(number: int, variance: float, miss_probability: float, tightest_at: float) -> float:
+    """Returns half the width of the confidence sequence for a mean.
 
     Args:
-        number: The observations so far.
+        number: The number of observations so far.
         variance: The variance of one observation.
-        chance: The probability that the sequence ever misses the mean.
-        telling: The number of observations at which the sequence is tightest.
+        miss_probability: The probability that the mean is ever outside the interval.
+        tightest_at: The number of observations at which the sequence is tightest.
     """
     if number < 1:
         return math.inf
-    log_chance = -2.0 * math.log(chance)
-    mixture = (log_chance + math.log(log_chance) + 1.0) / max(1.0, telling)
+    log_term = -2.0 * math.log(miss_probability)
+    mixture = (log_term + math.log(log_term) + 1.0) / max(1.0, tightest_at)
     scaled = number * mixture + 1.0
     return math.sqrt(
-        variance * 2.0 * scaled / (number * number * mixture) * math.log(math.sqrt(scaled) / chance)
+        variance * 2.0 * scaled / (number * number * mixture) * math.log(math.sqrt(scaled) / miss_probability)
     )
--- a/vanerelay/engine_list.py
+++ b/vanerelay/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list as its sources report it: entries, and the changes that are applied in order."""
+"""The engine list as reported by its sources: entries, and changes that are applied in order."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEngine:
-    """One entry of the list.
+    """An entry of the engine list.
 
     Attributes:
         address: Host and port.
-        size: Units of the machine; nothing is decided by it.
-        started_at: When it started, in ticks; 0 when that was long ago.
-        weight: The operators' weight, 1 for the whole engine; None from a source that has none.
+        size: The size of the machine in units; the policy does not use it.
+        started_at: When the engine started, in ticks; 0 if that was long ago.
+        weight: The weight stated by operators, 1 for the whole engine; None if the source has no weights.
     """
 
     name: str
@@ -29,7 +29,7 @@
     weight: float | None = None
 
     def entry(self, index: int) -> EngineEntry:
-        """The same for the decisions, which know the engine by an index."""
+        """Returns the entry in the form that the policy uses, which identifies the engine by an index."""
         return EngineEntry(
             index,
             self.name,
@@ -44,13 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineListChange:
-    """One watch event of the list.
+    """A watch event of the engine list.
 
     Attributes:
         number: The number of the event at its source.
-        complete: Whether engines that it does not name are gone.
-        within_s: The seconds before now in which all that it tells has happened, as its source did not know
-            of it earlier; None where nothing is known of that.
+        complete: Whether the event has the whole list, so that engines without an entry are gone.
+        engines: The entries.
+        within_s: The changes in this event happened at most this many seconds ago, as the source did not know
+            of them earlier; None if that is unknown.
     """
 
     number: int
--- a/vanerelay/estimation.py
+++ b/vanerelay/estimation.py
@@ -1,6 +1,6 @@
-"""Plain arithmetic over what is observed: sums over time, least squares, quantiles and stable hashes.
+"""Arithmetic that the policy uses: sliding sums, least squares, quantiles and stable hashes.
 
-Nothing in this module chooses anything. Times are in ticks, as everywhere in the decisions.
+This module decides nothing. Times are in ticks, as everywhere in the policy.
 """
 
 from __future__ import annotations
@@ -9,15 +9,16 @@
 import math
 from collections.abc import Iterable
 
-REMEMBERED_PAIRS = 200
-"""Pairs that count in an `EstimateCorrection`; older ones fade."""
+AVERAGED_PAIRS = 200
+"""The number of pairs that an `EstimateCorrection` averages; the weight of older pairs decays."""
 
 PRIOR_PAIRS = 2.0
-"""Weight of the given estimate itself, in pairs, so that the first few pairs do not overrule it."""
+"""The weight, in pairs, of the assumption that estimates are proportional, so that the first few pairs do not
+outweigh it."""
 
 
 class SlidingSums:
-    """Sums of several fields over a span of time, kept in a ring of buckets that are reused in turn."""
+    """Sums of several fields over a sliding time span, kept in a ring of buckets."""
 
     def __init__(self, span: int, fields: int, buckets: int = 10) -> None:
         self._bucket_width = max(1, -(-span // buckets))
@@ -26,14 +27,14 @@
         self._totals = [0.0] * fields
 
     def add(self, now: int, *values: float) -> None:
-        """Adds one value to each field, in order; fields without a value stay."""
+        """Adds the values to the fields, in order; fields without a value stay unchanged."""
         bucket = self._advance(now)
         for field, value in enumerate(values):
             bucket[field] += value
             self._totals[field] += value
 
     def total(self, now: int, field: int, short: bool = False) -> float:
-        """The sum of a field over at least the whole span; with `short`, over never more than the span."""
+        """Returns the sum of a field over at least the whole span or, if `short`, over at most the span."""
         self._advance(now)
         if not short:
             return self._totals[field]
@@ -42,22 +43,25 @@
         return self._totals[field] - sum(oldest)
 
     def _advance(self, now: int) -> list[float]:
-        """Empties the buckets that the span has left behind; returns the bucket of the moment."""
-        stamp = now // self._bucket_width
+        """Empties the buckets that are older than the span, and returns the current bucket."""
+        current = now // self._bucket_width
         size = len(self._sums)
-        if stamp > self._newest:
-            for expired in range(max(self._newest + 1, stamp - size + 1), stamp + 1):
+        if current > self._newest:
+            for expired in range(max(self._newest + 1, current - size + 1), current + 1):
                 self._sums[expired % size] = [0.0] * len(self._totals)
-            self._newest = stamp
+            self._newest = current
             self._totals = [sum(column) for column in zip(*self._sums, strict=True)]
         return self._sums[self._newest % size]
 
 
 class EstimateCorrection:
-    """Corrects clients' estimates by what was needed in the end.
+    """Corrects clients' estimates by the actual values of earlier queries.
 
-    It fits the log of the actual figure to the log of the estimate by least squares, with exponential
-    forgetting. Where nothing was learned yet, estimates are taken as they are.
+    It fits the log of the actual value to the log of the estimate by least squares, with exponentially
+    decaying weights. Before the first pair, estimates are returned unchanged.
+
+    Attributes:
+        samples: The number of pairs recorded.
     """
 
     def __init__(self) -> None:
@@ -69,9 +73,9 @@
         self._yy = 0.0
 
     def learn(self, estimated: float, actual: float) -> None:
-        """Takes in one pair of an estimate (0 where none was given) and the actual figure."""
+        """Records one pair of an estimate (0 if there was none) and the actual value."""
         self.samples += 1
-        part = 1.0 / min(self.samples, REMEMBERED_PAIRS)
+        part = 1.0 / min(self.samples, AVERAGED_PAIRS)
         dx = math.log(max(estimated, 1.0)) - self._x
         dy = math.log(max(actual, 1.0)) - self._y
         self._x += part * dx
@@ -81,36 +85,41 @@
         self._yy += part * ((1 - part) * dy * dy - self._yy)
 
     def slope(self) -> float:
-        """How far the actual figure follows the estimate: 1 in proportion, 0 not at all."""
+        """Returns how closely actual values follow estimates: 1 if in proportion, 0 if not at all."""
         prior = PRIOR_PAIRS / (self.samples + PRIOR_PAIRS)
         return min(1.0, max(0.0, (self._xy + prior) / (self._xx + prior)))
 
     def expected_log(self, estimated: float) -> float:
-        """The log of the figure to expect."""
+        """Returns the log of the expected actual value."""
         x = math.log(max(estimated, 1.0))
         if not self.samples:
             return x
         return self._y + self.slope() * (x - self._x)
 
     def expected(self, estimated: float) -> float:
-        """The figure to expect; 0 where nothing was estimated or learned."""
+        """Returns the expected actual value; 0 if there is neither an estimate nor any recorded pair."""
         if not estimated and not self.samples:
             return 0.0
         return math.exp(self.expected_log(estimated))
 
     def mean(self) -> float:
-        """The mean of the actual figures, as of a log-normal distribution; 0 where nothing was learned."""
+        """Returns the mean actual value, assuming a log-normal distribution; 0 before the first pair."""
         return math.exp(self._y + self._yy / 2) if self.samples else 0.0
 
     def spread(self) -> float:
-        """The standard deviation of the log of actual figures around the expected one."""
+        """Returns the standard deviation of the log of the actual value around that of the expected value."""
         if self.samples <= 1:
             return 0.0
         return math.sqrt(max(0.0, self._yy - self.slope() * self._xy))
 
 
 def quantile(pairs: Iterable[tuple[float, float]], part: float) -> float:
-    """The value of (value, weight) pairs under which this part of the whole weight lies."""
+    """Returns the weighted quantile of (value, weight) pairs; 0 if there are none.
+
+    Args:
+        pairs: The values with their weights.
+        part: The quantile, as the part of the total weight that lies below it, from 0 to 1.
+    """
     ranked = sorted(pairs)
     left = part * sum(weight for _, weight in ranked)
     for value, weight in ranked:
@@ -121,11 +130,11 @@
 
 
 def stable_hash(name: str, number: int) -> int:
-    """A 64-bit hash of a pair, the same in every process."""
+    """Returns a 64-bit hash of a name and a number that is the same in every process."""
     return int.from_bytes(hashlib.blake2b(f"{number} {name}".encode(), digest_size=8).digest(), "big")
 
 
 def rank_among(name: str, number: int, count: int) -> int:
-    """The rank of a number among 0 to count - 1, in an order that the name scatters (rendezvous hashing)."""
+    """Returns the rank of a number among 0 to count - 1 by rendezvous hashing with the name."""
     own = stable_hash(name, number)
     return sum(stable_hash(name, other) < own for other in range(count))
--- a/vanerelay/history.py
+++ b/vanerelay/history.py
@@ -1,7 +1,8 @@
-"""Histories: what one process of a scenario did, row by row, for checkers that read them afterwards.
+"""Histories: records of the operations of a process in a test scenario, which checkers read afterwards.
 
-Rows have their begin and end by one clock that all processes of a machine share and no scenario turns. Who
-writes them never reads them. In service there are none: `path` is empty.
+The begin and the end of an operation are taken from the machine's monotonic clock, which all processes of a
+machine share and no scenario changes. A process never reads its own history. In production no history is
+written: `path` is empty.
 """
 
 from __future__ import annotations
@@ -13,14 +14,19 @@
 from typing import Any
 
 TICK_NS = 100_000
+"""A tick in nanoseconds."""
 
 
 class History:
-    """Lines of JSON, each complete and in the file once `add` returns, so that a kill loses none."""
+    """A file of JSON lines. Each line is in the file once `add` returns, so that a kill loses none.
+
+    Attributes:
+        party: The name of the process, which is part of each row.
+    """
 
     @staticmethod
     def now() -> int:
-        """The machine's monotonic clock, in ticks."""
+        """Returns the time of the machine's monotonic clock, in ticks."""
         return time.monotonic_ns() // TICK_NS
 
     def __init__(self, party: str, path: str = "") -> None:
@@ -30,27 +36,27 @@
             Path(path).parent.mkdir(parents=True, exist_ok=True)
             self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
-    def add(self, op: str, begin: int, end: int | None = None, **told: Any) -> None:
-        """Writes a row.
+    def add(self, op: str, begin: int, end: int | None = None, **fields: Any) -> None:
+        """Appends a row.
 
         Args:
-            op: The operation.
-            begin: When it began.
-            end: When it ended; None for now, -1 where nothing is known of it.
-            told: What else belongs to it.
+            op: The name of the operation.
+            begin: When the operation began, in ticks.
+            end: When the operation ended, in ticks; None for now, -1 if the end is unknown.
+            fields: Further fields of the row.
         """
         if self._file >= 0:
             row = {"party": self.party, "op": op, "begin": begin, "end": self.now() if end is None else end}
-            os.write(self._file, json.dumps(row | told).encode() + b"\n")
+            os.write(self._file, json.dumps(row | fields).encode() + b"\n")
 
 
 def read(path: Path) -> list[dict[str, Any]]:
-    """All rows; a last one that a kill cut short is left out."""
-    found = list[dict[str, Any]]()
+    """Returns all rows, except for a last one that is incomplete because the process was killed."""
+    rows = list[dict[str, Any]]()
     if path.exists():
         for line in path.read_text(encoding="utf-8").splitlines():
             try:
-                found.append(json.loads(line))
+                rows.append(json.loads(line))
             except ValueError:
                 continue
-    return found
+    return rows
--- a/vanerelay/invariants.py
+++ b/vanerelay/invariants.py
@@ -1,7 +1,8 @@
-"""The run-time guard of the invariants: asked before attempts are written, notified of answers and closes.
+"""The run-time guard of the invariants. It can refuse attempts, answers and closes of client connections.
 
-It keeps its own account of queries, attempts and engines and shares no state with the decisions, so a fault
-there is counted here and does no harm. Pure: it is given the time, in ticks, and reads no clock.
+The guard keeps its own records of queries, attempts and engines and shares no state with the policy, so that
+an error in the policy is counted here and has no effect outside. It reads no clock: the caller passes the
+time, in ticks.
 """
 
 from __future__ import annotations
@@ -27,23 +28,23 @@
 )
 
 BUCKET_WIDTH = 10 * MILLISECOND
-"""Events this close are counted together."""
+"""The width in ticks of the buckets in which events are counted."""
 
 MIN_ANSWERS = 20
-"""Answers from which on the mean work of a query counts as known."""
+"""The number of answers from which the mean work of a query counts as known."""
 
 LARGE_BUDGET = 30
-"""Attempts in a window; where an engine that warms up bears fewer, the tolerance is wider."""
+"""The budget, in attempts in a window during slow start, below which the tolerance is wider."""
 
 TOLERANCE_DEVIATIONS = 2.0
-"""Tolerance over a budget in attempts: this many square roots of it, and as many attempts."""
+"""The tolerance above a slow start budget is this many times its square root plus this many attempts."""
 
 SMALL_TOLERANCE_DEVIATIONS = 3.0
-"""The same for budgets under `LARGE_BUDGET`."""
+"""The same for budgets below `LARGE_BUDGET`."""
 
 
 class Invariant(Enum):
-    """What must hold. Violations are counted under the member's name, which operators read in the log."""
+    """The invariants. Violations are counted under the member's name, which operators read in the log."""
 
     ENDED = "no attempt after the final answer or after the client has left"
     DEADLINE = "no attempt after the deadline"
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardTerms:
-    """What the settings say of the invariants."""
+    """The settings that the invariants depend on."""
 
     service_classes: Sequence[ServiceClass]
     machine_kinds: Sequence[MachineKind]
@@ -71,7 +72,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStart:
-    """When and where an attempt began."""
+    """The start of an attempt.
+
+    Attributes:
+        at: When the attempt began, in ticks.
+        engine: The engine that it was sent to.
+    """
 
     at: int
     engine: EngineEntry
@@ -79,11 +85,12 @@
 
 @dataclass(slots=True)
 class QueryRecord:
-    """One query as the guard knows it.
+    """The guard's record of one query.
 
     Attributes:
-        in_flight: Numbers of the attempts that have begun and not ended.
-        is_ended: Whether the final answer was given or the client has left; the caller sets it.
+        deadline: When the final answer is due, in ticks.
+        in_flight: The numbers of the attempts that have begun and not ended.
+        is_ended: Whether the final answer was given or the client has left; set by the caller.
         may_have_run: The attempts that may have run, by number.
     """
 
@@ -96,24 +103,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """An engine's state before and after, as the log writes it."""
+    """A change of an engine's state: its names before and after, as written to the log."""
 
     before: str
     after: str
 
 
 class EventWindow:
-    """Events counted over a span of time that ends now. What has left the span is forgotten."""
+    """Counts the events within a time span that ends now. Older events are dropped."""
 
     def __init__(self) -> None:
-        self._buckets = deque[list[int]]()  # when each began, and how many
+        self._buckets = deque[list[int]]()  # start and number of events of each bucket
         self._total = 0
 
     def __len__(self) -> int:
         return len(self._buckets)
 
     def add(self, now: int, span: int) -> None:
-        """Counts one event."""
+        """Counts one event. `span` is the time span in ticks."""
         start = now - now % BUCKET_WIDTH
         if self._buckets and self._buckets[-1][0] == start:
             self._buckets[-1][1] += 1
@@ -123,16 +130,16 @@
         self.total(now, span)
 
     def total(self, now: int, span: int) -> int:
-        """The number of events within the span."""
+        """Returns the number of events within the time span that ends now."""
         while self._buckets and self._buckets[0][0] + BUCKET_WIDTH <= now - span:
             self._total -= self._buckets.popleft()[1]
         return self._total
 
 
 class InvariantGuard:
-    """One account of all that a process sends, retries, closes and answers.
+    """Checks every attempt, answer and close of a process against the invariants.
 
-    What would violate an invariant is refused and counted; the caller then leaves it undone.
+    An operation that would violate an invariant is refused and counted, and the caller does not carry it out.
     """
 
     def __init__(self, terms: GuardTerms) -> None:
@@ -141,18 +148,18 @@
         self._queries = EventWindow()
         self._retries = EventWindow()
         self._engines: dict[int, EngineEntry] = {}
-        self._sent_to: dict[int, EventWindow] = {}  # engines that warm up
+        self._sent_to: dict[int, EventWindow] = {}  # only engines in slow start
         self._answers = 0
         self._answered_work = 0
 
     def update_terms(self, terms: GuardTerms) -> None:
-        """Other settings hold from now on; what was counted stays."""
+        """Replaces the settings. Counts are kept."""
         self._terms = terms
 
-    # What happens around it.
+    # Notifications of events.
 
     def engine_listed(self, entry: EngineEntry) -> StateChange | None:
-        """Takes in an engine of the engine list; how its state has changed, if it has."""
+        """Records an entry of the engine list. Returns the change of the engine's state, if any."""
         before = self._engines.get(entry.index)
         self._engines[entry.index] = entry
         if before is not None and before.state is entry.state:
@@ -160,25 +167,32 @@
         return StateChange(before.state.name.lower() if before else "unknown", entry.state.name.lower())
 
     def retain_engines(self, engines: set[int]) -> None:
-        """A complete list came: all other engines are gone."""
+        """Removes all engines except for these, after a complete engine list was received."""
         for engine in self._engines.keys() - engines:
             self.forget_engine(engine)
 
     def forget_engine(self, engine: int) -> None:
-        """An engine is gone."""
+        """Removes an engine that is gone."""
         self._engines.pop(engine, None)
         self._sent_to.pop(engine, None)
 
     def query_submitted(
         self, now: int, service_class: int, deadline: int, earns_retries: bool
     ) -> QueryRecord:
-        """A query goes to the decisions. `earns_retries`: it adds to the retry budget."""
+        """Records a query that is submitted to the policy.
+
+        Args:
+            now: The current time.
+            service_class: The index of its service class.
+            deadline: When the final answer is due.
+            earns_retries: Whether the query raises the retry budget.
+        """
         if earns_retries:
             self._queries.add(now, self._terms.retry_budget.window)
         return QueryRecord(self._terms.service_classes[service_class], deadline)
 
     def attempt_ended(self, record: QueryRecord, number: int, outcome: Outcome, work: int) -> None:
-        """An attempt ended. `work`: what its answer reported, 0 where it reported none."""
+        """Records the end of an attempt. `work` is the work that its answer reported, or 0."""
         record.in_flight.discard(number)
         if outcome in NEVER_RAN:
             record.may_have_run.pop(number, None)
@@ -186,18 +200,28 @@
             self._answers += 1
             self._answered_work += work
 
-    # What it is asked.
+    # Checks.
 
     def may_answer(self, record: QueryRecord) -> bool:
-        """Whether the final answer may be given: not a second time."""
+        """Returns True if the final answer may be given, as none was given before."""
         return self._allow(Invariant.ANSWER if record.is_ended else None)
 
     def may_close(self, unanswered: int) -> bool:
-        """Whether a client's connection may be closed, with so many queries unanswered."""
+        """Returns True if a client connection with this number of unanswered queries may be closed."""
         return self._allow(Invariant.CLOSE if unanswered else None)
 
     def begin_attempt(self, now: int, record: QueryRecord, number: int, engine: int) -> Invariant | None:
-        """An attempt is about to be written; the invariant that it would violate, which is counted."""
+        """Checks an attempt that is about to be written, and records it if it is allowed.
+
+        Args:
+            now: The current time.
+            record: The query.
+            number: The number of the attempt, counted from 0.
+            engine: The index of the engine.
+
+        Returns:
+            The invariant that the attempt would violate, or None if it is allowed.
+        """
         violated = self._violated(now, record, number, engine)
         if not self._allow(violated):
             return violated
@@ -212,11 +236,11 @@
         return None
 
     def violations(self) -> Mapping[str, int]:
-        """The violations so far, by the invariant's name."""
+        """Returns the number of violations so far by the name of the invariant."""
         return {invariant.name.lower(): count for invariant, count in self._violations.items()}
 
     def bucket_count(self) -> int:
-        """How many buckets of events are kept at the moment."""
+        """Returns the number of buckets in which events are kept at present."""
         return sum(len(window) for window in (self._queries, self._retries, *self._sent_to.values()))
 
     def _allow(self, violated: Invariant | None) -> bool:
@@ -253,17 +277,19 @@
         return Invariant.COLD if self._overloads(now, entry) else None
 
     def _has_second_effect(self, now: int, record: QueryRecord, entry: EngineEntry) -> bool:
-        group = record.service_class
-        if group.idempotency is Idempotency.IDEMPOTENT or not record.may_have_run:
+        service_class = record.service_class
+        if service_class.idempotency is Idempotency.IDEMPOTENT or not record.may_have_run:
             return False
         first = min(record.may_have_run.values(), key=lambda start: start.at)
-        if group.idempotency is Idempotency.NON_IDEMPOTENT:
+        if service_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return True
-        if now - first.at >= group.deduplication_window:
+        if now - first.at >= service_class.deduplication_window:
             return True
-        if group.deduplication_scope is DeduplicationScope.ZONE:
+        if service_class.deduplication_scope is DeduplicationScope.ZONE:
             return entry.zone != first.engine.zone
-        return group.deduplication_scope is DeduplicationScope.CELL and entry.cell != first.engine.cell
+        return (
+            service_class.deduplication_scope is DeduplicationScope.CELL and entry.cell != first.engine.cell
+        )
 
     def _is_within_budget(self, now: int) -> bool:
         budget = self._terms.retry_budget
@@ -288,7 +314,7 @@
         return sent.total(now, self._terms.slow_start.overload_window) + 1 > allowed + tolerance
 
     def _allowed_in_window(self, now: int, entry: EngineEntry) -> float:
-        """The attempts of mean work that an engine bears in a window at its present capacity."""
+        """Returns how many attempts of mean work may be sent in a window at the engine's present capacity."""
         terms, kinds = self._terms.slow_start, self._terms.machine_kinds
         cores = kinds[entry.machine_kind].cores if entry.machine_kind < len(kinds) else 1
         age = min(1.0, (now - entry.started_at) / max(1, terms.ramp_duration))
--- a/vanerelay/policy/attempt_supervisor.py
+++ b/vanerelay/policy/attempt_supervisor.py
@@ -42,7 +42,7 @@
     def progressed(self, query: Query, number: int, kind: ProgressKind, value: float) -> None:
         """An engine reported on a running attempt."""
         now, attempt = self._transport.now, query.attempts[number]
-        attempt.engine.health.heard(now)
+        attempt.engine.health.record_activity(now)
         attempt.heard_at = now
         attempt.is_waiting = kind is ProgressKind.WAITING
         if attempt.is_waiting and value == WAITS_FOR_MEMORY:
--- a/vanerelay/policy/capacity_slice.py
+++ b/vanerelay/policy/capacity_slice.py
@@ -1,7 +1,8 @@
-"""This gateway's slice of every engine beside the other gateways', and what it borrows of theirs.
+"""This gateway's slice of every engine, and the part that it may borrow of the other gateways' slices.
 
-Where few gateways may gossip, each reports how many queries came to it, and slices follow the traffic.
-Elsewhere each has an even slice, and borrows where its own queries run unhindered.
+In a small fleet whose gateways may gossip, each gateway reports the number of queries that it received, and
+the slices follow the traffic. Otherwise the slices are equal, and a gateway borrows capacity on engines where
+its own queries run without slowdown.
 """
 
 from __future__ import annotations
@@ -14,41 +15,41 @@
 from vanerelay.policy.reservations import THREADS_PER_CORE
 
 MAX_GOSSIPING_GATEWAYS = 8
-"""Gateways up to which demand is gossiped."""
+"""The most gateways of a fleet in which demand is gossiped."""
 
 GOSSIP_INTERVAL = 200 * MILLISECOND
-"""Time between two messages to the peers."""
+"""The time between two gossip messages to the peers, in ticks."""
 
 PEER_TIMEOUT = SECOND
-"""A peer that was silent for so long is away, and its slice is divided among the others."""
+"""The silence, in ticks, after which a peer counts as absent; its slice is then divided among the others."""
 
 DEMAND_SPAN = 10 * SECOND
-"""Span of the queries that make a gateway's demand."""
+"""The time span, in ticks, of the queries that count as a gateway's demand."""
 
 OFFERED_SPAN = 3 * SECOND
-"""Span of the work that comes, which shows how much to borrow."""
+"""The time span, in ticks, over which the arriving work is summed to determine how much to borrow."""
 
 THREADS_IN_USE = 2.0
-"""Divisor of a fleet's threads: work that fills half of them asks for all that can be borrowed."""
+"""The divisor of the fleet's threads: a gateway borrows all that it can once its work fills half of them."""
 
 DEMAND_BYTES = 4
-"""Bytes of a gossip message: the demand as a big-endian integer."""
+"""The length in bytes of a gossip message, which is the demand as a big-endian integer."""
 
 
 class Demand(NamedTuple):
-    """What a gateway reported of its demand, and when."""
+    """The demand that a gateway last reported, in queries per `DEMAND_SPAN`, and the time of the report."""
 
     reported_at: int
     queries: float
 
 
 class CapacitySlice:
-    """Our slice of each engine.
+    """This gateway's slice of each engine.
 
     Attributes:
-        slice: The part of each engine that is ours and our proxies'.
-        unproxied: The part of our slice, and of our budgets for engines that warm up, not left to proxies.
-        borrowable: The part of an engine that we would borrow for the work that comes.
+        slice: The part of each engine that belongs to this gateway and its proxies.
+        unproxied_share: The part of the slice, and of the slow start budgets, that is not left to proxies.
+        borrowable: The part of an engine that this gateway would borrow for its arriving work.
     """
 
     def __init__(self, now: int, position: FleetPosition, may_gossip: bool) -> None:
@@ -58,32 +59,38 @@
         self._offered = SlidingSums(OFFERED_SPAN, 1)
         self._demands = {position.index: Demand(NEVER, 0.0)}
         self.slice = 1.0 / position.gateway_count
-        self.unproxied = 1.0
+        self.unproxied_share = 1.0
         self.borrowable = 0.0
 
     @property
     def own_slice(self) -> float:
-        """The part of each engine that our own queries may fill."""
-        return self.slice * self.unproxied
+        """The part of each engine that this gateway's own queries may fill."""
+        return self.slice * self.unproxied_share
 
     def work_offered(self, now: int, work: float) -> None:
-        """A query came in."""
+        """Records the estimated work, in ticks of one thread, of a query that arrived."""
         self._offered.add(now, work)
 
     def update_borrowable(self, now: int, fleet_cores: float) -> None:
-        """Sets what we would borrow, by the work that came beside the cores of all engines."""
+        """Updates `borrowable` from the recently arrived work, relative to the cores of all engines."""
         offered = self._offered.total(now, 0) / OFFERED_SPAN
         wanted = min(1.0, offered / (fleet_cores * THREADS_PER_CORE / THREADS_IN_USE))
         self.borrowable = 0.0 if self._gossips else wanted
 
     def is_gossip_due(self, now: int) -> bool:
-        """Whether our demand is to be reported to the peers."""
+        """Returns True if it is time to report this gateway's demand to the peers."""
         return self._gossips and now - self._demands[self._position.index].reported_at >= GOSSIP_INTERVAL
 
     def gossip(self, now: int, recent_queries: float, is_stalled: bool) -> bytes:
-        """Sets our slice by the demands known; the message for the peers.
+        """Updates this gateway's slice by the known demands, and returns the gossip message for the peers.
 
-        Peers never heard of count like ourselves. Where we stood still ourselves, none counts as away.
+        A peer that never reported is assumed to have the same demand as this gateway. After a stall of this
+        gateway no peer counts as absent, as its messages may just not have been read.
+
+        Args:
+            now: The current time.
+            recent_queries: The queries that arrived within `DEMAND_SPAN`.
+            is_stalled: Whether this gateway did not run for a while.
         """
         observed = min(1.0, (now - self._started_at + SECOND) / DEMAND_SPAN)
         own = 1.0 + recent_queries / observed
@@ -93,11 +100,11 @@
             for demand in self._demands.values()
             if is_stalled or now - demand.reported_at <= PEER_TIMEOUT
         ]
-        unheard = self._position.gateway_count - len(self._demands)
-        self.slice = own / (sum(present) + own * unheard)
+        unreported = self._position.gateway_count - len(self._demands)
+        self.slice = own / (sum(present) + own * unreported)
         return int(own).to_bytes(DEMAND_BYTES, "big")
 
     def peer_reported(self, now: int, gateway: int, message: bytes) -> None:
-        """A peer reported its demand."""
+        """Records the demand that a peer reported in a gossip message."""
         queries = float(int.from_bytes(message[:DEMAND_BYTES], "big"))
         self._demands[gateway] = Demand(now, queries)
--- a/vanerelay/policy/engine_registry.py
+++ b/vanerelay/policy/engine_registry.py
@@ -1,4 +1,4 @@
-"""The engines that the gateway knows: the list, the order of preference, and the pool of all of them."""
+"""The engines that this gateway knows, their order of preference, and the reservations in all of them."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 from vanerelay.policy.slow_start import SlowStart
 
 MIN_CANDIDATES = 8
-"""Healthy engines that a gateway keeps to: reports from each stay fresh, and work does not grow with the
-fleet."""
+"""The number of healthy engines to which a gateway limits its queries, if its traffic needs no more. With few
+engines, the load reports of each stay fresh, and the work per query does not grow with the fleet."""
 
 GATEWAYS_PER_ENGINE = 4
-"""Gateways that keep to each engine, where that makes more candidates."""
+"""The number of gateways that use each engine, if that makes more than `MIN_CANDIDATES` for a gateway."""
 
 TRIALS_PER_SECOND = 3
-"""Trials of an ejected engine in a second, from all gateways that keep to it together."""
+"""Trial queries per second at an ejected engine, from all gateways that use it together."""
 
 LARGE_QUERY_DIVISOR = 8
-"""A large query's work is the largest class's latency objective on all its threads, over this."""
+"""The work of a large query is the largest latency objective times threads of a class, divided by this."""
 
 ANYWHERE = PlacementConstraints(None, None, None)
-"""No constraints."""
+"""Constraints that every engine satisfies."""
 
 UNKNOWN_KIND = MachineKind(1, 0.0)
-"""Stands in for a kind that the settings do not name."""
+"""The machine kind that is assumed for engines whose kind is missing in the settings."""
 
 
 class EngineRegistry:
-    """The engines by index, and those listed in this gateway's order of preference.
+    """The known engines by index, and the listed ones in this gateway's order of preference.
 
-    The order is scattered by engine and gateway, so that engines are kept by evenly many gateways. An engine
-    that leaves the list is kept until it runs none of ours.
+    The order depends on a hash of engine and gateway, so that each engine is preferred by about as many
+    gateways. An engine that leaves the list stays known until it runs no more queries of this gateway.
 
     Attributes:
         order: The listed engines in this gateway's order of preference.
-        pool: What we hold of all listed engines together.
-        awaited_reports: Load reports that were polled for and have not come. The admission queue is served
-            once one comes, or with the next review.
+        pool: The reservations of this gateway in all listed engines together, against their total capacity.
+        awaited_reports: The number of load reports that were polled for and have not arrived. The admission
+            queue is served when one arrives, or with the next review.
     """
 
     def __init__(self, transport: Transport, settings: GatewaySettings, monitor: EngineMonitor) -> None:
@@ -68,22 +68,23 @@
         self.awaited_reports = 0
 
     def get(self, index: int) -> Engine | None:
-        """The engine of an index, listed or not; None where it is not known."""
+        """Returns the engine with this index, listed or not, or None if it is unknown."""
         return self._engines.get(index)
 
     def listed(self) -> list[Engine]:
-        """The listed engines in order of preference."""
+        """Returns the listed engines in order of preference."""
         return [ranked.engine for ranked in self.order.all]
 
-    def baseline(self) -> list[Engine]:
-        """The engines that show what is usual."""
+    def baseline_engines(self) -> list[Engine]:
+        """Returns the most preferred engines, from which the typical fault ratio and slowdown are taken."""
         return [ranked.engine for ranked in self.order.all[:MIN_CANDIDATES]]
 
     def candidates(self, now: int, constraints: PlacementConstraints) -> Iterator[Engine]:
-        """The first healthy engines in our order, and the unhealthy ones passed on the way.
+        """Yields the engines that a query may be sent to, in order of preference.
 
-        As many as queries run, if that is more: a busy gateway needs more engines. Engines of weight 0 get
-        nothing new.
+        Yields until enough healthy engines are found; unhealthy ones that precede them are included. The
+        number is at least that of the running queries, as a busy gateway needs more engines. Engines of
+        weight 0 are left out, as they get no new queries.
         """
         wanted = max(
             MIN_CANDIDATES,
@@ -100,17 +101,26 @@
             if healthy >= wanted:
                 return
 
-    def may_try(self, now: int, engine: Engine) -> bool:
-        """Whether an ejected engine may get a trial query from us now: one at a time, not too often."""
+    def may_send_trial(self, now: int, engine: Engine) -> bool:
+        """Returns True if this gateway may send a trial query to an ejected engine now.
+
+        Only one trial runs at a time, and the rate is limited by `TRIALS_PER_SECOND`.
+        """
         gateway_count = self._settings.position.gateway_count
-        keepers = gateway_count * min(1.0, MIN_CANDIDATES / len(self.order)) / TRIALS_PER_SECOND
-        interval = SECOND * max(1.0, keepers)
-        return not engine.reservations.running and now - engine.health.tried_at >= interval
+        seconds = gateway_count * min(1.0, MIN_CANDIDATES / len(self.order)) / TRIALS_PER_SECOND
+        interval = SECOND * max(1.0, seconds)
+        return not engine.reservations.running and now - engine.health.last_attempt_at >= interval
 
     # The engine list.
 
     def update(self, entries: Sequence[EngineEntry], is_complete: bool, accepts_new: bool) -> None:
-        """Takes in entries of the engine list. `is_complete`: engines without an entry have left it."""
+        """Applies entries of the engine list.
+
+        Args:
+            entries: The entries.
+            is_complete: Whether `entries` is the whole list, so that engines without an entry have left it.
+            accepts_new: Whether entries of unknown engines are accepted.
+        """
         if is_complete:
             for index in sorted(self._engines.keys() - {entry.index for entry in entries}):
                 self._set_listed(self._engines[index], False)
@@ -120,7 +130,7 @@
         self._forget_unused()
 
     def inherit(self, old: EngineRegistry) -> None:
-        """Takes over the listed engines of a registry under former settings, and what is known of them."""
+        """Takes over the listed engines of the registry under the previous settings, with their state."""
         self._inherited = {engine.entry.name: engine for engine in old._engines.values()}
         entries = [engine.entry for engine in old._engines.values() if engine.is_listed]
         self.update(entries, is_complete=True, accepts_new=True)
@@ -134,10 +144,10 @@
             engine.inherit(now, self._inherited.pop(entry.name))
             self._monitor.watch(engine)
         if engine.slow_start.engine_started(entry.started_at):
-            engine.health.heard(now)
-        same_place = PlacementConstraints((entry.zone,), (entry.machine_kind,), entry.cell)
-        if not same_place.allow(engine.entry):
-            self._set_listed(engine, False)  # it moves to other lists of the order
+            engine.health.record_activity(now)
+        unchanged_placement = PlacementConstraints((entry.zone,), (entry.machine_kind,), entry.cell)
+        if not unchanged_placement.allow(engine.entry):
+            self._set_listed(engine, False)  # `order` keeps lists by placement constraints
         engine.entry = entry
         self._set_listed(engine, entry.state is EngineState.UP)
 
@@ -158,7 +168,7 @@
         return Engine(entry, kind, slow_start, settings.capabilities.polls_load)
 
     def _set_listed(self, engine: Engine, is_listed: bool) -> None:
-        """Lists or unlists an engine, or takes in its new weight."""
+        """Lists or unlists an engine, or applies its new weight."""
         added_share = (min(1.0, engine.entry.weight) if is_listed else 0.0) - engine.pooled_share
         self.pool.resize(added_share * engine.reservations.memory, added_share * engine.reservations.cores)
         engine.pooled_share += added_share
@@ -182,19 +192,20 @@
     # Reservations and load reports.
 
     def reserve(self, engine: Engine, memory: float, threads: float) -> None:
-        """Reserves on an engine for one query."""
+        """Reserves memory, in MB, and threads for one query on an engine."""
         self.pool.reserve(memory, threads)
         engine.reservations.reserve(memory, threads)
 
     def release(self, engine: Engine, memory: float, threads: float) -> None:
-        """Gives back what one query held of an engine."""
+        """Releases the memory, in MB, and the threads that were reserved for one query on an engine."""
         self.pool.release(memory, threads)
         engine.reservations.release(memory, threads)
 
     def poll_load(self, now: int) -> None:
-        """Where engines report only when probed, probes the candidate that was not for the longest time.
+        """Probes the candidate engine whose last probe is the oldest, if engines report only when probed.
 
-        One probe for each query: without reports nothing is lent on a quiet day.
+        Called for each query: without load reports, no unused part of other gateways' slices would be used
+        while there is little traffic.
         """
         if not self._settings.capabilities.polls_load:
             return
@@ -207,11 +218,11 @@
         self._transport.probe_engine(engine.entry.index)
 
     def probe_completed(self, index: int, outcome: Outcome) -> Engine | None:
-        """A probe ended; the engine, if it is still known and responded."""
+        """Records the end of a probe. Returns the engine if it is still known and responded, else None."""
         self.awaited_reports = max(0, self.awaited_reports - 1)
         engine = self._engines.get(index)
         return engine if outcome in ENGINE_RESPONDED else None
 
     def threads_per_query(self) -> float:
-        """The threads of the usual query of ours, for reports that state numbers of queries."""
+        """Returns the mean threads of this gateway's running queries, for load reports that count queries."""
         return max(1.0, self.pool.threads / max(1, self.pool.running))
--- a/vanerelay/policy/fitting.py
+++ b/vanerelay/policy/fitting.py
@@ -67,7 +67,7 @@
 
     def fit(self, now: int, query: Query, engines: Sequence[Engine], grant: Grant) -> Fit | None:
         """The engines where a query fits our slice; an idle one, while our slice of the pool lasts."""
-        usual, borrowable = self._monitor.usual_load, self._capacity.borrowable
+        usual, borrowable = self._monitor.typical_load, self._capacity.borrowable
         own_slice, pool = self._capacity.own_slice, self._engines.pool
         is_pool_free = not pool.running or pool.fits(grant.reserved, query.threads, own_slice)
         shares = [engine.fillable_share(now, usual, own_slice, borrowable) for engine in engines]
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -162,7 +162,7 @@
             return False
 
         # Draw
-        engine = self._placement.draw(now, fit.engines, query, self._monitor.usual_load)
+        engine = self._placement.draw(now, fit.engines, query, self._monitor.typical_load)
 
         # Send
         self._transport.grant_memory(arrival.index, round(fit.grant.size), self._priority(query))
@@ -204,11 +204,11 @@
         """Rules 2 and 4, and the engine's health: an ejected one gets queries with little at stake."""
         if now >= query.repeatable_until():
             return False
-        if not engine.slow_start.allows(now, work, self._capacity.unproxied):
+        if not engine.slow_start.allows(now, work, self._capacity.unproxied_share):
             return False
         if not engine.health.is_ejected:
             return True
-        return query.is_low_value and self._engines.may_try(now, engine)
+        return query.is_low_value and self._engines.may_send_trial(now, engine)
 
     def _priority(self, query: Query) -> int:
         """A higher priority for light queries: load reports leave seconds where a look-up has none."""
@@ -303,7 +303,7 @@
 
     def set_proxy_share(self, share: float) -> None:
         """Leaves a part of our slice, and of our budgets for engines that warm up, to proxies."""
-        self._capacity.unproxied = 1.0 - share
+        self._capacity.unproxied_share = 1.0 - share
 
     def update_proxy_load(self, engine: int, running: float, ended: float, errors: float) -> None:
         """Proxies reported what they have running at an engine, and what ended since the last report."""
@@ -328,7 +328,7 @@
         """Looks over the engines, the attempts, the queue and our slice."""
         is_stalled, is_slow_review = self._housekeeping.is_stalled, self._housekeeping.is_slow_review_due
         if is_slow_review:
-            self._monitor.update_baselines(now, self._engines.baseline())
+            self._monitor.update_baselines(now, self._engines.baseline_engines())
         self._monitor.review(now, is_stalled)
         if not is_stalled:
             self._supervisor.end_silent(now)
--- a/vanerelay/policy/memory_estimator.py
+++ b/vanerelay/policy/memory_estimator.py
@@ -1,7 +1,7 @@
 """Sizes memory grants from the peaks of earlier queries of the same shape.
 
-A shape is a service class with a table group. What is remembered of a shape is how far its peaks lie off what
-the class's corrected estimates say.
+A shape is the combination of a service class and a table group. For each shape, the estimator keeps the mean
+deviation of the peaks from the corrected estimates of the service class.
 """
 
 from __future__ import annotations
@@ -13,34 +13,41 @@
 from vanerelay.interface import SECOND
 
 MIN_MARGIN = 1.25
-"""Least factor of a grant over the expected peak; wider where peaks spread more."""
+"""The smallest ratio of a grant to the expected peak; it is larger for classes whose peaks vary more."""
 
 BUCKET_STEP = math.log(1.12)
-"""Log of the factor between two sizes of grants. Grants are rounded up to such a size."""
+"""The log of the ratio between two neighbouring grant sizes. Grants are rounded up to such a size."""
 
 ROUNDING_SLACK = 1e-9
-"""In steps: a size that is a bucket's, but for rounding, stays in that bucket."""
+"""The part of a step by which a size may exceed a bucket and still count as that bucket (rounding errors)."""
 
 PAGING_MARGIN_FACTOR = 2.0
-"""Factor of the margin where engines page: what is granted past the need is kept from nobody there, and what
-falls short spills."""
+"""The factor of the margin if engines page. There a grant beyond the need takes memory from no other query,
+while a grant below the need makes the query spill."""
 
 SHAPE_LIFETIME = 30 * SECOND
-"""How long a shape counts after its last run."""
+"""The time, in ticks, after which a shape without a run is no longer used."""
 
 SHAPE_RUNS = 20
-"""Runs that a shape's offset averages. With the last peak alone half of all grants fell short."""
+"""The number of runs that a shape's offset averages. With the last peak alone, half of all grants were too
+small."""
 
 NO_TABLE_GROUP = -1
-"""Stands for a query of which not even the table group is known."""
+"""The table group of a query whose table group is unknown."""
 
 SHAPE_PRIOR_RUNS = 2
-"""Runs' worth of weight on no offset at all, when a shape is new."""
+"""The weight, in runs, of the initial assumption that a new shape has no offset."""
 
 
 @dataclass(slots=True)
 class ShapeRecord:
-    """What is remembered of a shape: `offset` is the mean log of peak over corrected estimate."""
+    """The observations of a shape.
+
+    Attributes:
+        offset: The mean log of the ratio of the peak to the corrected estimate.
+        runs: The number of runs observed since the shape last expired.
+        expires_at: When the shape is no longer used.
+    """
 
     offset: float = 0.0
     runs: int = 0
@@ -48,7 +55,7 @@
 
 
 class MemoryEstimator:
-    """Grant sizes, learned from observed peaks."""
+    """Computes the sizes of memory grants, in MB, from observed peaks."""
 
     def __init__(self, class_count: int, engines_page: bool = False) -> None:
         self._corrections = [EstimateCorrection() for _ in range(class_count)]
@@ -57,7 +64,7 @@
         self._shapes: dict[tuple[int, int], ShapeRecord] = {}
 
     def size(self, now: int, service_class: int, table_group: int, estimated: float, cap: float) -> float:
-        """The grant in MB, `cap` at most; 0 (the engine's own choice) where nothing is known."""
+        """Returns the grant in MB, at most `cap`; 0, which lets the engine choose, if nothing is known."""
         correction = self._corrections[service_class]
         if not estimated and not correction.samples:
             return 0.0
@@ -68,13 +75,13 @@
         return min(cap, math.exp(BUCKET_STEP * steps))
 
     def typical_size(self, now: int, service_class: int) -> float:
-        """The grant of a query that nothing is known of but its class; 0 where nothing was learned."""
+        """Returns the grant of a query of which only the class is known; 0 before the class's first run."""
         return self.size(now, service_class, NO_TABLE_GROUP, 0.0, math.inf)
 
     def reserved(
         self, now: int, service_class: int, table_group: int, estimated: float, grant: float
     ) -> float:
-        """The memory that a grant takes from its engine: where engines page, the expected need at most."""
+        """Returns the memory to reserve for a grant; if engines page, at most the expected need."""
         if not self._engines_page:
             return grant
         expected = self._expected_log(now, service_class, table_group, estimated)
@@ -82,7 +89,7 @@
         return min(grant, math.exp(mean))
 
     def learn(self, now: int, service_class: int, table_group: int, estimated: float, peak: float) -> None:
-        """Takes in the peak of a run; of a spill, the grant and what was missing."""
+        """Records the peak of a run; if the run spilled, this is its grant plus the missing memory."""
         correction = self._corrections[service_class]
         shape = self._shapes.get((service_class, table_group))
         if shape is None:
@@ -96,11 +103,11 @@
         correction.learn(estimated, peak)
 
     def forget_table_group(self, table_group: int) -> None:
-        """Forgets the shapes of tables that a data load has changed."""
+        """Removes the shapes of a table group that a data load has changed."""
         self._shapes = {key: shape for key, shape in self._shapes.items() if key[1] != table_group}
 
     def inherit_class(self, service_class: int, old: MemoryEstimator, old_class: int) -> None:
-        """Goes on with what another estimator has learned of a class."""
+        """Takes over the observations that another estimator has made of a class."""
         self._corrections[service_class] = old._corrections[old_class]
 
     def _expected_log(self, now: int, service_class: int, table_group: int, estimated: float) -> float:
--- a/vanerelay/policy/outlier_detection.py
+++ b/vanerelay/policy/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Finds engines that fail, fall silent or run slower than the rest, and lets them recover.
+"""Detects engines that fail, fall silent or run slower than the others, and lets them recover.
 
-The signs are attempts' outcomes, silence while attempts are overdue, and durations beside those of a query
-alone. Errors and slowness count only beyond what the other engines show.
+The evidence is the outcomes of attempts, silence while attempts are overdue, and the slowdown of queries
+compared to an engine without load. Errors and slowdown count only if they exceed those of the other engines.
 """
 
 from __future__ import annotations
@@ -12,57 +12,63 @@
 from vanerelay.interface import MILLISECOND, SECOND, Outcome
 
 MIN_SILENCE = 600 * MILLISECOND
-"""Silences up to this are pauses and say nothing."""
+"""Silence of an engine up to this time, in ticks, is a normal pause and does not count."""
 
 OVERDUE_FACTOR = 3.0
-"""An attempt is overdue after this many times its expected duration."""
+"""The multiple of its expected duration after which an attempt is overdue."""
 
 OVERDUE_LIMIT = 2
-"""Overdue attempts, nothing heard meanwhile, from which on an engine counts as silent."""
+"""The number of overdue attempts from which an engine counts as silent, if nothing was received from it."""
 
 ERROR_SPAN = 20 * SECOND
-"""How long errors count, unless a trial query completes before."""
+"""The time, in ticks, for which errors count, unless a trial query completes earlier."""
 
 RECOVERY_RATE = 0.5
-"""Most that a health level may rise in a second, so that load comes back to an engine in steps."""
+"""The most that a health level may rise per second, so that load returns to an engine in steps."""
 
 EJECTED_BELOW = 0.15
-"""Health level under which an engine is ejected: it gets single trial queries alone."""
+"""The health level below which an engine is ejected, so that it gets single trial queries only."""
 
-CROWDING_STARTS = math.log(1.2)
-"""Log of the slowdown up to which queries run about as fast as alone."""
+NEGLIGIBLE_SLOWDOWN = math.log(1.2)
+"""The log of the slowdown up to which queries run about as fast as on an engine without load."""
 
-CROWDING_RANGE = math.log(2.0)
-"""Log of the further slowdown at which nothing is lent any more."""
+BORROWING_RANGE = math.log(2.0)
+"""The log of the further slowdown at which no capacity is borrowed any more."""
 
-PACE_RUNS = 6
-"""Runs that an engine's pace averages."""
+SLOWDOWN_RUNS = 6
+"""The number of runs that an engine's mean log slowdown averages."""
 
-PACE_TOLERANCE = math.log(1.5)
-"""Log of how much slower than the usual engine one may run without a sign of trouble."""
+SLOWDOWN_TOLERANCE = math.log(1.5)
+"""The log of how much slower than the typical engine an engine may be without any effect on its health."""
 
 MIN_RUN_SLOWDOWN = 0.1
-"""Least slowdown that a run counts with, as its log is taken."""
+"""The lower bound of a run's slowdown, as a logarithm needs a positive value."""
 
 FAULT_EXPONENT = 3
-"""The level falls with this power of the part of attempts that do not fail beyond the usual."""
+"""The health level falls with this power of the part of attempts without excess faults."""
 
 FAULTS = (Outcome.FAILED, Outcome.REJECTED, Outcome.RESET)
-"""Outcomes that count against an engine's health."""
+"""The outcomes that count against an engine's health."""
 
 _ERROR_BUCKETS = 8
 _ENDED = 0
 _ERRORS = 1
 
 
-class PendingSign:
-    """An attempt in flight as a sign of silence: overdue once `patience` has passed since `sent_at`."""
+class PendingAttempt:
+    """An attempt in flight, which is evidence of its engine's silence once it is overdue.
 
-    __slots__ = ("patience", "sent_at", "weight")
+    Attributes:
+        sent_at: When the attempt was sent.
+        overdue_after: The time since `sent_at`, in ticks, after which the attempt is overdue.
+        weight: How much the attempt counts as evidence, where 1 is one overdue attempt.
+    """
+
+    __slots__ = ("overdue_after", "sent_at", "weight")
 
-    def __init__(self, sent_at: int, patience: float, weight: float) -> None:
+    def __init__(self, sent_at: int, overdue_after: float, weight: float) -> None:
         self.sent_at = sent_at
-        self.patience = patience
+        self.overdue_after = overdue_after
         self.weight = weight
 
 
@@ -70,79 +76,96 @@
     """The health of one engine.
 
     Attributes:
-        level: From 0 (silent or lost) to 1 (healthy, and about as fast as the usual engine).
-        pace: The log of its queries' slowdown against a run alone; `has_pace`: whether a run was seen.
-        tried_at: When an attempt was sent last.
+        level: The health level, from 0 (silent or lost) to 1 (healthy, about as fast as the typical engine).
+        mean_log_slowdown: The mean log of the slowdown of queries compared to an engine without load.
+        has_slowdown: Whether any run was observed, so that `mean_log_slowdown` is known.
+        last_attempt_at: When the last attempt was sent to the engine.
+        is_lost: Whether the last attempt found no connection, and nothing was received since.
     """
 
     def __init__(self) -> None:
         self._errors = SlidingSums(ERROR_SPAN, 2, _ERROR_BUCKETS)
-        self._pending: dict[int, PendingSign] = {}
-        self._heard_at = 0
+        self._pending: dict[int, PendingAttempt] = {}
+        self._last_activity_at = 0
         self._reviewed_at = 0
-        self._missed = 0
-        self.tried_at = 0
+        self._timed_out_overdue = 0
+        self.last_attempt_at = 0
         self.is_lost = False
         self.level = 1.0
-        self.pace = 0.0
-        self.has_pace = False
+        self.mean_log_slowdown = 0.0
+        self.has_slowdown = False
 
     @property
     def is_ejected(self) -> bool:
-        """Whether the engine gets nothing but trial queries."""
+        """Whether the engine gets trial queries only."""
         return self.level < EJECTED_BELOW
 
     def attempt_sent(self, now: int, key: int, expected_duration: float, weight: float) -> None:
-        """An attempt was sent. `weight`: how much it counts as a sign once it is overdue."""
-        patience = max(MIN_SILENCE, OVERDUE_FACTOR * expected_duration)
-        self._pending[key] = PendingSign(now, patience, weight)
-        self.tried_at = now
-
-    def heard(self, now: int) -> None:
-        """The engine gave a sign of life."""
-        self._heard_at = now
-        self._missed = 0
+        """Records that an attempt was sent.
+
+        Args:
+            now: The current time.
+            key: The key under which its end is reported.
+            expected_duration: Its expected duration, in ticks.
+            weight: How much it counts as evidence of silence once it is overdue.
+        """
+        overdue_after = max(MIN_SILENCE, OVERDUE_FACTOR * expected_duration)
+        self._pending[key] = PendingAttempt(now, overdue_after, weight)
+        self.last_attempt_at = now
+
+    def record_activity(self, now: int) -> None:
+        """Records that something was received from the engine, so that it is neither silent nor lost."""
+        self._last_activity_at = now
+        self._timed_out_overdue = 0
         self.is_lost = False
 
     def attempt_ended(self, now: int, key: int, outcome: Outcome, duration: int) -> None:
-        """An attempt ended."""
-        patience = self._pending.pop(key).patience
+        """Records the end of an attempt."""
+        overdue_after = self._pending.pop(key).overdue_after
         if outcome is Outcome.NO_CONNECTION:
             self.is_lost = True
             self.level = 0.0
-        elif outcome is Outcome.TIMED_OUT and duration > patience:
-            self._missed += 1
+        elif outcome is Outcome.TIMED_OUT and duration > overdue_after:
+            self._timed_out_overdue += 1
         elif outcome is Outcome.COMPLETED and self.is_ejected:
             self._errors = SlidingSums(ERROR_SPAN, 2, _ERROR_BUCKETS)
         self._errors.add(now, 1, 1 if outcome in FAULTS else 0)
 
     def proxy_reported(self, now: int, ended: float, errors: float) -> None:
-        """A proxy reported how many of its requests ended here, and with an error."""
+        """Records how many requests of a proxy ended at this engine, and how many of these failed."""
         self._errors.add(now, ended, errors)
 
     def run_observed(self, slowdown: float, weight: float) -> None:
-        """A run was so much slower than alone. The run of a trial stands for all before it."""
-        if self.has_pace and not self.is_ejected:
-            weight = weight / PACE_RUNS
-        self.pace += (math.log(max(slowdown, MIN_RUN_SLOWDOWN)) - self.pace) * weight
-        self.has_pace = True
+        """Records the slowdown of a run compared to an engine without load.
+
+        The first run, and a run of a trial query, replaces the earlier ones in proportion to its weight.
+        """
+        if self.has_slowdown and not self.is_ejected:
+            weight = weight / SLOWDOWN_RUNS
+        self.mean_log_slowdown += (
+            math.log(max(slowdown, MIN_RUN_SLOWDOWN)) - self.mean_log_slowdown
+        ) * weight
+        self.has_slowdown = True
 
     def spare_capacity(self) -> float:
-        """1 where queries run about as fast as alone, down to 0 where they crowd, or none ran."""
-        if not self.has_pace:
+        """Returns how far queries run without slowdown, from 1 (as fast as without load) to 0.
+
+        It is also 0 if no run was observed.
+        """
+        if not self.has_slowdown:
             return 0.0
-        return min(1.0, max(0.0, 1.0 - (self.pace - CROWDING_STARTS) / CROWDING_RANGE))
+        return min(1.0, max(0.0, 1.0 - (self.mean_log_slowdown - NEGLIGIBLE_SLOWDOWN) / BORROWING_RANGE))
 
     def fault_ratio(self, now: int) -> float:
-        """The part of the attempts of late that failed; one sound attempt is taken for granted."""
+        """Returns the failed part of recent attempts, counting one successful attempt more than observed."""
         errors = self._errors.total(now, _ERRORS)
         return errors / (self._errors.total(now, _ENDED) + 1.0) if errors else 0.0
 
-    def review(self, now: int, usual_faults: float, usual_pace: float) -> None:
-        """Sets the level anew, beside the usual of the other engines."""
-        excess_faults = max(0.0, self.fault_ratio(now) - usual_faults)
-        target = (1.0 - excess_faults / (1.0 - usual_faults)) ** FAULT_EXPONENT
-        target *= min(1.0, math.exp(usual_pace + PACE_TOLERANCE - self.pace))
+    def review(self, now: int, typical_fault_ratio: float, typical_log_slowdown: float) -> None:
+        """Updates the health level by comparison with the typical engine."""
+        excess_faults = max(0.0, self.fault_ratio(now) - typical_fault_ratio)
+        target = (1.0 - excess_faults / (1.0 - typical_fault_ratio)) ** FAULT_EXPONENT
+        target *= min(1.0, math.exp(typical_log_slowdown + SLOWDOWN_TOLERANCE - self.mean_log_slowdown))
         if self.is_lost or self._is_silent(now):
             target = 0.0
         recovered = self.level + RECOVERY_RATE * (now - self._reviewed_at) / SECOND
@@ -151,6 +174,9 @@
 
     def _is_silent(self, now: int) -> bool:
         overdue = sum(
-            sign.weight * ((now - sign.sent_at) // sign.patience) for sign in self._pending.values()
+            pending.weight * ((now - pending.sent_at) // pending.overdue_after)
+            for pending in self._pending.values()
+        )
+        return (
+            self._timed_out_overdue + overdue >= OVERDUE_LIMIT and now - self._last_activity_at > MIN_SILENCE
         )
-        return self._missed + overdue >= OVERDUE_LIMIT and now - self._heard_at > MIN_SILENCE
--- a/vanerelay/policy/runtime_estimator.py
+++ b/vanerelay/policy/runtime_estimator.py
@@ -1,6 +1,6 @@
-"""What queries cost and how long they run, by service class, learned from answers.
+"""Estimates the work and the duration of queries by service class, from the values reported in answers.
 
-Work is the time that a query takes on one thread of an engine, in ticks.
+Work is the time, in ticks, that a query takes on one thread of an engine.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 from vanerelay.policy.query import Query
 
 SLOWDOWN_SPAN = 20 * SECOND
-"""Span over which a class's slowdown under load is measured."""
+"""The time span, in ticks, over which a class's slowdown under load is measured."""
 
 MIN_SLOWDOWN = 1.5
-"""Least factor of an expected duration over the one alone, whatever was observed."""
+"""The smallest assumed ratio of a duration under load to the duration on an engine without load."""
 
 UNKNOWN_WORK_DIVISOR = 4
-"""Work is taken for this part of the latency objective where nothing is estimated or learned."""
+"""If there is no estimate and no observation, the work is the latency objective divided by this."""
 
 QUICK_RUN_DIVISOR = 2
-"""A retry counts as able to earn something where its expected duration over this still fits."""
+"""A retry counts as worthwhile if the time left is at least its expected duration divided by this."""
 
 LIGHT_QUERY_DIVISOR = 4
-"""A query that runs alone in less than its objective over this is light."""
+"""A query is light if, on an engine without load, it takes less than its latency objective over this."""
 
 _DURATION = 0
 _UNLOADED = 1
 
 
 class RuntimeEstimator:
-    """Work and durations of queries, from clients' estimates corrected by what answers reported."""
+    """Estimates of work and duration: the clients' estimates, corrected by the values reported in answers."""
 
     def __init__(self, service_classes: Sequence[ServiceClass]) -> None:
         self._classes = service_classes
@@ -39,45 +39,45 @@
         self._runs = [SlidingSums(SLOWDOWN_SPAN, 2) for _ in service_classes]
 
     def learn(self, now: int, service_class: int, estimated: int, work: int, duration: int) -> None:
-        """Takes in a completed run."""
+        """Records a completed run with its work and duration in ticks."""
         self._corrections[service_class].learn(estimated, work)
         self._runs[service_class].add(now, duration, work / self._classes[service_class].threads)
 
     def expected_work(self, service_class: int, estimated: int) -> float:
-        """The work to expect of a query with this estimate (0: none)."""
+        """Returns the expected work of a query with this client estimate, which is 0 if there is none."""
         expected = self._corrections[service_class].expected(estimated)
         return expected or self._classes[service_class].latency_objective / UNKNOWN_WORK_DIVISOR
 
     def budgeted_work(self, service_class: int, estimated: int) -> float:
-        """The work to charge against budgets: never less than the class's mean."""
+        """Returns the work to charge against budgets, which is at least the mean work of the class."""
         expected = self.expected_work(service_class, estimated)
         return max(expected, self._corrections[service_class].mean())
 
     def expected_duration(self, now: int, service_class: int, estimated: int) -> float:
-        """How long the query would run on an engine under the load of late."""
+        """Returns the expected duration, in ticks, on an engine under recent load."""
         runs = self._runs[service_class]
         slowdown = (runs.total(now, _DURATION) + 1) / (runs.total(now, _UNLOADED) + 1)
         return self.unloaded_duration(service_class, estimated) * max(MIN_SLOWDOWN, slowdown)
 
     def duration_of(self, now: int, query: Query) -> float:
-        """How long a query would run on an engine under the load of late."""
+        """Returns the expected duration of a query, in ticks, on an engine under recent load."""
         return self.expected_duration(now, query.arrival.service_class, query.arrival.estimated_cost)
 
     def unloaded_duration(self, service_class: int, estimated: int) -> float:
-        """How long the query would run alone on an engine."""
+        """Returns the expected duration, in ticks, on an engine without load."""
         return self.expected_work(service_class, estimated) / self._classes[service_class].threads
 
     def is_light(self, query: Query) -> bool:
-        """Whether a query alone takes but a small part of its class's latency objective."""
+        """Returns True if a query takes a small part of its latency objective on an engine without load."""
         arrival = query.arrival
-        alone = self.unloaded_duration(arrival.service_class, arrival.estimated_cost)
-        return alone < query.service_class.latency_objective / LIGHT_QUERY_DIVISOR
+        unloaded = self.unloaded_duration(arrival.service_class, arrival.estimated_cost)
+        return unloaded < query.service_class.latency_objective / LIGHT_QUERY_DIVISOR
 
     def work_spread(self, service_class: int) -> float:
-        """The standard deviation of the log of the work around the expected one."""
+        """Returns the standard deviation of the log of the work around the log of the expected work."""
         return self._corrections[service_class].spread()
 
     def inherit_class(self, service_class: int, old: RuntimeEstimator, old_class: int) -> None:
-        """Goes on with what another estimator has learned of a class."""
+        """Takes over the observations that another estimator has made of a class."""
         self._corrections[service_class] = old._corrections[old_class]
         self._runs[service_class] = old._runs[old_class]
--- a/vanerelay/policy/slow_start.py
+++ b/vanerelay/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Rule 4: an engine that has just started is sent no more than it bears while it warms up.
+"""Rule 4: limits the work that is sent to an engine after its start, so that it is not overloaded.
 
-In one window an engine may get at most `overload_multiple` times its capacity of the moment from all gateways
-together. Each gateway keeps to a part of that by construction, without asking the others. The sum over all
-gateways is worked out in docs/design.md.
+Within a time window, all gateways together may send an engine at most `overload_multiple` times the work that
+its present capacity does in that time. Each gateway has a fixed part of this budget, so that the gateways
+need not communicate. docs/design.md derives the sum over all gateways.
 """
 
 from __future__ import annotations
@@ -13,20 +13,25 @@
 from vanerelay.interface import FleetPosition, SlowStartTerms
 
 BUSY_CORES = 0.85
-"""Part of the cores that are busy at capacity."""
+"""The part of the cores that is busy when an engine works at its capacity."""
 
 BUDGET_CAUTION = 0.7
-"""Part of the budget that is used, as real costs differ from those expected."""
+"""The part of the budget that is used, as the actual work of queries differs from the expected work."""
 
 AFTER_RESTART = 0.5
-"""Part of our budget in our first window: a predecessor under our name may have sent the rest."""
+"""The part of its budget that a gateway uses in the first window after its start. Its predecessor at the same
+position may have sent the rest shortly before."""
 
 
 class SlowStart:
-    """This gateway's part of one engine's slow start.
+    """This gateway's part in the slow start of one engine.
 
-    A gateway's even part of the budget might let no large query through. So only as many gateways send as the
-    budget holds large queries for; which ones follows from the engine's name, the same at all gateways.
+    If the budget were divided among all gateways, a part might be too small for a single large query. So only
+    as many gateways send to the engine as the budget has room for large queries. All gateways derive from the
+    engine's name which ones these are.
+
+    Attributes:
+        engine_started_at: When the engine started, in ticks.
     """
 
     def __init__(
@@ -43,48 +48,54 @@
         self._position = position
         self._gateway_started_at = gateway_started_at
         self._sent = SlidingSums(max(1, terms.overload_window), 1)
-        self.began = -terms.ramp_duration - terms.overload_window
+        self.engine_started_at = -terms.ramp_duration - terms.overload_window
         budget = terms.overload_multiple * max(1, cores) * BUSY_CORES * terms.overload_window * BUDGET_CAUTION
         large_queries = int(budget * terms.initial_share / max(1.0, large_query))
-        self._sharers = max(1, min(position.gateway_count, large_queries))
-        self._budget = budget / self._sharers
+        self._sender_count = max(1, min(position.gateway_count, large_queries))
+        self._budget = budget / self._sender_count
 
     @cached_property
     def is_sender(self) -> bool:
-        """Whether this gateway sends to the engine while it warms up. Costs a hash for each gateway."""
+        """Whether this gateway sends queries during the slow start. Computes one hash for each gateway."""
         rank = rank_among(self._engine_name, self._position.index, self._position.gateway_count)
-        return rank < self._sharers
+        return rank < self._sender_count
 
     def engine_started(self, at: int) -> bool:
-        """The engine's start was reported; whether that is a later start than the one known."""
-        if at <= self.began:
+        """Records a reported start of the engine. Returns True if it is later than the known one."""
+        if at <= self.engine_started_at:
             return False
-        self.began = at
+        self.engine_started_at = at
         return True
 
     def ramp_share(self, now: int) -> float:
-        """The part of its capacity that the engine has by now."""
+        """Returns the part of its full capacity that the engine has now, from `initial_share` to 1."""
         initial = self._terms.initial_share
-        age = max(0.0, (now - self.began) / max(1, self._terms.ramp_duration))
+        age = max(0.0, (now - self.engine_started_at) / max(1, self._terms.ramp_duration))
         return min(1.0, initial + (1.0 - initial) * age)
 
     def is_warmed_up(self, now: int) -> bool:
-        """Whether the rule no longer applies; always where no window is stated."""
+        """Returns True if the rule no longer applies to the engine, or if the settings state no window."""
         window = self._terms.overload_window
-        return not window or now - self.began >= self._terms.ramp_duration + window
+        return not window or now - self.engine_started_at >= self._terms.ramp_duration + window
 
     def allows(self, now: int, work: float, own_share: float = 1.0) -> bool:
-        """Whether so much more work may be sent now. `own_share`: the part not left to proxies."""
+        """Returns True if this much additional work may be sent now.
+
+        Args:
+            now: The current time.
+            work: The additional work, in ticks of one thread.
+            own_share: The part of this gateway's budget that is not left to proxies.
+        """
         window = self._terms.overload_window
-        budget = own_share * self._budget * self.ramp_share(max(self.began, now - window))
-        if self.began < self._gateway_started_at and now < self._gateway_started_at + window:
+        budget = own_share * self._budget * self.ramp_share(max(self.engine_started_at, now - window))
+        if self.engine_started_at < self._gateway_started_at and now < self._gateway_started_at + window:
             budget *= AFTER_RESTART
         return self.is_warmed_up(now) or (self.is_sender and self.sent_work(now) + work <= budget)
 
     def record_sent(self, now: int, work: float) -> None:
-        """Work was sent to the engine."""
+        """Records work that was sent to the engine."""
         self._sent.add(now, work)
 
     def sent_work(self, now: int) -> float:
-        """The work sent within the window."""
+        """Returns the work that this gateway sent to the engine within the window."""
         return self._sent.total(now, 0)
--- a/vanerelay/query_table.py
+++ b/vanerelay/query_table.py
@@ -1,4 +1,4 @@
-"""What a gateway process remembers of the queries it holds and of the engines' names, on either wire."""
+"""Tables that map indices to queries and engine names, for the sockets and for the simulator's adapter."""
 
 from __future__ import annotations
 
@@ -7,15 +7,17 @@
 from vanerelay.policy.query import Query
 
 NO_INDEX = -1
-"""The index of a query that is in no table."""
+"""The index of a query that is not in a table."""
 
 
 class HeldQuery:
-    """A query as its wire names it.
+    """A query that this process holds.
 
     Attributes:
-        handle: What the decisions gave back for it; None until it was submitted.
-        in_flight: The number of its attempts in flight.
+        name: The identifier of the query in the protocol on which it arrived.
+        index: The index of the query in its `QueryTable`.
+        handle: The query that the policy returned when it was submitted; None before.
+        in_flight: The number of attempts in flight.
         ended: Whether the final answer was given or the client has left.
     """
 
@@ -33,7 +35,7 @@
 
 
 class QueryTable(Generic[H]):
-    """All queries held, by a small index that is reused once nothing more can come for its query."""
+    """All held queries by index. An index is reused once no event can arrive for its query any more."""
 
     def __init__(self) -> None:
         self._held: list[H | None] = []
@@ -43,7 +45,7 @@
         return len(self._held) - len(self._free)
 
     def add(self, held: H) -> H:
-        """Takes in a query and gives it an index."""
+        """Adds a query and assigns it an index."""
         if self._free:
             held.index = self._free.pop()
             self._held[held.index] = held
@@ -53,17 +55,17 @@
         return held
 
     def get(self, index: int) -> H:
-        """The query of an index."""
+        """Returns the query with this index."""
         held = self._held[index]
-        assert held is not None, "the decisions named a query that nothing can come for any more"
+        assert held is not None, "the policy used the index of a query that was removed from the table"
         return held
 
     def all(self) -> list[H]:
-        """All queries held, by index."""
+        """Returns all held queries in the order of their indices."""
         return [held for held in self._held if held is not None]
 
     def remove_if_done(self, held: H) -> bool:
-        """Removes a query that has ended and has no attempt in flight; whether it did."""
+        """Removes a query if it has ended and has no attempt in flight. Returns True if it was removed."""
         if not held.ended or held.in_flight > 0 or held.index == NO_INDEX:
             return False
         self._held[held.index] = None
@@ -73,7 +75,7 @@
 
 
 class EngineNames:
-    """Small indices for the names of engines, in the order met; none is ever reused for another engine."""
+    """Assigns indices to engine names, in the order of their first use. An index is never reused."""
 
     def __init__(self) -> None:
         self._indices: dict[str, int] = {}
@@ -84,11 +86,11 @@
         return name in self._indices
 
     def all(self) -> set[int]:
-        """The indices of all engines known."""
+        """Returns the indices of all known engines."""
         return set(self._names)
 
     def index(self, name: str) -> int:
-        """The index of a name, a new one where it was not met before."""
+        """Returns the index of a name, and assigns one if the name is new."""
         index = self._indices.setdefault(name, self._next)
         if index == self._next:
             self._names[index] = name
@@ -96,9 +98,9 @@
         return index
 
     def name(self, index: int) -> str:
-        """The name of an index."""
+        """Returns the name of the engine with this index."""
         return self._names[index]
 
     def forget(self, index: int) -> None:
-        """Forgets an engine that is gone: should it come back, it gets another index."""
+        """Removes an engine that is gone. If it is listed again, it gets a new index."""
         del self._indices[self._names.pop(index)]
