--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -43,13 +43,13 @@
     return {"verb": "census", "page": page, "items": items}
 
 
-def query_arrival(request, manager=0, limit=T0 + 5_000_000):
+def query_arrival(request, manager=0, deadline=T0 + 5_000_000):
     return event(
         "ingress",
         manager,
         requestId=request,
         lane=0,
-        clientDeadlineUs=limit,
+        clientDeadlineUs=deadline,
         guessUs=200000,
         memMb=400,
         tableGroup=1,
@@ -172,7 +172,7 @@
 def test_query_rejected_from_the_admission_queue_is_released():
     """No further event arrives for such a query. If it were still held, it and its index would leak."""
     host = Host()
-    orders = handle(host, engine_page(0), *gateway_start(), query_arrival("r-1", limit=T0 + 100_000))
+    orders = handle(host, engine_page(0), *gateway_start(), query_arrival("r-1", deadline=T0 + 100_000))
     while not any(order["verb"] == "bounce" for order in orders):
         wait, key = next(
             (timer["waitUs"], timer["keyBack"]) for timer in orders if timer["verb"] == "setTimer"
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -22,7 +22,7 @@
 from vanerelay.net.events import BURST, MAX_REASONS, EventLog, LogEventKind
 
 NOW = 1000 * SECOND
-LIMIT = NOW + 20 * SECOND
+DEADLINE = NOW + 20 * SECOND
 
 
 def guard_of(budget=RetryBudgetTerms(0, 0, 0.0), may_hedge=False, max_attempts=3, **class_fields):  # noqa: B008
@@ -48,7 +48,7 @@
 
 def test_retries_within_all_rules_cause_no_violation():
     guard = guard_of()
-    record = guard.query_submitted(NOW, 0, LIMIT, True)
+    record = guard.query_submitted(NOW, 0, DEADLINE, True)
     for number, outcome in enumerate([Outcome.FAILED, Outcome.RESET, Outcome.COMPLETED]):
         attempt(guard, record, number, outcome, engine=number)
     assert guard.may_answer(record) and guard.may_close(0) and guard.violations() == {}
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE])
 def test_attempt_is_refused_at_an_engine_that_drains_or_is_gone(state):
     guard = guard_of()
-    record = guard.query_submitted(NOW, 0, LIMIT, True)
+    record = guard.query_submitted(NOW, 0, DEADLINE, True)
     guard.engine_listed(entry(1, state=state))
     assert guard.begin_attempt(NOW, record, 0, 1) is Invariant.DRAIN
     assert guard.begin_attempt(NOW, record, 0, 9) is Invariant.DRAIN  # never listed
@@ -71,8 +71,8 @@
 
 def test_retry_is_refused_when_the_budget_is_spent():
     guard = guard_of(RetryBudgetTerms(10 * SECOND, 1, 0.1), max_attempts=99)
-    records = [guard.query_submitted(NOW, 0, LIMIT, True) for _ in range(20)]
-    without_credit = guard.query_submitted(NOW, 0, LIMIT, False)
+    records = [guard.query_submitted(NOW, 0, DEADLINE, True) for _ in range(20)]
+    without_credit = guard.query_submitted(NOW, 0, DEADLINE, False)
     results = []
     for record in [*records, without_credit]:
         attempt(guard, record, 0, Outcome.FAILED)
@@ -105,15 +105,15 @@
     semantics, scope, outcome, delay, engine, expected
 ):
     guard = guard_of(idempotency=semantics, deduplication_scope=scope, deduplication_window=5 * SECOND)
-    record = guard.query_submitted(NOW, 0, LIMIT, True)
+    record = guard.query_submitted(NOW, 0, DEADLINE, True)
     attempt(guard, record, 0, outcome)
     assert guard.begin_attempt(NOW + delay, record, 1, engine) is expected
 
 
 def test_attempt_is_refused_after_the_deadline_or_answer_while_another_runs_or_past_the_limit():
     guard = guard_of()
-    record = guard.query_submitted(NOW, 0, LIMIT, True)
-    assert guard.begin_attempt(LIMIT, record, 0, 0) is Invariant.DEADLINE
+    record = guard.query_submitted(NOW, 0, DEADLINE, True)
+    assert guard.begin_attempt(DEADLINE, record, 0, 0) is Invariant.DEADLINE
     assert (
         guard.begin_attempt(NOW, record, 0, 0) is None
         and guard.begin_attempt(NOW, record, 1, 1) is Invariant.COPY
@@ -140,13 +140,13 @@
 def test_attempt_is_refused_at_an_engine_in_slow_start_when_its_budget_is_spent():
     guard = guard_of(max_attempts=99)
     guard.engine_listed(entry(1, started_at=NOW - 1))
-    answered = guard.query_submitted(NOW, 0, LIMIT, True)
+    answered = guard.query_submitted(NOW, 0, DEADLINE, True)
     for _ in range(MIN_ANSWERS):
         guard.attempt_ended(answered, 0, Outcome.COMPLETED, SECOND)
     allowed = (
         SLOW_START.overload_multiple * SLOW_START.initial_share * 16 * SLOW_START.overload_window / SECOND
     )
-    results = [guard.begin_attempt(NOW, guard.query_submitted(NOW, 0, LIMIT, True), 0, 1) for _ in range(60)]
+    results = [guard.begin_attempt(NOW, guard.query_submitted(NOW, 0, DEADLINE, True), 0, 1) for _ in range(60)]
     assert allowed < results.count(None) <= allowed + 3 * allowed**0.5 + 3 and results[-1] is Invariant.COLD
     assert guard.begin_attempt(NOW, answered, 0, 0) is None  # engine 0 is not in slow start
     after = NOW + SLOW_START.ramp_duration + SLOW_START.overload_window
@@ -158,7 +158,7 @@
     """Old buckets are dropped when queries are counted, not only when retries are checked."""
     guard = guard_of(RetryBudgetTerms(span, 1, 0.1))
     for number in range(5_000):
-        guard.query_submitted(NOW + number * BUCKET_WIDTH, 0, LIMIT, True)
+        guard.query_submitted(NOW + number * BUCKET_WIDTH, 0, DEADLINE, True)
     assert guard.bucket_count() <= 10 * SECOND // BUCKET_WIDTH + 2
 
 
--- a/vanerelay/adapter/wire.py
+++ b/vanerelay/adapter/wire.py
@@ -46,9 +46,9 @@
 LIST_FORMS = ("delta", "full", "cached")
 
 HAS_COST_ESTIMATE = 1
-"""The flag in a query's bits that its cost estimate is valid."""
+"""The flag in the `bits` of a query for a valid cost estimate."""
 IS_RETRY = 2
-"""The flag in a query's bits that its client sent it before."""
+"""The flag in the `bits` of a query for a retry by its client."""
 
 COST_SHIFT = 12
 """The number of low bits in a reported cost that hold the peak memory; the bits above hold the work."""
@@ -150,10 +150,10 @@
 
 def attempt_result(event: Event, report_names: dict[str, str]) -> AttemptResult:
     """Returns the result of an attempt."""
-    attempt_outcome = outcome(event)
+    result_outcome = outcome(event)
     work, memory = decode_cost(int(event.get("note") or 0))
     report = settings.load_report(report_names, telemetry(event))
-    return AttemptResult(attempt_outcome, ticks_floor(event.get("durationUs", 0)), work, memory, report)
+    return AttemptResult(result_outcome, ticks_floor(event.get("durationUs", 0)), work, memory, report)
 
 
 def decode_cost(note: int) -> tuple[int, float]:
--- a/vanerelay/invariants.py
+++ b/vanerelay/invariants.py
@@ -1,8 +1,8 @@
 """The run-time guard of the invariants. It can refuse attempts, answers and closes of client connections.
 
 The guard keeps its own records of queries, attempts and engines and shares no state with the policy, so that
-an error in the policy is counted here and has no effect outside. It reads no clock: the caller passes the
-time, in ticks.
+an error in the policy is counted here and does not reach engines or clients. It reads no clock: the caller
+passes the time, in ticks.
 """
 
 from __future__ import annotations
--- a/vanerelay/policy/capacity_slice.py
+++ b/vanerelay/policy/capacity_slice.py
@@ -29,7 +29,7 @@
 OFFERED_SPAN = 3 * SECOND
 """The time span, in ticks, over which the arriving work is summed to determine how much to borrow."""
 
-THREADS_IN_USE = 2.0
+FULL_BORROWING_DIVISOR = 2.0
 """The divisor of the fleet's threads: a gateway borrows all that it can once its work fills half of them."""
 
 DEMAND_BYTES = 4
@@ -74,7 +74,7 @@
     def update_borrowable(self, now: int, fleet_cores: float) -> None:
         """Updates `borrowable` from the recently arrived work, relative to the cores of all engines."""
         offered = self._offered.total(now, 0) / OFFERED_SPAN
-        wanted = min(1.0, offered / (fleet_cores * THREADS_PER_CORE / THREADS_IN_USE))
+        wanted = min(1.0, offered / (fleet_cores * THREADS_PER_CORE / FULL_BORROWING_DIVISOR))
         self.borrowable = 0.0 if self._gossips else wanted
 
     def is_gossip_due(self, now: int) -> bool:
@@ -85,7 +85,7 @@
         """Updates this gateway's slice by the known demands, and returns the gossip message for the peers.
 
         A peer that never reported is assumed to have the same demand as this gateway. After a stall of this
-        gateway no peer counts as absent, as its messages may just not have been read.
+        gateway no peer counts as absent, as the messages of the peers may not have been read yet.
 
         Args:
             now: The current time.
--- a/vanerelay/policy/engine.py
+++ b/vanerelay/policy/engine.py
@@ -20,9 +20,9 @@
 
 REPORT_DECAY = 2 * SECOND
 """The time, in ticks, in which a load report's weight falls to about a third, and for which a rejection by
-the engine counts. A rejection has to count as well because load reports arrive seconds late."""
+the engine counts. The value allows for load reports that arrive seconds late."""
 
-POLLED_TRUST = 0.5
+POLLED_REPORT_WEIGHT = 0.5
 """The weight of a load report that was polled for. All gateways that poll an idle engine see the same value,
 and at full weight they would all send their queries to it."""
 
@@ -49,7 +49,7 @@
         self.probed_at = NEVER
         self.reported_share = 1.0
         self._reported_at = NEVER
-        self._report_trust = POLLED_TRUST if polls_load else 1.0
+        self._report_weight = POLLED_REPORT_WEIGHT if polls_load else 1.0
         self._refused_at = NEVER
         self._proxy_share = 0.0
         self._proxy_reported_at = NEVER
@@ -106,7 +106,7 @@
         use of a typical engine.
         """
         decay = math.exp((self._reported_at - now) / REPORT_DECAY)
-        reported = typical_load + (self.reported_share - typical_load) * self._report_trust * decay
+        reported = typical_load + (self.reported_share - typical_load) * self._report_weight * decay
         proxied = self._proxy_share if now - self._proxy_reported_at < PROXY_REPORT_LIFETIME else 0.0
         return max(reported, proxied, 1.0 if self.is_refusing(now) else 0.0)
 
@@ -125,7 +125,8 @@
             now: The current time.
             typical_load: The part that others use of a typical engine.
             own_slice: This gateway's slice of every engine.
-            borrowable: The part that this gateway's traffic could use of an engine without any slowdown.
+            borrowable: The part of an engine that this gateway would borrow for its traffic. The more slowly
+                queries run on the engine, the less of this part is borrowed.
         """
         unheld = LENT_SHARE * (1.0 - own_slice) - self.held_by_others(now, typical_load)
         lent = max(unheld, borrowable * self.health.spare_capacity())
--- a/vanerelay/policy/engine_registry.py
+++ b/vanerelay/policy/engine_registry.py
@@ -82,8 +82,8 @@
     def candidates(self, now: int, constraints: PlacementConstraints) -> Iterator[Engine]:
         """Yields the engines that a query may be sent to, in order of preference.
 
-        Yields until enough healthy engines are found; unhealthy ones that precede them are included. The
-        number is at least that of the running queries, as a busy gateway needs more engines. Engines of
+        Ends when enough healthy engines were found; unhealthy ones that precede them are included. At least
+        one healthy engine for each running query is wanted, as a busy gateway needs more engines. Engines of
         weight 0 are left out, as they get no new queries.
         """
         wanted = max(
@@ -147,7 +147,7 @@
             engine.health.record_activity(now)
         unchanged_placement = PlacementConstraints((entry.zone,), (entry.machine_kind,), entry.cell)
         if not unchanged_placement.allow(engine.entry):
-            self._set_listed(engine, False)  # `order` keeps lists by placement constraints
+            self._set_listed(engine, False)  # takes it from the lists of `order` that it no longer matches
         engine.entry = entry
         self._set_listed(engine, entry.state is EngineState.UP)
 
@@ -156,7 +156,7 @@
         kind = UNKNOWN_KIND
         if entry.machine_kind < len(settings.machine_kinds):
             kind = settings.machine_kinds[entry.machine_kind]
-        largest = max(group.latency_objective * group.threads for group in settings.service_classes)
+        largest = max(row.latency_objective * row.threads for row in settings.service_classes)
         slow_start = SlowStart(
             settings.slow_start,
             entry.name,
--- a/vanerelay/query_table.py
+++ b/vanerelay/query_table.py
@@ -16,7 +16,7 @@
     Attributes:
         name: The identifier of the query in the protocol on which it arrived.
         index: The index of the query in its `QueryTable`.
-        handle: The query that the policy returned when it was submitted; None before.
+        handle: The query that the policy returned when it was submitted; None until then.
         in_flight: The number of attempts in flight.
         ended: Whether the final answer was given or the client has left.
     """
