--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -146,7 +146,9 @@
     allowed = (
         SLOW_START.overload_multiple * SLOW_START.initial_share * 16 * SLOW_START.overload_window / SECOND
     )
-    results = [guard.begin_attempt(NOW, guard.query_submitted(NOW, 0, DEADLINE, True), 0, 1) for _ in range(60)]
+    results = [
+        guard.begin_attempt(NOW, guard.query_submitted(NOW, 0, DEADLINE, True), 0, 1) for _ in range(60)
+    ]
     assert allowed < results.count(None) <= allowed + 3 * allowed**0.5 + 3 and results[-1] is Invariant.COLD
     assert guard.begin_attempt(NOW, answered, 0, 0) is None  # engine 0 is not in slow start
     after = NOW + SLOW_START.ramp_duration + SLOW_START.overload_window
