--- a/vanerelay/attempt_outcome.py
+++ b/vanerelay/attempt_outcome.py
@@ -13,7 +13,7 @@
 
     NOT_CONNECTED = "not connected"
     PARTLY_WRITTEN = "partly written"
-    """It is certain that the last byte was not sent, so that no engine received the whole request."""
+    """The last byte was certainly not sent, so that no engine received the whole request."""
     WRITTEN = "written whole"
     """The request was written, or it is not certain that it was not."""
     PARTIAL_ANSWER = "answered, pages missing"
--- a/vanerelay/policy/engine_registry.py
+++ b/vanerelay/policy/engine_registry.py
@@ -23,11 +23,11 @@
 from vanerelay.policy.slow_start import SlowStart
 
 MIN_CANDIDATES = 8
-"""The number of healthy engines to which a gateway limits its queries, if its traffic needs no more. With few
-engines, the load reports of each stay fresh, and the work per query does not grow with the fleet."""
+"""The least number of healthy engines among which a gateway chooses. It is small so that the load reports of
+each engine stay fresh, and the work per query does not grow with the fleet."""
 
 GATEWAYS_PER_ENGINE = 4
-"""The number of gateways that use each engine, if that makes more than `MIN_CANDIDATES` for a gateway."""
+"""The number of gateways that use each engine, if that gives each gateway more than `MIN_CANDIDATES`."""
 
 TRIALS_PER_SECOND = 3
 """Trial queries per second at an ejected engine, from all gateways that use it together."""
