--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -280,7 +280,7 @@
         ejected = harness.engine(0)
         ejected.health.is_lost = True
         ejected.health.level = 0.0
-        ejected.health.tried_at = harness.now
+        ejected.health.last_attempt_at = harness.now
         harness.gateway._monitor.watch(ejected)
         for _ in range(200):
             harness.advance(500)
@@ -328,8 +328,8 @@
         engines_used[class_index][count % 4 // 2].add(query.attempts[0].engine.entry.index)
         harness.end_attempt(query, Outcome.COMPLETED)
     assert all(len(engines_used[0][tables] & engines_used[1][tables]) <= 1 for tables in (0, 1))
-    # The pace of such queries is not observed, as they may be idle
-    assert not any(engine.health.has_pace for engine in harness.engines())
+    # The slowdown of such queries is not observed, as they may be idle
+    assert not any(engine.health.has_slowdown for engine in harness.engines())
 
 
 def test_admission_queue_admits_in_order_of_arrival_and_reserves_nothing():
--- a/vanerelay/policy/attempt_supervisor.py
+++ b/vanerelay/policy/attempt_supervisor.py
@@ -42,7 +42,7 @@
     def progress_reported(self, query: Query, number: int, kind: ProgressKind, value: float) -> None:
         """Handles a progress report of an engine about a running attempt."""
         now, attempt = self._transport.now, query.attempts[number]
-        attempt.engine.health.heard(now)
+        attempt.engine.health.record_activity(now)
         attempt.last_report_at = now
         attempt.is_waiting = kind is ProgressKind.WAITING
         if attempt.is_waiting and value == WAITING_FOR_MEMORY:
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -176,7 +176,7 @@
             return False
 
         # Choose an engine
-        engine = self._placement.choose(now, admission.engines, query, self._monitor.usual_load)
+        engine = self._placement.choose(now, admission.engines, query, self._monitor.typical_load)
 
         # Send the attempt
         self._transport.grant_memory(arrival.index, round(admission.grant.size), self._priority(query))
@@ -228,11 +228,11 @@
         """
         if now >= query.repeatable_until():
             return False
-        if not engine.slow_start.allows(now, work, self._capacity.unproxied):
+        if not engine.slow_start.allows(now, work, self._capacity.unproxied_share):
             return False
         if not engine.health.is_ejected:
             return True
-        return query.is_low_value and self._engines.may_try(now, engine)
+        return query.is_low_value and self._engines.may_send_trial(now, engine)
 
     def _priority(self, query: Query) -> int:
         """Returns the priority of an attempt: higher for light queries, if engines accept priorities.
@@ -339,7 +339,7 @@
 
     def set_proxy_share(self, share: float) -> None:
         """Leaves a part of this gateway's slice, and of its slow start budgets, to proxies."""
-        self._capacity.unproxied = 1.0 - share
+        self._capacity.unproxied_share = 1.0 - share
 
     def update_proxy_load(self, engine: int, running: float, ended: float, errors: float) -> None:
         """Handles a report of proxies about an engine, which is ignored if the engine is not known.
@@ -372,7 +372,7 @@
         """Reviews the engines, the attempts in flight, the admission queue and this gateway's slice."""
         is_stalled, is_slow_review = self._periodic_work.is_stalled, self._periodic_work.is_slow_review_due
         if is_slow_review:
-            self._monitor.update_baselines(now, self._engines.baseline())
+            self._monitor.update_baselines(now, self._engines.baseline_engines())
         self._monitor.review(now, is_stalled)
         if not is_stalled:
             self._supervisor.cancel_silent(now)
--- a/vanerelay/policy/memory_admission.py
+++ b/vanerelay/policy/memory_admission.py
@@ -79,7 +79,7 @@
         An engine can admit it if the query fits into this gateway's part of the engine. While this gateway's
         slice of the pool of all engines is not used up, an engine on which it runs nothing can admit it too.
         """
-        typical_load, borrowable = self._monitor.usual_load, self._capacity.borrowable
+        typical_load, borrowable = self._monitor.typical_load, self._capacity.borrowable
         own_slice, pool = self._capacity.own_slice, self._engines.pool
         is_pool_free = not pool.running or pool.fits(grant.reserved, query.threads, own_slice)
         shares = [engine.fillable_share(now, typical_load, own_slice, borrowable) for engine in engines]
--- a/vanerelay/policy/report_dispatcher.py
+++ b/vanerelay/policy/report_dispatcher.py
@@ -12,7 +12,7 @@
 from vanerelay.policy.runtime_estimator import RuntimeEstimator
 
 PROGRESS_WEIGHT = 0.5
-"""Weight of a progress report as an observation of an engine's pace; that of an answer is 1."""
+"""Weight of a progress report as an observation of an engine's slowdown; that of an answer is 1."""
 
 
 class ReportDispatcher:
