--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -318,12 +318,12 @@
     told = json.loads(node.config.read_text())
     node.config.write_text(json.dumps({**told, "feed": dead}))
     node.process.send_signal(signal.SIGHUP)
-    until(lambda: "discovery fails" in node.log.read_text(), "the failure")
+    until(lambda: "discovery poll failed" in node.log.read_text(), "the failure")
     node.feed.wait_for_poll(node.feed.publish(member(one, "s-1", "DELETED"), member(two, "s-2")))
     client = joined(node)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0) and two.served() == ["a1"]
-    assert node.log.read_text().count("discovery fails") == 1
+    assert node.log.read_text().count("discovery poll failed") == 1
 
 
 def test_several_signals_to_end_that_come_in_one_pass_are_one(started):
@@ -382,7 +382,7 @@
     feed.raw_answers.extend([down] * 100_000)
     node = started(member(one, "s-1"), feed=feed, sockets=48)
     idle = [node.client() for _ in range(60)]
-    until(lambda: "discovery fails" in node.log.read_text(), "the failure")
+    until(lambda: "discovery poll failed" in node.log.read_text(), "the failure")
     feed.raw_answers.clear()
     feed.wait_for_poll(feed.publish(member(one, "s-1", "DELETED"), member(two, "s-2")))
     for rests in idle:  # turned away, or ended for their silence
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -78,7 +78,7 @@
         settings = ConnectionSettings(most, may_cancel, may_copy, 0.25, 30.0, 0.6)
         self.engines = EnginePool(self.reactor, Pool(), settings, connections, lambda call: call())
         for number in range(1 + others):  # so many have a part in the connections
-            self.engines.listed(number, f"127.0.0.1:{9 + number}", 0, False)
+            self.engines.update_engine(number, f"127.0.0.1:{9 + number}", 0, False)
 
     def send(self, name, time_out=5.0, used=None):
         attempt = Attempt(name.encode(), QueryCommand(b"look", 5000, b"S"), [] if used is None else used)
@@ -113,7 +113,7 @@
     assert len(fleet.reactor.tcpClients) == 1  # both wait for one
     fleet.fail(why)
     assert fleet.ends == [("a", cause, AttemptStage.NOT_CONNECTED), ("b", cause, AttemptStage.NOT_CONNECTED)]
-    assert fleet.engines.connections() == 0
+    assert fleet.engines.connection_count() == 0
 
 
 @pytest.mark.parametrize(
@@ -329,7 +329,7 @@
     assert not wire.disconnecting
     fleet.reactor.advance(29.8)
     fleet.engines.sweep()
-    assert wire.disconnecting and fleet.engines.connections() == 0
+    assert wire.disconnecting and fleet.engines.connection_count() == 0
 
 
 @pytest.mark.parametrize(("address", "started"), [("127.0.0.1:9", 5), ("127.0.0.1:99", 0)])
@@ -338,7 +338,7 @@
     fleet.send("a")
     wire = fleet.connect()
     wire.leave()
-    fleet.engines.listed(0, address, started, False)
+    fleet.engines.update_engine(0, address, started, False)
     assert wire.aborted and fleet.ends == [("a", EndCause.CONNECTION_LOST, AttemptStage.WRITTEN)]
     fleet.send("b")
     host, port = fleet.reactor.tcpClients[1][:2]
@@ -349,7 +349,7 @@
     fleet = Fleet()
     fleet.send("a")
     fleet.connect()
-    fleet.engines.only(set())
+    fleet.engines.retain_engines(set())
     fleet.engines.sweep()
     fleet.say(command(b"a", b"OK", b"total=1", b"a\tb\tc\n"))
     assert fleet.ends == [("a", EndCause.OK, AttemptStage.COMPLETE_ANSWER)]
--- a/vanerelay/net/attempt.py
+++ b/vanerelay/net/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a query, or one command, on its way to an engine."""
+"""One attempt of a query, or one command, that is sent to an engine."""
 
 from __future__ import annotations
 
@@ -8,51 +8,56 @@
 from twisted.internet.defer import Deferred
 
 from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
-from vanerelay.net.resp_codec import Note, QueryCommand
+from vanerelay.net.resp_codec import ProgressNote, QueryCommand
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt goes over, as the attempt sees it."""
+    """The connection that an attempt is sent on, as the attempt uses it."""
 
     def give_up(self, attempt: Attempt, cause: EndCause) -> None:
-        """Ends the attempt, and cancels or abandons what its engine has of it."""
+        """Ends the attempt, and cancels or abandons it at its engine."""
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Ends the attempt if it has not been written."""
+        """Ends the attempt if it was not written."""
 
 
-def _no_listener(_: Note) -> None:
-    """Takes the progress of an attempt that nobody watches."""
+def _ignore_progress(_: ProgressNote) -> None:
+    """Ignores the progress of an attempt."""
 
 
-def _always() -> bool:
+def _always_allowed() -> bool:
     return True
 
 
 class Attempt:
-    """One attempt on its way.
+    """One attempt of a query, or one command, from its creation until its end.
 
     Attributes:
-        ident: What the engine answers under.
+        ident: The identifier that the engine's answers carry.
         query: The query; None for a command.
-        arguments: The whole command, where it is no query.
-        used_connections: The connections that the query's attempts went over; each takes one of them only.
-        done: Fires once, with the end of the attempt; it never fails.
-        noted: Told of the engine's progress.
-        may_begin: Asked once, when the attempt is about to be written, maybe long after it was planned.
-        connection: Its connection, from when it has one until its end is known.
-        begun: Whether it has a connection, or waits for one.
+        used_connections: The connections that attempts of the same query were sent on. Each is used for one
+            attempt of the query only.
+        arguments: The complete command, where it is not a query.
+        done: Fires once with the end of the attempt; never fails.
+        on_progress: Called with each progress note of the engine.
+        may_begin: Called once, right before the attempt is written, which may be long after it was planned;
+            returns False if it must not begin any more.
+        connection: The connection of the attempt, until its end is known or it was given up.
+        timer: The timer of its timeout.
+        sent_at: When it was written, in seconds of the reactor; 0 before.
+        is_assigned: Whether it was handed to a connection.
+        ended: Whether it has ended.
     """
 
     __slots__ = (
         "arguments",
-        "begun",
         "connection",
         "done",
+        "ended",
         "ident",
+        "is_assigned",
         "may_begin",
-        "noted",
-        "over",
+        "on_progress",
         "query",
         "sent_at",
         "timer",
@@ -71,34 +76,34 @@
         self.used_connections = used_connections
         self.arguments = arguments
         self.done: Deferred[AttemptEnd] = Deferred()
-        self.noted: Callable[[Note], None] = _no_listener
-        self.may_begin: Callable[[], bool] = _always
+        self.on_progress: Callable[[ProgressNote], None] = _ignore_progress
+        self.may_begin: Callable[[], bool] = _always_allowed
         self.connection: AttemptConnection | None = None
         self.timer: Any = None
         self.sent_at = 0.0
-        self.begun = False
-        self.over = False
+        self.is_assigned = False
+        self.ended = False
 
     def end(self, end: AttemptEnd) -> None:
-        """Ends the attempt, if it has not ended before."""
-        if self.over:
+        """Ends the attempt, unless it has ended."""
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = self.connection = None
         self.done.callback(end)
 
     def give_up(self, cause: EndCause) -> None:
-        """Nobody waits for its answer any more, or its time is over."""
+        """Ends the attempt because its answer is no longer wanted or its timeout has passed."""
         if self.connection is not None:
             self.connection.give_up(self, cause)
-        elif not self.begun:
+        elif not self.is_assigned:
             self.end(AttemptEnd(cause, AttemptStage.NOT_CONNECTED))
 
     def withdraw(self) -> None:
-        """Does not begin it, where it has not been begun: nobody waits for it."""
+        """Ends the attempt if it was not written, as its answer is no longer wanted."""
         if self.connection is not None:
             self.connection.withdraw(self)
-        elif not self.begun:
+        elif not self.is_assigned:
             self.end(AttemptEnd(EndCause.CANCELLED, AttemptStage.NOT_CONNECTED))
--- a/vanerelay/net/attempt_results.py
+++ b/vanerelay/net/attempt_results.py
@@ -1,4 +1,4 @@
-"""What engines answer: the results and the progress of attempts, handed to clients and to the decisions."""
+"""The results and the progress of attempts, passed on to clients and to the decisions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from vanerelay.net.extensions import Extensions, guarded
 from vanerelay.net.held_queries import ClientQuery, OpenQueries
 from vanerelay.net.query_answers import QueryAnswers
-from vanerelay.net.resp_codec import Note
+from vanerelay.net.resp_codec import ProgressNote
 from vanerelay.net.service_settings import SettingsInForce
 from vanerelay.net.statements import writes
 
@@ -26,7 +26,7 @@
 
 
 class AttemptResults:
-    """Takes in what becomes of attempts."""
+    """Handles the progress and the ends of attempts."""
 
     def __init__(
         self,
@@ -49,11 +49,19 @@
         self._extensions = extensions
 
     def ended(self, end: AttemptEnd, query: ClientQuery, number: int, sent_at: int, engine: int) -> None:
-        """An attempt has ended: its answer goes to the client, its result to the decisions."""
+        """Handles the end of an attempt: passes its answer to the client and its result to the decisions.
+
+        Args:
+            end: The end of the attempt.
+            query: The query of the attempt.
+            number: The number of the attempt within its query.
+            sent_at: When the attempt was planned, in ticks.
+            engine: The index of the engine.
+        """
         query.in_flight -= 1
         query.attempts[number] = None
         query.last_end = f"{end.cause.value}, {end.stage.value}"
-        outcome, fields = self._judge(end, query, engine)
+        outcome, fields = self._determine_outcome(end, query, engine)
         work = load_reports.work(end.fields)
         if query.guard_record is not None:
             self._guard.attempt_ended(query.guard_record, number, outcome, work)
@@ -75,13 +83,18 @@
         self._queries.settle(query)
         self._deadlines.check(self._queries.open_count)
 
-    def progressed(self, query: ClientQuery, number: int, note: Note) -> None:
-        """An engine notes how far it has come with an attempt."""
+    def progressed(self, query: ClientQuery, number: int, note: ProgressNote) -> None:
+        """Passes a progress note of an engine to the decisions."""
         if query.handle is not None:
             self._decisions.call(query, query.handle.attempt_progressed, number, note.kind, note.value)
 
-    def _judge(self, end: AttemptEnd, query: ClientQuery, engine: int) -> tuple[Outcome, Mapping[str, str]]:
-        """The outcome of an attempt, as its query's constraint sees it, and what goes with an answer."""
+    def _determine_outcome(
+        self, end: AttemptEnd, query: ClientQuery, engine: int
+    ) -> tuple[Outcome, Mapping[str, str]]:
+        """Returns the outcome of an attempt, and the fields to send with its answer.
+
+        An answer that the constraint of the query does not accept counts as malformed.
+        """
         outcome = attempt_outcome.outcome(end)
         constraint = query.constraint
         if constraint is None or query.ended:
@@ -95,11 +108,11 @@
     def _accepted_fields(
         self, constraint: QueryConstraint, engine: int, fields: dict[str, str]
     ) -> dict[str, str] | None:
-        """What goes with an answer; None where the constraint of its query does not accept it."""
+        """Returns the fields to send with an answer, or None if the query's constraint does not accept it."""
         try:
             return constraint.answer_fields() if constraint.accepts_answer(engine, fields) else None
         except Exception:
-            log.exception("error in a query constraint, the answer is not handed on")
+            log.exception("error in a query constraint, answer not passed on to the client")
             return None
 
     def _report_run(self, query: ClientQuery, engine: int, work: int) -> None:
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Attempts on their way to engines: when each may begin, and the checks that every one passes before."""
+"""Sends attempts to engines, and checks before each whether it may begin."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class AttemptSender:
-    """Sends the attempts that the decisions order."""
+    """Sends the attempts that the decisions request."""
 
     def __init__(
         self,
@@ -53,7 +53,13 @@
         self._events = events
 
     def send(self, query: ClientQuery, engine: int, timeout: int) -> None:
-        """Sends a query to an engine; a timeout of 0 means until its deadline."""
+        """Sends an attempt of a query to an engine.
+
+        Args:
+            query: The query.
+            engine: The index of the engine.
+            timeout: The timeout of the attempt in ticks; 0 for the time until the query's deadline.
+        """
         now = self._decisions.now
         time_left = query.deadline - now
         wait = time_left if timeout == 0 else min(timeout, time_left)
@@ -69,14 +75,14 @@
             )
         if query.ended or wait <= 0 or number >= self._settings.current.max_attempts:
             self._reactor.callLater(0, attempt.end, NOT_SENT)
-        elif self._clock.has_recent_poll and not self._may_have_left(query):
+        elif self._clock.has_recent_poll and not self._client_may_have_left(query):
             self._begin(query, attempt, engine, wait)
         else:
             until = now + wait
-            self._clock.after_next_poll(lambda: self._begin_late(query, number, attempt, engine, until))
+            self._clock.after_next_poll(lambda: self._begin_after_poll(query, number, attempt, engine, until))
 
     def _prepare(self, query: ClientQuery, engine: int, wait: int) -> Attempt:
-        """The next attempt of a query, which counts as out from now on."""
+        """Creates the next attempt of a query, which counts as in flight from now on."""
         number = len(query.attempts)
         command = QueryCommand(
             service_class=query.service_class,
@@ -89,17 +95,17 @@
         attempt = Attempt(query.name.encode(), command, query.used_connections)
         query.attempts.append(attempt)
         query.in_flight += 1
-        attempt.noted = lambda note: self._results.progressed(query, number, note)
+        attempt.on_progress = lambda note: self._results.progressed(query, number, note)
         attempt.done.addCallback(self._results.ended, query, number, self._decisions.now, engine)
         attempt.done.addErrback(_log_failure)
         attempt.may_begin = lambda: self._may_begin(query, number, engine)
         return attempt
 
-    def _may_have_left(self, query: ClientQuery) -> bool:
-        """Whether the end of its client may lie unread behind it.
+    def _client_may_have_left(self, query: ClientQuery) -> bool:
+        """Returns True if the client may have closed its connection without this gateway having read that.
 
-        So it is where the query was read by this very look, long after it may have come: what came behind it
-        is read by the end of the look.
+        That is possible if the query was read in the current pass of the event loop, long after it may have
+        arrived: input that arrived after the query is read by the end of the pass.
         """
         just_read = query.read_in_pass == self._clock.loop_passes
         return just_read and self._decisions.now - query.received_after > MAX_POLL_AGE
@@ -109,8 +115,10 @@
             guarded(query.constraint.attempt_sent, engine)
         self._engines.send(engine, attempt, wait / SECOND)
 
-    def _begin_late(self, query: ClientQuery, number: int, attempt: Attempt, engine: int, until: int) -> None:
-        """Begins an attempt that was planned while it was not known whether its client is still there."""
+    def _begin_after_poll(
+        self, query: ClientQuery, number: int, attempt: Attempt, engine: int, until: int
+    ) -> None:
+        """Begins an attempt that had to wait for the next poll, because its client may have left."""
         time_left = until - self._clock.now()
         if time_left > 0 and self._decisions.may_begin(query, number):
             self._begin(query, attempt, engine, time_left)
@@ -118,15 +126,18 @@
             attempt.end(NOT_SENT)
 
     def _may_begin(self, query: ClientQuery, number: int, engine: int) -> bool:
-        """The one place that every attempt passes before it is written."""
+        """Returns True if an attempt may be written; every attempt passes this check."""
         if query.guard_record is None or not self._decisions.may_begin(query, number):
             return False
-        broken = self._guard.begin_attempt(self._decisions.now, query.guard_record, number, engine)
-        if broken is not None:
+        violation = self._guard.begin_attempt(self._decisions.now, query.guard_record, number, engine)
+        if violation is not None:
             self._events.note(
-                LogEventKind.VIOLATION, broken.value, id=query.name, engine=self._engine_list.name_of(engine)
+                LogEventKind.VIOLATION,
+                violation.value,
+                id=query.name,
+                engine=self._engine_list.name_of(engine),
             )
-        return broken is None
+        return violation is None
 
 
 def _log_failure(failure: Failure) -> None:
--- a/vanerelay/net/discovery_client.py
+++ b/vanerelay/net/discovery_client.py
@@ -1,4 +1,4 @@
-"""The client of the discovery service: the driver that polls it for changes of the engine list."""
+"""The client of the discovery service, which polls it for changes of the engine list."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from vanerelay.net.buffers import Pool
 
 POLL_WAIT_MS = 7_000 - 5_000
-"""How long a poll waits for an event.
+"""Time in milliseconds that the service waits for an event before it answers a poll without any.
 
-A change has to be known 7 s after the service has it, and a poll may wait up to 5 s. So long a wait leaves
-time for one connection that died silently, for a backoff, a lost connect and the poll after it.
+A change has to be known here 7 s after the service has it, and a poll may wait up to 5 s. A wait of the
+difference leaves time for one connection that died silently, a backoff, a lost connect and the next poll.
 """
 CONNECT_TIMEOUT_S = 1.0
-"""The longest that a connect to the service may take, whatever is allowed for engines."""
-SILENCE_S = 0.5
-"""The time past its wait until an answer has to begin; the same between two of its pieces."""
-ANSWER_S = 2.0
-"""The time from its first byte until an answer has to be complete."""
+"""Upper limit of the connect time-out, also where the one for engines is longer."""
+MAX_SILENCE_S = 0.5
+"""Maximum time after the wait until an answer begins, and between two pieces of it."""
+MAX_ANSWER_S = 2.0
+"""Maximum time from the first byte of an answer until it is complete."""
 FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.25, 1.0
-"""The wait after a failure, doubled with each; by chance down to half of it."""
+"""The wait after a failure, doubled with each further one, with a random reduction by up to half."""
 MAX_DOUBLINGS = 8
 MIN_POLL_INTERVAL_S = 0.5
-"""An answer without events that comes earlier did not wait: the next poll does not follow at once."""
+"""After an answer without events in less time the next poll is delayed, as the service did not wait."""
 HTTP_OK = 200
 
 CONNECTION_DONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
@@ -47,10 +47,10 @@
 
 
 class DiscoveryConnection(Protocol):
-    """One connection to the service: a poll at a time, and how long its answer may take.
+    """One connection to the service, with one poll at a time and time-outs for its answer.
 
     Attributes:
-        usable: Whether it can be polled.
+        usable: Whether polls can be sent on it.
     """
 
     transport: Any
@@ -68,29 +68,29 @@
         """Sends a poll. The Deferred never fails."""
         self._reader = discovery_codec.ReplyReader(self._pool)
         self._reply, self._complete_by = Deferred(), None
-        self._set_timeout(POLL_WAIT_MS / 1000 + SILENCE_S)
+        self._set_timeout(POLL_WAIT_MS / 1000 + MAX_SILENCE_S)
         self.transport.write(request)
         return self._reply
 
     def dataReceived(self, data: bytes) -> None:
-        """Reads on in the answer."""
+        """Parses the answer."""
         if self._reply is None:
             return
         now = self._reactor.seconds()
         if self._complete_by is None:
-            self._complete_by = now + ANSWER_S
-        self._set_timeout(min(SILENCE_S, max(0.0, self._complete_by - now)))
+            self._complete_by = now + MAX_ANSWER_S
+        self._set_timeout(min(MAX_SILENCE_S, max(0.0, self._complete_by - now)))
         self._finish(self._reader.feed(data))
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
-        """The connection is no more, which is the end of some answers."""
+        """Handles the end of the connection, which also ends an answer without a length."""
         self.usable = False
         if self._reply is not None:
-            self._finish(self._reader.ended())
+            self._finish(self._reader.connection_closed())
         self._reader.drop()
 
-    def give_up(self) -> None:
-        """Closes the connection; a poll that is out fails."""
+    def abort(self) -> None:
+        """Aborts the connection; a pending poll fails."""
         self.usable = False
         self._cancel_timeout()
         if self.transport is not None:
@@ -98,7 +98,7 @@
 
     def _set_timeout(self, timeout_s: float) -> None:
         self._cancel_timeout()
-        self._timeout = self._reactor.callLater(timeout_s, self.give_up)
+        self._timeout = self._reactor.callLater(timeout_s, self.abort)
 
     def _cancel_timeout(self) -> None:
         if self._timeout is not None and self._timeout.active():
@@ -114,7 +114,7 @@
 
 
 class DiscoveryClient:
-    """Follows the discovery service, and hands on each change once."""
+    """Polls the discovery service, and passes on each change once."""
 
     def __init__(
         self,
@@ -128,18 +128,21 @@
         on_change: ListListener,
         on_answer: DiscoveryAnswerListener | None = None,
     ) -> None:
-        """Makes a client that does not poll yet. Raises ValueError where the address is none.
+        """Creates a client that does not poll yet.
 
         Args:
             reactor: The event loop.
-            pool: The buffers for what has been read.
+            pool: The buffers for received bytes.
             address: Host and port of the service.
-            zones: The rows of the zones by their names.
-            machine_kinds: The rows of the machine kinds by their names.
-            connect_s: The time within which a connection has to come up.
-            randomness: Spreads what many processes would ask in the same moment.
+            zones: The indices of the zones by their names.
+            machine_kinds: The indices of the machine kinds by their names.
+            connect_s: The connect time-out in seconds.
+            randomness: Spreads the polls of many gateways over time.
             on_change: Called for each change of the list.
-            on_answer: Called for each answer that could be used, with changes or without.
+            on_answer: Called for each valid answer, with changes or without.
+
+        Raises:
+            ValueError: If the address is not an IPv4 address with a port.
         """
         self._reactor = reactor
         self._pool = pool
@@ -149,111 +152,119 @@
         self._randomness = randomness
         self._zones = zones
         self._machine_kinds = machine_kinds
-        self._address = discovery_codec.split(address)
-        self._former: Address | None = None  # polled in turn, until the address moved to has answered
+        self._address = discovery_codec.parse_address(address)
+        self._previous_address: Address | None = None  # polled alternately until the new address has answered
         self._polling: Deferred[None] | None = None
-        self._numbers = discovery_codec.EventNumbers()
+        self._event_numbers = discovery_codec.EventNumbers()
         self._stopped = False
         self._failures = 0
         self._working = True
         self._connection: DiscoveryConnection | None = None
-        self._current_at = reactor.seconds()  # what the service knew by then was handed on
+        self._up_to_date_at = reactor.seconds()  # all changes known to the service by then were passed on
 
     def apply(self, data: Any) -> str | None:
-        """Hands on what is new in an answer; what is wrong with it, if anything."""
+        """Passes on the new changes in an answer.
+
+        Returns:
+            A description of the problem with the answer; None if there is none.
+        """
         changes = discovery_codec.parse(data, self._zones, self._machine_kinds)
         if isinstance(changes, discovery_codec.Unreadable):
             return changes.why
-        new, gap = self._numbers.take_new(changes)
-        within_s = self._reactor.seconds() - self._current_at
+        new, gap = self._event_numbers.take_new(changes)
+        within_s = self._reactor.seconds() - self._up_to_date_at
         errors = list[Exception]()
         for change in new:
             try:
                 self._on_change(change if change.complete else replace(change, within_s=within_s))
-            except Exception as error:  # the next ones count all the same: they won't come again
+            except Exception as error:  # the remaining ones are applied too, as they are not sent again
                 errors.append(error)
         if errors:
             raise errors[0]
-        return "events are missing" if gap else None
+        return "gap in the event numbers" if gap else None
 
-    def follow(self) -> None:
-        """Begins to poll, and goes on until it is stopped."""
-        self._polling = polling = self._poll_on()
+    def start(self) -> None:
+        """Starts polling, until `stop` is called."""
+        self._polling = polling = self._poll_loop()
         polling.addErrback(_log_failure)
 
-    def move(self, address: str) -> None:
-        """Polls another address from now on, and at once.
+    def change_address(self, address: str) -> None:
+        """Polls another address, starting at once.
 
-        The numbers of the events go on, and what was under way comes again. Waiting for the poll that is out
-        would take as long as it may hang.
+        The event numbers continue, so events in an answer that was under way are sent again. The pending poll
+        is cancelled, as it may hang until its time-out.
         """
-        moved_to = discovery_codec.split(address)
-        if self._stopped or moved_to == self._address:
+        new_address = discovery_codec.parse_address(address)
+        if self._stopped or new_address == self._address:
             return
         log.info("discovery address changed", address=address)
-        self._former, self._address = self._address, moved_to
-        self._break_off()
-        self.follow()
+        self._previous_address, self._address = self._address, new_address
+        self._cancel_poll()
+        self.start()
 
     def stop(self) -> None:
-        """Polls no more."""
+        """Stops polling."""
         self._stopped = True
-        self._break_off()
+        self._cancel_poll()
 
-    def _break_off(self) -> None:
+    def _cancel_poll(self) -> None:
         polling, self._polling = self._polling, None
         if polling is not None:
             polling.cancel()
         if self._connection is not None:
-            self._connection.give_up()
+            self._connection.abort()
             self._connection = None
 
     @inlineCallbacks
-    def _poll_on(self) -> Generator[Deferred[Any], Any, None]:
+    def _poll_loop(self) -> Generator[Deferred[Any], Any, None]:
         address = self._address
         while not self._stopped:
             try:
-                wrong = yield self._poll(address)
+                problem = yield self._poll(address)
             except CancelledError:
                 return
-            except Exception as error:  # a refused or timed-out connection, or an error in a listener
-                wrong = f"{type(error).__name__}: {error}"
+            except Exception as error:  # a refused or timed-out connect, or an error in a listener
+                problem = f"{type(error).__name__}: {error}"
             if self._stopped:
                 return
-            self._note(wrong, address)
-            if wrong is None and address == self._address:
+            self._record_result(problem, address)
+            if problem is None and address == self._address:
                 continue
             if self._connection is not None:
-                self._connection.give_up()
-            if wrong is None:
-                address = self._address  # the former one is polled in between alone
+                self._connection.abort()
+            if problem is None:
+                address = self._address  # the previous address is polled only after failures of the new one
                 continue
             try:
                 yield deferLater(self._reactor, self._backoff_s(), lambda: None)
             except CancelledError:
                 return
-            address = self._next(address)
+            address = self._next_address(address)
 
-    def _note(self, wrong: str | None, address: Address) -> None:
-        """Counts failures; each change for the worse or the better is logged once."""
-        self._failures = 0 if wrong is None else self._failures + 1
-        if wrong is not None and self._working:
+    def _record_result(self, problem: str | None, address: Address) -> None:
+        """Counts failures, and logs once when polls start to fail and when they succeed again."""
+        self._failures = 0 if problem is None else self._failures + 1
+        if problem is not None and self._working:
             self._working = False
-            log.warning("discovery fails", why=wrong)
-        elif wrong is None and address == self._address:
-            self._former = None
+            log.warning("discovery poll failed", why=problem)
+        elif problem is None and address == self._address:
+            self._previous_address = None
             if not self._working:
                 self._working = True
-                log.info("discovery works again")
+                log.info("discovery polls succeed again")
 
     def _backoff_s(self) -> float:
-        """How long nothing is asked after a failure: hundreds of processes must not come back in step."""
+        """Returns the random wait after a failure in seconds: hundreds of gateways must not retry in step."""
         doubled = FIRST_BACKOFF_S * 2.0 ** min(self._failures - 1, MAX_DOUBLINGS)
         return min(MAX_BACKOFF_S, doubled) * self._randomness.uniform(0.5, 1.0)
 
-    def _next(self, failed: Address) -> Address:
-        """Where to poll after a failure: the service may have moved to where nobody is, or not yet."""
-        return self._former if self._former is not None and failed == self._address else self._address
+    def _next_address(self, failed: Address) -> Address:
+        """Returns the address to poll after a failure: the new address may be wrong, or not served yet."""
+        return (
+            self._previous_address
+            if self._previous_address is not None and failed == self._address
+            else self._address
+        )
 
     @inlineCallbacks
     def _poll(self, address: Address) -> Generator[Deferred[Any], Any, str | None]:
@@ -264,21 +275,24 @@
             self._connection = yield endpoint.connect(factory)
         connection = self._connection
         assert connection is not None
-        held, began = self._numbers.held, self._reactor.seconds()
-        reply = yield connection.poll(discovery_codec.request(f"{host}:{port}", held, POLL_WAIT_MS))
+        last_applied, started_at = self._event_numbers.last_applied, self._reactor.seconds()
+        reply = yield connection.poll(discovery_codec.request(f"{host}:{port}", last_applied, POLL_WAIT_MS))
         if isinstance(reply, discovery_codec.Unreadable):
             return reply.why
-        if not reply.keep:
-            connection.give_up()
+        if not reply.keep_alive:
+            connection.abort()
         if reply.status != HTTP_OK:
             return f"status {reply.status}"
-        wrong = self.apply(reply.body)
-        if wrong is not None:
-            return wrong
-        self._current_at = began
+        problem = self.apply(reply.body)
+        if problem is not None:
+            return problem
+        self._up_to_date_at = started_at
         if self._on_answer is not None:
             self._on_answer()
-        if self._numbers.held == held and self._reactor.seconds() - began < MIN_POLL_INTERVAL_S:
+        if (
+            self._event_numbers.last_applied == last_applied
+            and self._reactor.seconds() - started_at < MIN_POLL_INTERVAL_S
+        ):
             pause_s = self._randomness.uniform(0.5, 1.0) * MIN_POLL_INTERVAL_S
             yield deferLater(self._reactor, pause_s, lambda: None)
         return None
--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an engine: the driver that writes attempts and reads their answers."""
+"""One connection to an engine: writes attempts and reads their answers."""
 
 from __future__ import annotations
 
@@ -19,20 +19,28 @@
 from vanerelay.net.buffers import Pool
 from vanerelay.net.engine_protocol import EngineProtocol
 from vanerelay.net.events import EventLog, LogEventKind
-from vanerelay.net.resp_codec import Exchange, Note, QueryCommand
+from vanerelay.net.resp_codec import Exchange, ProgressNote, QueryCommand
 
-MAX_NAMED = 5
-"""Attempts that one log line names."""
+MAX_LOGGED_ATTEMPTS = 5
+"""Maximum number of attempt identifiers in one log line."""
 NOT_SENT = AttemptEnd(EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED)
 
 log = structlog.get_logger()
 
 
 class ConnectionOwner(Protocol):
-    """The engine process that a connection leads to, as the connection sees it.
+    """The engine process that a connection leads to.
 
     Attributes:
-        warned: Whether an answer that cannot be read was logged: once in the life of the process.
+        reactor: The event loop.
+        pool: The buffers for received bytes.
+        host: The engine's IP address.
+        port: The engine's port.
+        settings: How connections to engines are used.
+        connections: The open connections to this engine process.
+        events: The log of connection closes.
+        malformed_answer_logged: Whether a malformed answer of this engine process was already logged; only
+            the first one is.
     """
 
     reactor: Any
@@ -42,11 +50,14 @@
     settings: ConnectionSettings
     connections: list[EngineConnection]
     events: EventLog
-    warned: bool
+    malformed_answer_logged: bool
 
     @property
     def after_recent_poll(self) -> Callable[[Callable[[], None]], None]:
-        """Calls back once no client that has left can be unnoticed for long."""
+        """Calls a function once the sockets were polled recently.
+
+        After a recent poll, the end of a client's connection cannot have been pending unnoticed for long.
+        """
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,11 +65,12 @@
     """How connections to engines are used.
 
     Attributes:
-        max_attempts: How many may be open on one connection.
-        may_hedge: Whether an attempt may begin while an earlier one of its query is out.
-        connect_s: The time until a connection that has not come up is given up.
-        idle_s: The time until an engine closes a connection that nobody uses.
-        stall_s: The time until an answer that was begun and does not go on counts as malformed.
+        max_attempts: Maximum number of open attempts on one connection.
+        may_cancel: Whether a running attempt may be cancelled with a command.
+        may_hedge: Whether an attempt may begin while an earlier one of its query is still running.
+        connect_s: Time in seconds after which an unfinished connect fails.
+        idle_s: Time in seconds after which an engine closes an idle connection.
+        stall_s: Time in seconds without progress after which a partly received answer counts as malformed.
     """
 
     max_attempts: int
@@ -72,34 +84,35 @@
     def exclusive(self) -> bool:
         """Whether each attempt has a connection to itself.
 
-        So it is where one that was given up must be abandoned, as the next would be a hedged request, and
-        only the end of its connection does that.
+        True where attempts can neither be cancelled nor hedged: an attempt that was given up must then be
+        ended before the next one begins, and only closing its connection does that.
         """
         return not self.may_cancel and not self.may_hedge
 
     @property
     def max_open(self) -> int:
-        """How many attempts may be open on one connection."""
+        """Maximum number of open attempts on one connection; 1 where connections are exclusive."""
         return 1 if self.exclusive else self.max_attempts
 
     @property
-    def rest_s(self) -> float:
-        """How long a connection rests until we close it: the engine must not do so first."""
+    def max_idle_s(self) -> float:
+        """Idle time in seconds after which this gateway closes a connection, before the engine does."""
         return max(self.idle_s / 2, self.idle_s - self.connect_s)
 
 
 class EngineConnection:
-    """One connection to an engine, from the first call on: attempts wait here until it is up.
+    """One connection to an engine; attempts wait here until it is established.
 
-    An attempt given up is out at its engine until it is abandoned: by a cancel, or where none is allowed by
-    the end of its connection. Its end is reported only once that has left, or the query's next attempt could
-    reach another engine first, as a hedged request.
+    An attempt that was given up may run on at its engine until it is cancelled or, where cancelling is not
+    allowed, until its connection is closed. Its end is reported only after the cancel or the close was sent;
+    otherwise the query's next attempt could reach another engine first and act as a hedged request.
 
     Attributes:
-        waiting: The attempts that wait until the connection is up.
-        attempts: Those that were written and have not ended.
-        used_at: When it was of use last, in seconds of the reactor.
-        over: Whether it has ended.
+        exchange: The protocol state: the open attempts and the bytes to write.
+        waiting: The attempts that wait for the connection to be established.
+        attempts: The attempts that were written and have not ended, by identifier.
+        used_at: Time of the last send or answer, in seconds of the reactor.
+        ended: Whether the connection has ended.
     """
 
     def __init__(self, process: ConnectionOwner) -> None:
@@ -109,14 +122,14 @@
         self.exchange = Exchange(process.pool, settings.max_open, settings.may_cancel)
         self.waiting: deque[Attempt] = deque()
         self.attempts: dict[bytes, Attempt] = {}
-        self.over = False
-        self._last_written: bytes | None = None  # the attempt handed over last, while it may not have left
-        # Attempts that were given up, with ends that are reported once their cancel has left.
-        self._leaving: list[tuple[Attempt, AttemptEnd]] = []
-        self._awaited: tuple[int, int] | None = None  # what had come of answers when the stall timer was set
+        self.ended = False
+        self._last_written: bytes | None = None  # the last attempt written, while it may be unsent
+        # Ends to report once everything written was sent or the connection has ended.
+        self._pending_ends: list[tuple[Attempt, AttemptEnd]] = []
+        self._watched_progress: tuple[int, int] | None = None  # read progress when the stall timer was set
         self._stall_timer: Any = None
         self._connecting_since = self.used_at = process.reactor.seconds()
-        self._heard_at = 0.0
+        self._last_received_at = 0.0
         self._protocol: EngineProtocol | None = None
         self._closing = False
         self._connect()
@@ -132,28 +145,31 @@
         connecting.addErrback(_log_failure)
 
     @property
-    def busy(self) -> int:
-        """The number of attempts on it."""
+    def attempt_count(self) -> int:
+        """The number of waiting and open attempts."""
         return len(self.waiting) + len(self.exchange.open)
 
-    def takes(self, ident: bytes) -> bool:
-        """Whether an attempt of this identifier may go over it now."""
-        if self.over or self._closing:
+    def can_open(self, ident: bytes) -> bool:
+        """Returns True if an attempt with this identifier may be sent on this connection now."""
+        if self.ended or self._closing:
             return False
         if self._protocol is None or self.waiting:
-            return self.busy < self._max_open and all(a.ident != ident for a in self.waiting)
-        return self.exchange.takes(ident)
+            return self.attempt_count < self._max_open and all(a.ident != ident for a in self.waiting)
+        return self.exchange.can_open(ident)
 
-    def sound(self) -> bool:
-        """Whether its engine has not ended it, as far as has come: asked before a resting one is used."""
-        if self._protocol is not None and not self._protocol.read_waiting():
-            self._closing = True  # the transport is about to report it
-        return not self._closing and not self.over
+    def is_alive(self) -> bool:
+        """Returns True if the engine has not closed the connection, after reading all pending input.
+
+        Called before an idle connection is used again.
+        """
+        if self._protocol is not None and not self._protocol.read_available():
+            self._closing = True  # the transport is about to report the end
+        return not self._closing and not self.ended
 
     def send(self, attempt: Attempt) -> None:
-        """Writes an attempt, or keeps it until the connection is up."""
+        """Writes an attempt, or queues it until the connection is established."""
         attempt.connection = self
-        attempt.begun = True
+        attempt.is_assigned = True
         self.used_at = self._process.reactor.seconds()
         if self._protocol is None or self.waiting:
             self.waiting.append(attempt)
@@ -172,31 +188,31 @@
         self._flush(attempt.ident)
 
     def _with_time_left(self, attempt: Attempt, query: QueryCommand) -> QueryCommand:
-        """The query with the time that is left for the attempt, which may have waited for the connection."""
+        """Returns the query with the attempt's remaining time; it may have waited for the connection."""
         if attempt.timer is None:
             return query
         left_ms = int((attempt.timer.getTime() - self._process.reactor.seconds()) * 1000)
         return replace(query, time_limit_ms=max(1, min(query.time_limit_ms, left_ms)))
 
-    def drained(self) -> None:
-        """All that was handed to the transport has left."""
+    def all_sent(self) -> None:
+        """Reports the pending ends of attempts; everything written to the transport was sent."""
         self._last_written = None
-        leaving, self._leaving = self._leaving, []
-        for attempt, end in leaving:
+        pending, self._pending_ends = self._pending_ends, []
+        for attempt, end in pending:
             attempt.end(end)
-        self._retire()
+        self._close_if_unused()
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Ends an attempt that waits for the connection; one that was begun goes on."""
+        """Ends an attempt that waits for the connection; one that was written continues."""
         if attempt in self.waiting:
             self.waiting.remove(attempt)
             attempt.end(AttemptEnd(EndCause.CANCELLED, AttemptStage.NOT_CONNECTED))
 
     def give_up(self, attempt: Attempt, cause: EndCause) -> None:
-        """Ends an attempt, and cancels or abandons it where it was written."""
+        """Ends an attempt, and cancels or abandons it if it was written."""
         if attempt in self.waiting:
             self.waiting.remove(attempt)
-            # An attempt with little time says nothing of an engine that may be about to take the connection.
+            # A short timeout early in the connect does not show that the engine is unreachable.
             early = (
                 self._process.reactor.seconds() - self._connecting_since
                 < self._process.settings.connect_s / 2
@@ -207,30 +223,32 @@
         stage = self.exchange.give_up(attempt.ident)
         del self.attempts[attempt.ident]
         attempt.connection = None
-        # Where nothing at all came meanwhile, nothing may come any more: nothing new goes here.
-        self._closing = self._closing or cause is EndCause.TIMEOUT and self._heard_at <= attempt.sent_at
+        # If nothing was received since the attempt was sent, the connection may be dead: no new attempts.
+        self._closing = (
+            self._closing or cause is EndCause.TIMEOUT and self._last_received_at <= attempt.sent_at
+        )
         self._abandon(attempt, AttemptEnd(cause, stage))
 
     def _abandon(self, attempt: Attempt, end: AttemptEnd) -> None:
         if self._process.settings.exclusive and end.stage is AttemptStage.WRITTEN:
-            self._leaving.append((attempt, end))
+            self._pending_ends.append((attempt, end))
             self._abort("attempt given up")
-        elif self.exchange.out:
-            self._leaving.append((attempt, end))
+        elif self.exchange.output:
+            self._pending_ends.append((attempt, end))
             self._flush()
             self._process.reactor.callLater(self._process.settings.connect_s, self._abort_if_stuck, attempt)
         else:
             attempt.end(end)
-            self._retire()
+            self._close_if_unused()
 
     def _abort_if_stuck(self, given_up: Attempt) -> None:
-        """A connection that takes no bytes ends, so that what was given up on it does."""
-        if any(attempt is given_up for attempt, _ in self._leaving):
+        """Aborts the connection if the end of this attempt is still unreported: the peer takes no bytes."""
+        if any(attempt is given_up for attempt, _ in self._pending_ends):
             self._abort("takes no bytes")
 
     def _abort(self, why: str) -> None:
         self._closing = True
-        if self._protocol is not None and not self.over:
+        if self._protocol is not None and not self.ended:
             self._note_close(f"aborted: {why}")
             self._protocol.abort()
 
@@ -241,24 +259,24 @@
             f"engine, {why}",
             bool(idents),
             host=self._process.host,
-            out=idents[:MAX_NAMED],
+            out=idents[:MAX_LOGGED_ATTEMPTS],
         )
 
     def probe(self, tag: bytes) -> None:
-        """Writes a health check, whose answer says nothing but that the engine lives."""
-        if self._protocol is not None and not self.over:
+        """Writes a health check; its answer only shows that the engine responds."""
+        if self._protocol is not None and not self.ended:
             self.exchange.send_health_check(tag)
             self._flush()
 
     def received(self, data: bytes) -> None:
-        """Reads what the engine sent, and ends the attempts that it answers."""
+        """Reads bytes from the engine, and ends the attempts that they answer."""
         if self.exchange.broken:
             return
-        self._heard_at = self._process.reactor.seconds()
+        self._last_received_at = self._process.reactor.seconds()
         for ident, end in self.exchange.feed(data):
             self.used_at = self._process.reactor.seconds()
-            if isinstance(end, Note):
-                self.attempts[ident].noted(end)
+            if isinstance(end, ProgressNote):
+                self.attempts[ident].on_progress(end)
             elif end.cause is EndCause.MALFORMED:
                 self._end_malformed(ident, end)
             else:
@@ -267,99 +285,109 @@
             self._abort("unreadable answer")
         else:
             self._flush()
-            self._watch_for_stall()
-            self._retire()
+            self._reset_stall_timer()
+            self._close_if_unused()
 
     def _end_malformed(self, ident: bytes, end: AttemptEnd) -> None:
-        """The attempt may run on until the connection has ended: only then is its end reported."""
-        if not self._process.warned:
-            self._process.warned = True
+        """Ends an attempt as malformed; reported after the connection has ended, as it may run until then."""
+        if not self._process.malformed_answer_logged:
+            self._process.malformed_answer_logged = True
             log.warning("engine answer unreadable", host=self._process.host, why=end.detail)
         attempt = self.attempts.pop(ident)
-        attempt.connection = None  # its end is on its way: nothing can be given up here any more
-        self._leaving.append((attempt, end))
+        attempt.connection = None  # its end is pending, so it can no longer be given up
+        self._pending_ends.append((attempt, end))
+
+    def _reset_stall_timer(self) -> None:
+        """Restarts the stall timer when the read progress has changed.
 
-    def _watch_for_stall(self) -> None:
-        """Seen on sockets: a message that stopped in its middle held all else on its connection for good."""
-        awaited = self.exchange.awaits
-        if awaited == self._awaited:
+        Without the timer, a message that stops in the middle would block all other answers on the connection
+        forever.
+        """
+        progress = self.exchange.partial_read_progress
+        if progress == self._watched_progress:
             return
-        self._awaited = awaited
+        self._watched_progress = progress
         if self._stall_timer is not None and self._stall_timer.active():
             self._stall_timer.cancel()
-        if awaited is not None:
+        if progress is not None:
             self._stall_timer = self._process.reactor.callLater(self._process.settings.stall_s, self._stalled)
 
     def _stalled(self) -> None:
-        if not self.over:
-            for ident, end in self.exchange.break_off("stalled answer"):
+        if not self.ended:
+            for ident, end in self.exchange.fail_all("stalled answer"):
                 self._end_malformed(ident, end)
             self._abort("stalled answer")
 
-    def lost(self, cause: EndCause) -> None:
-        """The connection has ended, and with it all that is open on it."""
-        if self.over:
+    def connection_lost(self, cause: EndCause) -> None:
+        """Ends the connection and all attempts on it."""
+        if self.ended:
             return
         self._note_close(cause.value)
         self._end()
-        for ident, stage in self.exchange.lost().items():
-            # The transport did not report that all had left, so its last command left incompletely. One
-            # with a cancel or a read behind it may have: what is missing may be of those.
+        for ident, stage in self.exchange.connection_lost().items():
+            # The transport has not reported an empty write buffer, so the last command was sent only partly. If
+            # a cancel or a read was written after it, the unsent bytes may be of that one instead.
             partly = ident == self._last_written and stage is AttemptStage.WRITTEN
             self.attempts.pop(ident).end(AttemptEnd(cause, AttemptStage.PARTLY_WRITTEN if partly else stage))
-        self.drained()
+        self.all_sent()
         self._fail_waiting(cause)
 
     def close(self, at_once: bool) -> None:
-        """Takes nothing new; ends when the last answer is in, or at once: then all that is out is lost."""
+        """Closes after the last answer, taking no new attempts, or at once, ending all attempts as lost."""
         self._closing = True
         if self._protocol is None:
             if at_once:
-                self.lost(EndCause.CONNECTION_LOST)
+                self.connection_lost(EndCause.CONNECTION_LOST)
         elif at_once:
             self._protocol.abort()
-            self.lost(EndCause.CONNECTION_LOST)
+            self.connection_lost(EndCause.CONNECTION_LOST)
         else:
-            self._retire()
-
-    def _retire(self) -> None:
-        worn = self._closing or self.exchange.worn
-        if worn and not self.busy and not self._leaving and not self.over and self._protocol is not None:
+            self._close_if_unused()
+
+    def _close_if_unused(self) -> None:
+        is_exhausted = self._closing or self.exchange.is_exhausted
+        if (
+            is_exhausted
+            and not self.attempt_count
+            and not self._pending_ends
+            and not self.ended
+            and self._protocol is not None
+        ):
             self._note_close("idle or replaced")
             self._end()
             self._protocol.close()
 
     def _end(self) -> None:
-        self.over = True
+        self.ended = True
         self._process.connections.remove(self)
         if self._stall_timer is not None and self._stall_timer.active():
             self._stall_timer.cancel()
 
     def _connected(self, protocol: EngineProtocol) -> None:
         self._protocol = protocol
-        if self.over:
+        if self.ended:
             protocol.abort()
             return
-        self._process.after_recent_poll(self._begin)
+        self._process.after_recent_poll(self._send_waiting)
 
-    def _begin(self) -> None:
-        """Writes what waited for the connection and may still begin.
+    def _send_waiting(self) -> None:
+        """Writes the attempts that waited for the connection and may still begin.
 
-        Meanwhile its client may have left, its engine may have left the list, and the time within which it
-        may be retried may be over.
+        Meanwhile the client may have left, the engine may have been removed from the list, and the time in
+        which the query may be retried may have passed.
         """
-        if self.over:
+        if self.ended:
             return
         waiting, self.waiting = self.waiting, deque()
         for attempt in waiting:
-            if self.over:
+            if self.ended:
                 attempt.end(NOT_SENT)
             else:
                 self.send(attempt)
-        self._retire()
+        self._close_if_unused()
 
     def _connect_failed(self, failure: Failure) -> None:
-        if not self.over:
+        if not self.ended:
             self._end()
             timed_out = isinstance(failure.value, ConnectTimeOut)
             cause = EndCause.CONNECT_TIMEOUT if timed_out else EndCause.CONNECTION_REFUSED
@@ -377,14 +405,15 @@
             attempt.end(AttemptEnd(cause, AttemptStage.NOT_CONNECTED))
 
     def _flush(self, last_written: bytes | None = None) -> None:
-        if self._protocol is not None and self.exchange.out and not self.over:
+        if self._protocol is not None and self.exchange.output and not self.ended:
             self._last_written = last_written
-            self._protocol.transport.writeSequence(self.exchange.out)
-            self.exchange.out = []
-            # Twisted alone would wait for the end of its pass: until then the client may have left, the
-            # engine the list, and the time limit written may be over. Ends that wait for bytes to leave come
-            # with the pass, as they call the decisions, which may be in the middle of a call of their own.
-            if last_written is not None and not self._leaving:
+            self._protocol.transport.writeSequence(self.exchange.output)
+            self.exchange.output = []
+            # Twisted alone would write at the end of the event loop's pass. By then the client may have left,
+            # the engine may have left the list, and the time limit in the command may have passed. If ends
+            # are pending, the write is left to Twisted: reporting them calls the decisions, which may be in
+            # the middle of a call already.
+            if last_written is not None and not self._pending_ends:
                 self._protocol.transport.doWrite()
 
 
--- a/vanerelay/net/engine_list_updates.py
+++ b/vanerelay/net/engine_list_updates.py
@@ -1,4 +1,4 @@
-"""Changes of the engine list: applied to the connections, the guard and the decisions."""
+"""Applies changes of the engine list to the connections, the guard and the decisions."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from vanerelay.interface import EngineEntry, EngineState
 from vanerelay.invariants import InvariantGuard, StateChange
 from vanerelay.net.decisions import Decisions
-from vanerelay.net.engine_pool import MAX_DROPPED, EnginePool
-from vanerelay.net.engine_start_times import EngineStarts
+from vanerelay.net.engine_pool import MAX_REMOVED_PER_SWEEP, EnginePool
+from vanerelay.net.engine_start_times import EngineStartTimes
 from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.extensions import Extensions
 from vanerelay.query_table import EngineNames
 
 
 class EngineListUpdates:
-    """Applies the changes of the engine list, and knows the engines' names.
+    """Applies the changes of the engine list, and holds the engines' names.
 
     Attributes:
         names: The names of the engines by their indices.
-        gone: The engines that have left the list and are not forgotten yet.
-        received: Whether a list has come.
+        gone: The indices of engines that have left the list and are not forgotten yet.
+        received: Whether any list was received.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._decisions = decisions
         self._extensions = extensions
         self._events = events
-        self._starts = EngineStarts(clock)
+        self._start_times = EngineStartTimes(clock)
         self.names = EngineNames()
         self.gone = set[int]()
         self.received = False
@@ -57,7 +57,7 @@
             entries.append(self._apply_entry(index, listed, change.within_s))
         self.gone -= present
         if change.complete:
-            self._engines.only(present)
+            self._engines.retain_engines(present)
             self._guard.retain_engines(present)
             self.gone = self.names.all() - present
         self.received = True
@@ -65,28 +65,28 @@
         self._extensions.listed(change)
 
     def sweep(self) -> None:
-        """Lets go of connections that the engines are about to close, and of engines that are gone."""
+        """Closes connections that engines are about to close, and forgets engines that have left the list."""
         self._engines.sweep()
-        unknown = (index for index in self.gone if not self._engines.knows(index))
-        for index in list(itertools.islice(unknown, MAX_DROPPED)):
+        forgettable = (index for index in self.gone if not self._engines.has_engine(index))
+        for index in list(itertools.islice(forgettable, MAX_REMOVED_PER_SWEEP)):
             self.gone.remove(index)
             self.names.forget(index)
-            self._starts.forget(index)
+            self._start_times.forget(index)
             self._guard.forget_engine(index)
 
     def name_of(self, index: int) -> str:
-        """The name of an engine; empty where it is not known any more."""
-        return self.names.name(index) if self._engines.knows(index) else ""
+        """Returns the name of an engine; empty if it is no longer known."""
+        return self.names.name(index) if self._engines.has_engine(index) else ""
 
     def _apply_entry(self, index: int, listed: ListedEngine, within_s: float | None) -> EngineEntry:
         is_gone = listed.state is EngineState.GONE
-        self._engines.listed(index, listed.address, listed.started_at, is_gone)
-        started_at = self._starts.moment(index, listed.started_at, within_s)
+        self._engines.update_engine(index, listed.address, listed.started_at, is_gone)
+        started_at = self._start_times.start_time(index, listed.started_at, within_s)
         entry = replace(listed.entry(index), started_at=started_at)
-        self._note_state(listed, self._guard.engine_listed(entry))
+        self._log_state_change(listed, self._guard.engine_listed(entry))
         return entry
 
-    def _note_state(self, listed: ListedEngine, change: StateChange | None) -> None:
+    def _log_state_change(self, listed: ListedEngine, change: StateChange | None) -> None:
         if change is not None:
             why = f"engine {change.before} to {change.after}"
             self._events.note(LogEventKind.STATE, why, change.before != "unknown", engine=listed.name)
--- a/vanerelay/net/engine_pool.py
+++ b/vanerelay/net/engine_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all engines: which one an attempt takes, and when they are closed."""
+"""The connections to all engines: selection of a connection for each attempt, and closing."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from vanerelay.net.engine_connection import NOT_SENT, ConnectionSettings, EngineConnection
 from vanerelay.net.events import EventLog
 
-MAX_DROPPED = 2500
-"""Engines dropped in one sweep: a list may lose ten thousand at once."""
+MAX_REMOVED_PER_SWEEP = 2500
+"""Maximum number of engines removed in one sweep: a list may lose ten thousand at once."""
 
 log = structlog.get_logger()
 
@@ -24,9 +24,10 @@
 class EngineProcess:
     """One engine process at its address, and its connections.
 
-    What befalls a connection befalls all that is open on it, and each costs time to read from: so there are
-    as many as attempts on each, the emptiest taken first, as long as the engine's part of the descriptors
-    lasts. A connection for every attempt took twice the CPU, and at 900 queries a second all there was.
+    A failing connection fails all attempts on it, but every connection costs CPU to read from. As a
+    compromise, the number of connections grows with the number of attempts on each, up to the engine's share
+    of the descriptors, and the least loaded connection is used first. One connection per attempt took twice
+    the CPU, and all of it at 900 queries per second.
     """
 
     def __init__(
@@ -47,61 +48,64 @@
         self.after_recent_poll = after_recent_poll
         self.events = events
         self.connections: list[EngineConnection] = []
-        self.warned = False
+        self.malformed_answer_logged = False
 
-    def connection_for(self, attempt: Attempt, share: int) -> EngineConnection | None:
-        """The connection that an attempt takes.
+    def connection_for(self, attempt: Attempt, connection_limit: int) -> EngineConnection | None:
+        """Returns the connection to use for an attempt, or None if a new one should be opened.
 
-        None: a new one is wanted, as none takes it, or all hold as many as there are connections.
+        A new connection is wanted if no connection can take the attempt, or if each has at least as many
+        attempts as there are connections.
 
         Args:
             attempt: The attempt.
-            share: The engine's part of the descriptors.
+            connection_limit: The engine's share of the descriptors.
         """
-        now, emptiest = self.reactor.seconds(), None
+        now, least_loaded = self.reactor.seconds(), None
         for connection in self.connections:
             if not self._usable(connection, attempt, now):
                 continue
-            if connection.busy:
-                if emptiest is None or connection.busy < emptiest.busy:
-                    emptiest = connection
-            elif connection.sound():
+            if connection.attempt_count:
+                if least_loaded is None or connection.attempt_count < least_loaded.attempt_count:
+                    least_loaded = connection
+            elif connection.is_alive():
                 return connection
-        if emptiest is None or len(self.connections) >= min(share, emptiest.busy + 1):
-            return emptiest
+        if least_loaded is None or len(self.connections) >= min(
+            connection_limit, least_loaded.attempt_count + 1
+        ):
+            return least_loaded
         return None
 
     def _usable(self, connection: EngineConnection, attempt: Attempt, now: float) -> bool:
-        if not connection.takes(attempt.ident) or connection in attempt.used_connections:
+        if not connection.can_open(attempt.ident) or connection in attempt.used_connections:
             return False
-        return connection.busy > 0 or now - connection.used_at < self.settings.rest_s
+        return connection.attempt_count > 0 or now - connection.used_at < self.settings.max_idle_s
 
     def connect(self) -> EngineConnection:
-        """A new connection, which is coming up."""
+        """Opens a new connection, and returns it before it is established."""
         connection = EngineConnection(self)
         self.connections.append(connection)
         return connection
 
     def sweep(self) -> None:
-        """Closes what has been idle so long that the engine is about to."""
+        """Closes connections that have been idle for so long that the engine is about to close them."""
         now = self.reactor.seconds()
         for connection in list(self.connections):
-            if not connection.busy and now - connection.used_at >= self.settings.rest_s:
+            if not connection.attempt_count and now - connection.used_at >= self.settings.max_idle_s:
                 connection.close(False)
 
     def probe(self, tag: bytes) -> None:
-        """Writes a health check over its first connection, if it has one."""
+        """Writes a health check on the first connection, if there is one."""
         if self.connections:
             self.connections[0].probe(tag)
 
     def close(self, at_once: bool) -> None:
-        """Closes all connections: at once, or each when its last answer is in."""
+        """Closes all connections: at once, or each after its last answer."""
         for connection in list(self.connections):
             connection.close(at_once)
 
 
 class EnginePool:
-    """The connections to all engines, by the engines' indices."""
+    """The connections to all engines, by engine index."""
 
     def __init__(
         self,
@@ -112,16 +116,16 @@
         after_recent_poll: Callable[[Callable[[], None]], None],
         events: EventLog | None = None,
     ) -> None:
-        """Makes the pool without engines.
+        """Creates a pool without engines.
 
         Args:
             reactor: The event loop.
-            pool: The buffers for what has been read.
+            pool: The buffers for received bytes.
             settings: How connections are used.
-            max_connections: How many there may be.
-            after_recent_poll: Calls back once no client that has left can be unnoticed for long: only then an
-                attempt that waited for its connection begins.
-            events: Where closes are logged.
+            max_connections: Maximum number of connections to all engines.
+            after_recent_poll: Calls a function once the sockets were polled recently. An attempt that waited
+                for its connection begins only then, as its client may have left meanwhile.
+            events: The log of connection closes.
         """
         self._reactor = reactor
         self._pool = pool
@@ -129,41 +133,48 @@
         self._max_connections = max_connections
         self._after_recent_poll = after_recent_poll
         self._events = events or EventLog(reactor)
-        self._full = False
+        self._limit_logged = False
         self._gone: set[int] = set()
         self._processes: dict[int, EngineProcess] = {}
-        self._connected: dict[EngineProcess, None] = {}  # have connections, or had at the last sweep
-        self._engine_at: dict[str, int] = {}  # by address
-        self._incarnations: dict[int, tuple[str, int]] = {}  # address and start
+        self._connected: dict[EngineProcess, None] = {}  # those with connections, now or at the last sweep
+        self._engine_at: dict[str, int] = {}  # engine index by address
+        self._incarnations: dict[int, tuple[str, int]] = {}  # address and start time by engine index
+
+    def update_engine(self, engine: int, address: str, started: int, gone: bool) -> None:
+        """Applies an entry of the engine list.
 
-    def listed(self, engine: int, address: str, started: int, gone: bool) -> None:
-        """An entry of the engine list.
+        When another process starts at an address, the connections to the previous one are closed and never
+        used for the new one.
 
-        A connection made to one process never serves the next one at its address.
+        Args:
+            engine: The index of the engine.
+            address: Host and port of the engine.
+            started: The reported start time, which identifies the process.
+            gone: Whether the engine has left the list.
         """
         if gone:
-            # What it still runs may yet be answered.
-            self._drop(engine, at_once=False)
+            # Running attempts may still be answered.
+            self._remove(engine, at_once=False)
             return
         self._gone.discard(engine)
         if self._incarnations.get(engine) == (address, started):
             return
-        self._drop(engine, at_once=True)
-        before = self._engine_at.get(address)
-        if before is not None:
-            self._drop(before, at_once=True)
+        self._remove(engine, at_once=True)
+        previous = self._engine_at.get(address)
+        if previous is not None:
+            self._remove(previous, at_once=True)
         host, _, port = address.rpartition(":")
         self._incarnations[engine], self._engine_at[address] = (address, started), engine
         self._processes[engine] = EngineProcess(
             self._reactor, self._pool, host, int(port), self._settings, self._after_recent_poll, self._events
         )
 
-    def only(self, present: set[int]) -> None:
-        """A complete list has come: what it does not name is gone."""
+    def retain_engines(self, present: set[int]) -> None:
+        """Applies a complete list: engines that are not in it have left."""
         for engine in self._processes.keys() - present:
-            self._drop(engine, at_once=False)
+            self._remove(engine, at_once=False)
 
-    def _drop(self, engine: int, at_once: bool) -> None:
+    def _remove(self, engine: int, at_once: bool) -> None:
         process, incarnation = self._processes.get(engine), self._incarnations.get(engine)
         if process is not None:
             process.close(at_once)
@@ -176,7 +187,7 @@
                 del self._engine_at[incarnation[0]]
 
     def send(self, engine: int, attempt: Attempt, timeout_s: float) -> None:
-        """Sends an attempt over one of the engine's connections, or over a new one."""
+        """Sends an attempt on one of the engine's connections, or on a new one."""
         process = self._processes.get(engine)
         if process is None:
             self._reactor.callLater(
@@ -184,14 +195,14 @@
             )
             return
         connection = process.connection_for(attempt, self._max_connections // len(self._processes))
-        if connection is None and self.connections() >= self._max_connections:
-            # Past the descriptors left for engines: the engine is not to blame, and nothing was sent.
-            if not self._full:
+        if connection is None and self.connection_count() >= self._max_connections:
+            # No descriptor is left for engines: this is no failure of the engine, and nothing was sent.
+            if not self._limit_logged:
                 log.warning("engine connections at their limit", connections=self._max_connections)
-            self._full = True
+            self._limit_logged = True
             self._reactor.callLater(0, attempt.end, NOT_SENT)
             return
-        self._full = False
+        self._limit_logged = False
         attempt.timer = self._reactor.callLater(timeout_s, attempt.give_up, EndCause.TIMEOUT)
         if connection is None:
             connection = process.connect()
@@ -201,41 +212,41 @@
     def send_command(
         self, engine: int, arguments: Sequence[bytes], command_id: bytes, timeout_s: float
     ) -> Deferred[AttemptEnd]:
-        """Sends a command that is no query, answered under `command_id`. The Deferred never fails."""
+        """Sends a command other than a query, answered under `command_id`. The Deferred never fails."""
         attempt = Attempt(command_id, None, [], arguments)
         self.send(engine, attempt, timeout_s)
         return attempt.done
 
     def probe(self, engine: int) -> None:
-        """Writes a health check to an engine, if it has a connection."""
+        """Writes a health check to an engine, if there is a connection to it."""
         process = self._processes.get(engine)
         if process is not None:
             process.probe(b"probe")
 
     def sweep(self) -> None:
-        """Closes what engines are about to close, and drops engines that are gone."""
+        """Closes connections that engines are about to close, and removes engines that have left the list."""
         for process in list(self._connected):
             process.sweep()
             if not process.connections:
                 del self._connected[process]
         for engine in list(
-            islice((e for e in self._gone if not self._processes[e].connections), MAX_DROPPED)
+            islice((e for e in self._gone if not self._processes[e].connections), MAX_REMOVED_PER_SWEEP)
         ):
-            self._drop(engine, at_once=True)
+            self._remove(engine, at_once=True)
 
     def addresses(self) -> dict[int, str]:
-        """Where each engine is listed, by its index."""
+        """Returns the address of each engine by its index."""
         return {engine: address for engine, (address, _) in self._incarnations.items()}
 
-    def knows(self, engine: int) -> bool:
-        """Whether it is listed, or what it runs may still be answered."""
+    def has_engine(self, engine: int) -> bool:
+        """Returns True if the engine is listed, or its running attempts may still be answered."""
         return engine in self._processes
 
-    def connections(self) -> int:
-        """The number of connections to all engines."""
+    def connection_count(self) -> int:
+        """Returns the number of connections to all engines."""
         return sum(len(process.connections) for process in self._connected)
 
     def close(self) -> None:
-        """Closes all connections now."""
+        """Closes all connections at once."""
         for process in self._processes.values():
             process.close(True)
--- a/vanerelay/net/engine_protocol.py
+++ b/vanerelay/net/engine_protocol.py
@@ -1,4 +1,4 @@
-"""The transport's side of a connection to an engine: bytes in, bytes out, and when all has left."""
+"""The Twisted protocol of a connection to an engine: bytes in, bytes out, and notice of all bytes sent."""
 
 from __future__ import annotations
 
@@ -17,21 +17,25 @@
 
 
 class ProtocolOwner(Interface):
-    """The connection, as the transport's side of it sees it."""
+    """The connection that an `EngineProtocol` reports to."""
 
     def received(self, data: bytes) -> None:
-        """The engine sent something."""
+        """Handles bytes that the engine sent."""
 
-    def lost(self, cause: EndCause) -> None:
-        """The connection has ended."""
+    def connection_lost(self, cause: EndCause) -> None:
+        """Handles the end of the connection."""
 
-    def drained(self) -> None:
-        """All that was handed to the transport has left."""
+    def all_sent(self) -> None:
+        """Called each time the transport has sent everything that was written to it."""
 
 
 @implementer(IPullProducer)
 class EngineProtocol(Protocol):
-    """Hands bytes over, and learns from the transport each time that all handed to it has left."""
+    """Passes received bytes to its connection, and tells it whenever the transport has sent everything.
+
+    It is registered with the transport as a pull producer: the transport calls `resumeProducing` each time
+    its write buffer is empty.
+    """
 
     transport: Any
 
@@ -39,36 +43,36 @@
         self.connection = connection
 
     def connectionMade(self) -> None:
-        """Asks the transport to report what has left."""
+        """Sets the socket options and registers for notice of an empty write buffer."""
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
         self.transport.registerProducer(self, False)
 
     def dataReceived(self, data: bytes) -> None:
-        """Hands on what the engine sent."""
+        """Passes the received bytes to the connection."""
         self.connection.received(data)
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
-        """The connection is no more."""
-        self.connection.lost(EndCause.CONNECTION_LOST)
+        """Reports the end of the connection."""
+        self.connection.connection_lost(EndCause.CONNECTION_LOST)
 
     def resumeProducing(self) -> None:
-        """All that was handed over has left."""
-        self.connection.drained()
+        """Reports that everything written to the transport was sent."""
+        self.connection.all_sent()
 
     def stopProducing(self) -> None:
-        """The transport is closed, which `connectionLost` tells as well."""
+        """Does nothing: `connectionLost` also reports that the transport was closed."""
 
-    def read_waiting(self) -> bool:
-        """Reads what has come; whether that was not the connection's end."""
+    def read_available(self) -> bool:
+        """Reads the bytes that have arrived; returns False if the connection has ended."""
         return self.transport.doRead() is None
 
     def close(self) -> None:
-        """Closes once all has left."""
+        """Closes the connection once everything written was sent."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
     def abort(self) -> None:
-        """Closes now."""
+        """Closes the connection at once and discards unsent bytes."""
         self.transport.unregisterProducer()
         self.transport.abortConnection()
--- a/vanerelay/net/load_reports.py
+++ b/vanerelay/net/load_reports.py
@@ -1,4 +1,4 @@
-"""The named values of an engine's answer: the work done and the engine's load."""
+"""The fields of an engine's answer that report the work done and the engine's load."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from vanerelay.net import request_codec
 
-REPORTED = {
+SETTINGS_NAMES = {
     "inflight": "busy_reqs",
     "queue": "pending",
     "util": "cpu_share",
@@ -14,35 +14,35 @@
     "qps": "served_ps",
     "eps": "failed_ps",
 }
-"""The names of reported values on the engines' wire against those of the settings."""
+"""The names of reported values in the settings, by their names on the wire."""
 
 
 def work(fields: Mapping[str, str]) -> int:
-    """The work that an answer reports, in ticks; 0 where none can be used."""
-    return round(_figure(fields, "elapsed") * request_codec.TICKS_PER_MS)
+    """Returns the work that an answer reports, in ticks; 0 if it is missing or invalid."""
+    return round(_value_or_zero(fields, "elapsed") * request_codec.TICKS_PER_MS)
 
 
 def peak_memory(fields: Mapping[str, str]) -> float:
-    """The peak of memory that an answer reports, in MB; 0 where none can be used."""
-    return _figure(fields, "rss")
+    """Returns the memory peak that an answer reports, in MB; 0 if it is missing or invalid."""
+    return _value_or_zero(fields, "rss")
 
 
 def load_values(fields: Mapping[str, str]) -> dict[str, float]:
-    """The load that an answer reports, by the names of the settings; what is no figure is left out."""
+    """Returns the load that an answer reports, by the names in the settings; invalid numbers are left out."""
     return parse_load(fields.get("l", ""))
 
 
 def parse_load(text: str) -> dict[str, float]:
-    """Reported values as they stand in one field."""
+    """Parses reported values of the form `name:value;name:value`; invalid numbers are left out."""
     values = {}
     for pair in text.split(";"):
         name, _, value = pair.partition(":")
         try:
-            values[REPORTED.get(name, name)] = float(value)
+            values[SETTINGS_NAMES.get(name, name)] = float(value)
         except ValueError:
             continue
     return values
 
 
-def _figure(fields: Mapping[str, str], name: str) -> float:
+def _value_or_zero(fields: Mapping[str, str], name: str) -> float:
     return request_codec.figure(fields, name) or 0.0
--- a/vanerelay/net/resp_codec.py
+++ b/vanerelay/net/resp_codec.py
@@ -1,4 +1,4 @@
-"""The protocol of engines on one connection, without the connection: RESP arrays in, ends of attempts out."""
+"""The protocol of one engine connection, without input and output: RESP arrays in, ends of attempts out."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 MAX_RESULT_BYTES, MAX_PAGE_BYTES = 48_000, 6_000
 _MAX_LINE_BYTES = 32
-"""No line of a header is longer."""
+"""Maximum length of the header line of an array or a string."""
 _ANSWER_PARTS = 4
+"""Number of strings in an answer: identifier, type, fields, body."""
 _MAX_BULK_BYTES = 65_536
-"""Well past a page with its fields: what is longer is no answer."""
+"""Maximum size of a string; a page and its fields are much smaller."""
 _ROWS = re.compile(rb"(?:[^\x00-\x0c\x0e-\x1f]*\t[^\x00-\x0c\x0e-\x1f]*\t[^\x00-\x0c\x0e-\x1f]*\n)*")
 
 PROGRESS_KINDS = {
@@ -23,109 +24,115 @@
     "missing": ProgressKind.SPILL,
     "parked": ProgressKind.WAITING,
 }
-"""The kinds of progress by their names on the wire. Not every deployment has them."""
+"""The kinds of progress by their names on the wire. Engines of some deployments do not report them."""
 END_CAUSES = {b"BUSY": EndCause.BUSY, b"ERR": EndCause.ERROR, b"VOID": EndCause.VOID}
-"""What ends an attempt without rows, by its name on the wire."""
-BAD_PAGE = "a page that is none"
+"""The causes that end an attempt without rows, by their names on the wire."""
+BAD_PAGE = "invalid result page"
 
 
-class _NotRespError(Exception):
-    """What came is not RESP; it stays within this module."""
+class _InvalidRespError(Exception):
+    """The input is not valid RESP; raised and handled in this module only."""
 
 
-class BulkReader:
-    """Fed bytes in any pieces, gives arrays of bulk strings; None once what came is not readable."""
+class RespReader:
+    """Parses arrays of bulk strings from bytes that arrive in pieces of any size."""
 
     def __init__(self, pool: Pool) -> None:
-        self._held = Gather(pool)
-        self._parts_expected = 0  # of the array that is being read; 0 between two
+        self._buffer = Gather(pool)
+        self._parts_expected = 0  # of the current array; 0 between two arrays
         self._parts = list[bytes]()
-        self._size = -1  # of the bulk string that is being read; -1 before its header has come
+        self._size = -1  # of the current string; -1 before its header was read
         self.broken = False
         self.arrays_read = 0
 
     @property
     def partial(self) -> bool:
-        """Whether what came last is not complete."""
-        return not self.broken and (self._parts_expected > 0 or len(self._held) > 0)
+        """Whether the array received last is incomplete."""
+        return not self.broken and (self._parts_expected > 0 or len(self._buffer) > 0)
 
     def feed(self, data: bytes) -> Iterator[list[bytes] | None]:
-        """Reads on; gives each array that is complete now."""
+        """Parses more input, and yields each array that is complete now.
+
+        On invalid input it yields None, and ignores all input from then on.
+        """
         if self.broken:
             return
-        self._held.feed(data)
+        self._buffer.feed(data)
         try:
-            while not self.broken and self._step():
+            while not self.broken and self._read_next():
                 if len(self._parts) == self._parts_expected:
                     parts, self._parts, self._parts_expected = self._parts, [], 0
                     self.arrays_read += 1
                     yield parts
-        except _NotRespError:
-            self.drop()
+        except _InvalidRespError:
+            self.stop()
             yield None
-        self._held.keep()
+        self._buffer.keep()
 
-    def drop(self) -> None:
-        """Reads nothing more."""
+    def stop(self) -> None:
+        """Ignores all further input and releases the buffers."""
         self.broken = True
-        self._held.drop()
+        self._buffer.drop()
 
-    def _step(self) -> bool:
-        """Reads the next header or string; whether there was one."""
+    def _read_next(self) -> bool:
+        """Reads the next header or string; returns False if it is incomplete."""
         if self._parts_expected == 0:
-            count = self._header(b"*", _ANSWER_PARTS)
+            count = self._read_header(b"*", _ANSWER_PARTS)
             if count not in (None, _ANSWER_PARTS):
-                raise _NotRespError
+                raise _InvalidRespError
             self._parts_expected = count or 0
             return count is not None
         if self._size < 0:
-            size = self._header(b"$", _MAX_BULK_BYTES)
+            size = self._read_header(b"$", _MAX_BULK_BYTES)
             self._size = -1 if size is None else size
             return size is not None
-        bulk = self._held.read(self._size + 2)
+        bulk = self._buffer.read(self._size + 2)
         if bulk is None:
             return False
         if bulk[-2:] != b"\r\n":
-            raise _NotRespError
+            raise _InvalidRespError
         self._parts.append(bulk[:-2])
         self._size = -1
         return True
 
-    def _header(self, sign: bytes, largest: int) -> int | None:
-        line = self._held.line(_MAX_LINE_BYTES)
+    def _read_header(self, type_byte: bytes, limit: int) -> int | None:
+        line = self._buffer.line(_MAX_LINE_BYTES)
         if line is None:
-            # Noise without an end of line is known by its first bytes: nobody has to wait for the rest.
-            start = self._held.peek(min(len(self._held), _MAX_LINE_BYTES)) or sign
+            # Invalid input without an end of line is detected from its first bytes, without waiting for more.
+            start = self._buffer.peek(min(len(self._buffer), _MAX_LINE_BYTES)) or type_byte
             digits = start[1:].removesuffix(b"\r")
-            if len(start) >= _MAX_LINE_BYTES or start[:1] != sign or digits and not digits.isdigit():
-                raise _NotRespError
+            if len(start) >= _MAX_LINE_BYTES or start[:1] != type_byte or digits and not digits.isdigit():
+                raise _InvalidRespError
             return None
-        count = number(line[1:].decode("latin-1"), largest)
-        if line[:1] != sign or count is None:
-            raise _NotRespError
+        count = number(line[1:].decode("latin-1"), limit)
+        if line[:1] != type_byte or count is None:
+            raise _InvalidRespError
         return count
 
 
 def command(*parts: bytes) -> bytes:
-    """An array of bulk strings."""
+    """Encodes an array of bulk strings."""
     strings = [b"*%d\r\n" % len(parts)]
     strings.extend(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
     return b"".join(strings)
 
 
-def fields(text: bytes) -> dict[str, str] | None:
-    """The named values in an answer; None where the text is no list of them."""
+def parse_fields(text: bytes) -> dict[str, str] | None:
+    """Parses the `name=value` pairs of an answer; returns None if they are malformed."""
     if text == b"-" or not text:
         return {}
     try:
         pairs = [pair.partition("=") for pair in text.decode().split(",")]
     except UnicodeDecodeError:
         return None
-    return {name: value for name, _, value in pairs} if all(n and sign for n, sign, _ in pairs) else None
+    return {name: value for name, _, value in pairs} if all(n and equals for n, equals, _ in pairs) else None
 
 
-def rows(page: bytes) -> bool:
-    """Whether it is complete rows of three columns of text: noise must not pass for what an engine gave."""
+def has_valid_rows(page: bytes) -> bool:
+    """Returns True if a page consists of complete rows of three text columns.
+
+    Corrupt bytes must not be passed on as an engine's result.
+    """
     try:
         page.decode()
     except UnicodeDecodeError:
@@ -135,9 +142,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryCommand:
-    """A query as it goes to an engine.
+    """A query as it is sent to an engine.
 
-    A grant or a priority of 0 is left to the engine. The client's idempotency key is passed on unaltered.
+    Attributes:
+        service_class: The name of the service class.
+        time_limit_ms: The time limit of the attempt in milliseconds.
+        statement: The statement.
+        memory_grant_mb: The memory grant in MB; 0 leaves it to the engine.
+        priority: The priority; 0 leaves it to the engine.
+        idempotency_key: The client's key, passed on unaltered; empty if there is none.
     """
 
     service_class: bytes
@@ -149,23 +162,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
-    """The progress of an attempt that goes on."""
+class ProgressNote:
+    """A report of an engine on the progress of a running attempt."""
 
     kind: ProgressKind
     value: float
 
 
-def _note(named: dict[str, str]) -> Note | None:
+def _parse_note(values: dict[str, str]) -> ProgressNote | None:
     try:
-        return Note(PROGRESS_KINDS[named["n"]], float(named["datum"]))
+        return ProgressNote(PROGRESS_KINDS[values["n"]], float(values["datum"]))
     except (KeyError, ValueError):
         return None
 
 
 @dataclass(slots=True)
-class _Pages:
-    """An answer in the making: the named values of its first page, and the pages that are there."""
+class _PagedResult:
+    """The result of an attempt while its pages arrive.
+
+    Attributes:
+        fields: The fields of the first page's answer.
+        total: The number of pages.
+        pages: The pages received, by index.
+        size: The size of the received pages in bytes.
+    """
 
     fields: dict[str, str]
     total: int
@@ -174,21 +194,21 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all pages are there."""
+        """Whether all pages were received."""
         return len(self.pages) >= self.total
 
     def joined(self) -> bytes:
-        """The rows of all pages."""
+        """Returns the rows of all pages in order."""
         return b"".join(self.pages[index] for index in range(self.total))
 
-    def put(self, index: int, page: bytes) -> bool:
-        """Takes a page in; whether it is one of these, within the limits of size, and has complete rows.
+    def add(self, index: int, page: bytes) -> bool:
+        """Adds a page; returns False if its index, size or rows are invalid.
 
-        A repeat of one that is there changes nothing.
+        A repeated page changes nothing, and is valid if it equals the first one.
         """
         if index in self.pages:
             return page == self.pages[index]
-        if not 0 <= index < self.total or len(page) > MAX_PAGE_BYTES or not rows(page):
+        if not 0 <= index < self.total or len(page) > MAX_PAGE_BYTES or not has_valid_rows(page):
             return False
         self.pages[index] = page
         self.size += len(page)
@@ -196,38 +216,47 @@
 
 
 class Exchange:
-    """The attempts open on one connection.
+    """The protocol state of one connection: its open attempts and the bytes to write.
 
-    Answers name only an identifier, so each is open here once at a time. The driver sends a query's later
-    attempts elsewhere, as a late answer must not pass for theirs.
+    Answers carry only the attempt's identifier, so an identifier can be open only once at a time. Later
+    attempts of a query are sent on other connections, as a late answer must not be taken for theirs.
 
     Attributes:
-        open: The open attempts, with what has come of their answers.
-        out: What is to be written, in this order.
+        open: The open attempts by identifier, with the part of their result that was received.
+        output: The commands to write, in order.
     """
 
     def __init__(self, pool: Pool, max_open: int, may_cancel: bool) -> None:
-        self._reader = BulkReader(pool)
+        self._reader = RespReader(pool)
         self._max_open = max_open
         self._may_cancel = may_cancel
-        self._abandoned: set[bytes] = set()  # given up here, and open still for all that the engine knows
-        self.open: dict[bytes, _Pages | None] = {}
-        self.out: list[bytes] = []
+        self._abandoned: set[bytes] = set()  # given up here, but the engine may still answer them
+        self.open: dict[bytes, _PagedResult | None] = {}
+        self.output: list[bytes] = []
 
     @property
     def broken(self) -> bool:
-        """Whether nothing more can be read."""
+        """Whether the input was invalid, so that no more of it is read."""
         return self._reader.broken
 
     @property
-    def awaits(self) -> tuple[int, int] | None:
-        """Something that was begun and must go on soon: a message, or pages. Another value where it did."""
-        begun = self._reader.partial or any(pages is not None for pages in self.open.values())
-        return (self._reader.arrays_read, len(self.open)) if begun else None
-
-    def break_off(self, why: str) -> list[tuple[bytes, AttemptEnd]]:
-        """Reads nothing more, as nothing after this can be told apart. All that is open may have run."""
-        self._reader.drop()
+    def partial_read_progress(self) -> tuple[int, int] | None:
+        """A value that changes with each read progress while an array or a result is incomplete; else None.
+
+        If it stays the same for too long, the connection has stalled.
+        """
+        is_partial = self._reader.partial or any(pages is not None for pages in self.open.values())
+        return (self._reader.arrays_read, len(self.open)) if is_partial else None
+
+    def fail_all(self, why: str) -> list[tuple[bytes, AttemptEnd]]:
+        """Stops reading and ends all open attempts as malformed.
+
+        After invalid input, later answers can't be told apart. All open attempts may have run.
+
+        Returns:
+            The identifiers of the open attempts with their ends.
+        """
+        self._reader.stop()
         opened, self.open = self.open, {}
         return [
             (ident, AttemptEnd(EndCause.MALFORMED, _stage(pages), detail=why))
@@ -235,12 +264,12 @@
         ]
 
     @property
-    def worn(self) -> bool:
-        """Whether it is full of abandoned attempts, so that it had better be replaced."""
+    def is_exhausted(self) -> bool:
+        """Whether abandoned attempts take all places, so that the connection should be replaced."""
         return len(self._abandoned) >= self._max_open
 
-    def takes(self, ident: bytes) -> bool:
-        """Whether an attempt of this identifier may be opened."""
+    def can_open(self, ident: bytes) -> bool:
+        """Returns True if an attempt with this identifier may be opened."""
         has_capacity = len(self.open) + len(self._abandoned) < self._max_open
         return (
             has_capacity
@@ -250,118 +279,122 @@
         )
 
     def send_query(self, ident: bytes, query: QueryCommand) -> None:
-        """Opens an attempt of a query."""
-        named = b"sort=%b,patience=%d" % (query.service_class, query.time_limit_ms)
+        """Opens an attempt of a query, and queues its command."""
+        values = b"sort=%b,patience=%d" % (query.service_class, query.time_limit_ms)
         if query.memory_grant_mb > 0:
-            named += b",pool=%d" % query.memory_grant_mb
+            values += b",pool=%d" % query.memory_grant_mb
         if query.priority > 0:
-            named += b",band=%d" % query.priority
+            values += b",band=%d" % query.priority
         if query.idempotency_key:
-            named += b",op=%b" % query.idempotency_key
+            values += b",op=%b" % query.idempotency_key
         self.open[ident] = None
-        self.out.append(command(b"serve", ident, named, query.statement))
+        self.output.append(command(b"serve", ident, values, query.statement))
 
     def send_command(self, ident: bytes, arguments: Sequence[bytes]) -> None:
-        """Opens a command that is no query, answered under `ident` as an attempt is."""
+        """Opens a command other than a query, answered under `ident` as an attempt is."""
         self.open[ident] = None
-        self.out.append(command(*arguments))
+        self.output.append(command(*arguments))
 
     def give_up(self, ident: bytes) -> AttemptStage:
-        """Cancels or abandons an attempt; how far it had come."""
+        """Cancels or abandons an attempt; returns the stage that it had reached."""
         pages = self.open.pop(ident)
         if pages is not None:
-            self.out.append(command(b"release", ident))
+            self.output.append(command(b"release", ident))
         else:
             self._abandon(ident)
         return _stage(pages)
 
     def _abandon(self, ident: bytes) -> None:
         if self._may_cancel:
-            self.out.append(command(b"cancel", ident))
+            self.output.append(command(b"cancel", ident))
         else:
             self._abandoned.add(ident)
 
     def send_health_check(self, tag: bytes) -> None:
-        """Asks whether the engine answers at all."""
-        self.out.append(command(b"health", tag))
+        """Queues a health check."""
+        self.output.append(command(b"health", tag))
 
-    def feed(self, data: bytes) -> Iterator[tuple[bytes, AttemptEnd | Note]]:
-        """Reads on; gives the progress and the ends of attempts."""
+    def feed(self, data: bytes) -> Iterator[tuple[bytes, AttemptEnd | ProgressNote]]:
+        """Parses more input, and yields the progress and the ends of attempts by identifier."""
         for parts in self._reader.feed(data):
             if parts is None:
-                yield from self.break_off("no array of strings")
+                yield from self.fail_all("answer is not an array of four strings")
                 return
-            ident, word, body = parts[0], parts[1], parts[3]
-            named = fields(parts[2])
-            if named is None:
-                yield from self.break_off("fields that are none")
+            ident, answer_type, body = parts[0], parts[1], parts[3]
+            values = parse_fields(parts[2])
+            if values is None:
+                yield from self.fail_all("malformed fields")
                 return
             if ident not in self.open:
-                # Of one given up, a repeat, or of nobody: it belongs to none that is open.
+                # The answer of an attempt that was given up, a repeated one, or one of an unknown identifier.
                 self._abandoned.discard(ident)
                 continue
-            if word == b"NOTE":
-                note = _note(named)
+            if answer_type == b"NOTE":
+                note = _parse_note(values)
                 if note is not None:
                     yield ident, note
                 continue
-            end = self._answered(ident, word, named, body)
+            end = self._handle_answer(ident, answer_type, values, body)
             if isinstance(end, str):
-                # What made one answer malformed may have taken others with it: nothing more is read.
-                yield from self.break_off(end)
+                # The fault behind one malformed answer may have damaged others: nothing more is read.
+                yield from self.fail_all(end)
                 return
             if end is not None:
                 yield ident, end
 
-    def lost(self) -> dict[bytes, AttemptStage]:
-        """The connection has ended; how far all that is open had come."""
+    def connection_lost(self) -> dict[bytes, AttemptStage]:
+        """Ends all open attempts, as the connection has ended; returns the stages that they had reached."""
         stages = {ident: _stage(pages) for ident, pages in self.open.items()}
         self.open.clear()
-        self._reader.drop()
+        self._reader.stop()
         return stages
 
-    def _answered(
-        self, ident: bytes, word: bytes, named: dict[str, str], body: bytes
+    def _handle_answer(
+        self, ident: bytes, answer_type: bytes, values: dict[str, str], body: bytes
     ) -> AttemptEnd | str | None:
-        """The end of the attempt, if this is one; a reason where it cannot be an answer to it."""
+        """Handles an answer of an open attempt.
+
+        Returns:
+            The end of the attempt, None if it continues, or a reason why the answer is malformed.
+        """
         pages = self.open[ident]
-        if word == b"OK":
-            return self._first_page(ident, named, body)
-        if word == b"ROWS" and pages is not None:
-            index = number(named.get("index", ""), MAX_RESULT_BYTES)
-            if index is None or not pages.put(index, body):
+        if answer_type == b"OK":
+            return self._add_first_page(ident, values, body)
+        if answer_type == b"ROWS" and pages is not None:
+            index = number(values.get("index", ""), MAX_RESULT_BYTES)
+            if index is None or not pages.add(index, body):
                 return BAD_PAGE
             return self._end_if_complete(ident, pages)
-        cause = END_CAUSES.get(word)
+        cause = END_CAUSES.get(answer_type)
         if cause is None:
-            return repr((word[:16], named))
+            return repr((answer_type[:16], values))
         del self.open[ident]
         if pages is not None:
-            self.out.append(command(b"release", ident))
-        return AttemptEnd(cause, _stage(pages), b"", named)
+            self.output.append(command(b"release", ident))
+        return AttemptEnd(cause, _stage(pages), b"", values)
 
-    def _first_page(self, ident: bytes, named: dict[str, str], body: bytes) -> AttemptEnd | str | None:
-        """Takes the page with the named values in, and asks for the others."""
-        total = number(named.get("total", ""), MAX_RESULT_BYTES)
+    def _add_first_page(self, ident: bytes, values: dict[str, str], body: bytes) -> AttemptEnd | str | None:
+        """Adds the first page, which has the fields, and requests the other pages."""
+        total = number(values.get("total", ""), MAX_RESULT_BYTES)
         if not total:
-            return "no number of pages"
+            return "missing or invalid number of pages"
         pages = self.open[ident]
         if pages is None:
-            pages = self.open[ident] = _Pages(named, total)
-            self.out.extend(command(b"read", ident, b"%d" % page) for page in range(1, total))
-        if pages.total != total or not pages.put(0, body):
+            pages = self.open[ident] = _PagedResult(values, total)
+            self.output.extend(command(b"read", ident, b"%d" % page) for page in range(1, total))
+        if pages.total != total or not pages.add(0, body):
             return BAD_PAGE
         return self._end_if_complete(ident, pages)
 
-    def _end_if_complete(self, ident: bytes, pages: _Pages) -> AttemptEnd | None:
+    def _end_if_complete(self, ident: bytes, pages: _PagedResult) -> AttemptEnd | None:
         if not pages.complete:
             return None
         if pages.total > 1:
-            self.out.append(command(b"release", ident))
+            self.output.append(command(b"release", ident))
         del self.open[ident]
         return AttemptEnd(EndCause.OK, AttemptStage.COMPLETE_ANSWER, pages.joined(), pages.fields)
 
 
-def _stage(pages: _Pages | None) -> AttemptStage:
-    """How far an attempt has come that was written."""
+def _stage(pages: _PagedResult | None) -> AttemptStage:
+    """Returns the stage of an attempt that was written."""
     return AttemptStage.WRITTEN if pages is None else AttemptStage.PARTIAL_ANSWER
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -116,7 +116,7 @@
             raw_settings = extension.initial_settings(raw_settings)
         self._reload = SettingsReload(
             self.service,
-            lambda address: self.discovery.move(address),
+            lambda address: self.discovery.change_address(address),
             self._extensions,
             self.seed,
             raw_settings,
@@ -154,7 +154,7 @@
         )
 
     def _has_spare_descriptor(self) -> bool:
-        used = self.clients.descriptor_count + self._engines.connections() + startup.OWN_DESCRIPTORS
+        used = self.clients.descriptor_count + self._engines.connection_count() + startup.OWN_DESCRIPTORS
         return used < self._shares.total
 
     def _apply_known_list(self, configuration: Configuration) -> None:
@@ -170,7 +170,7 @@
 
     def run(self) -> None:
         """Serves until a signal ends the program. Raises StartupError where a port could not be opened."""
-        self.discovery.follow()
+        self.discovery.start()
         self._sweep()
         self.reactor.addSystemEventTrigger("before", "shutdown", self._shutdown.begin)
         log.info("serving")
