--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Pairs of events that cross, in the order that does harm; docs/design/races.md lists them.
+"""Race conditions between two events, each in its harmful order; docs/design/races.md lists them.
 
-Every order is brought about by what has happened, never by a length of sleep: a connect is held up by a full
-queue of connections, a process by a signal that stops it.
+No order depends on the length of a sleep: a connect is delayed by a full accept queue, and a process by a
+signal that stops it.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
     until,
 )
 
-CONNECT = {"dialTimeoutUs": 20_000_000}  # longer than a test takes: the connect is let through before
-LEAVE, READY, READINESS = 8, 16, 32
+LONG_CONNECT_TIMEOUT = {"dialTimeoutUs": 20_000_000}  # longer than a test takes, so no connect times out
+CANCEL, READINESS_CHECK, READINESS = 8, 16, 32
 
 
-def returns(engine, connection, ident):
+def send_result(engine, connection, ident):
     engine.return_result(connection, ident)
 
 
@@ -39,219 +39,230 @@
     return struct.pack(">IBI", 5 + len(payload), kind, stream) + payload
 
 
-def settle(client):
-    """Returns once all that the client sent, and all that others sent before, has been read."""
-    client.send(frame(READY, 0, b"\0"))
+def wait_until_read(client):
+    """Returns once the gateway has read all that this client sent, and all that others sent before."""
+    client.send(frame(READINESS_CHECK, 0, b"\0"))
     kind, *_ = client.read()
     assert kind == READINESS
 
 
-def joined(node):
-    """A client that has been heard once: one that only rests is ended after two seconds."""
-    client = node.client()
-    settle(client)
+def connect_client(gateway):
+    """Returns a client that has sent a frame.
+
+    A client that never sends anything is disconnected after two seconds.
+    """
+    client = gateway.client()
+    wait_until_read(client)
     return client
 
 
-def classes(**change):
-    return {"classes": [{**SETTINGS["classes"][0], **change}, SETTINGS["classes"][1]]}
+def settings_with_class(**changes):
+    return {"classes": [{**SETTINGS["classes"][0], **changes}, SETTINGS["classes"][1]]}
 
 
-def cancels(client):
-    client.send(frame(LEAVE, 1))
+def cancel_query(client):
+    client.send(frame(CANCEL, 1))
 
 
-def closes(client):
+def close_connection(client):
     client.file.close()
     client.socket.close()
 
 
-def half_closes(client):
+def half_close_connection(client):
     client.socket.shutdown(socket.SHUT_WR)
 
 
-def resets(client):
+def reset_connection(client):
     reset(client.socket)
 
 
-@pytest.mark.parametrize("leaves", [cancels, closes, half_closes, resets])
+@pytest.mark.parametrize("leave", [cancel_query, close_connection, half_close_connection, reset_connection])
 @pytest.mark.parametrize(
     "limits", [{"cancel": False}, {"cancel": False, "secondCopies": True}, {"cancel": True}]
 )
 @pytest.mark.parametrize("service", ["look", "load"])
-def test_a_client_leaves_while_its_attempt_waits_for_a_connection(started, leaves, limits, service):
-    """Where nothing can be cancelled the attempt was begun all the same once the connection came up."""
-    engine = started.engine(returns, full=True)
-    node = started(member(engine), limits={**CONNECT, **limits})
-    client, other = joined(node), joined(node)
+def test_attempt_waiting_for_a_connection_is_not_sent_when_its_client_leaves(started, leave, limits, service):
+    """Without cancelling, the attempt was still sent once the connection was established."""
+    engine = started.engine(send_result, full=True)
+    gateway = started(member(engine), limits={**LONG_CONNECT_TIMEOUT, **limits})
+    client, other = connect_client(gateway), connect_client(gateway)
     client.ask(1, "a1", service)
     until(engine.connect_pending, "the connect")
-    leaves(client)
-    settle(other)
+    leave(client)
+    wait_until_read(other)
     engine.open()
-    until(lambda: len(engine.connections) == 2, "the connection")  # the first is the one that took the room
+    until(lambda: len(engine.connections) == 2, "the connection")  # the first one fills the accept queue
     other.ask(1, "b1", service)
     assert other.answer()[:2] == (1, 0) and engine.served() == ["b1"]
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", "DELETED"])
-def test_an_engine_is_taken_off_the_list_while_an_attempt_waits_for_a_connection(started, phase):
-    """The attempt was begun whenever the connection came up, past any grace."""
-    slow, other = started.engine(returns, full=True), started.engine(returns)
-    node = started(member(slow, "s-1"), limits=CONNECT)
-    client = joined(node)
+def test_attempt_waiting_for_a_connection_moves_when_its_engine_leaves_the_list(started, phase):
+    """The attempt was sent when the connection was established, however long after the grace period."""
+    slow, other = started.engine(send_result, full=True), started.engine(send_result)
+    gateway = started(member(slow, "s-1"), limits=LONG_CONNECT_TIMEOUT)
+    client = connect_client(gateway)
     client.ask(1, "a1", "load")
     until(slow.connect_pending, "the connect")
-    node.feed.wait_for_poll(node.feed.publish(member(slow, "s-1", phase), member(other, "s-2")))
+    gateway.feed.wait_for_poll(gateway.feed.publish(member(slow, "s-1", phase), member(other, "s-2")))
     slow.open()
     assert client.answer()[:2] == (1, 0) and other.served() == ["a1"] and slow.served() == []
 
 
-def test_an_engine_gets_the_time_that_is_left_when_its_connection_comes_up(started):
-    """It was told what was left when the attempt was planned, up to a connect too long."""
-    engine = started.engine(returns, full=True)
-    client = joined(started(member(engine), limits=CONNECT))
+def test_time_limit_sent_to_the_engine_excludes_the_time_of_the_connect(started):
+    """The limit was computed when the attempt was planned, so it was too long by the time of the connect."""
+    engine = started.engine(send_result, full=True)
+    client = connect_client(started(member(engine), limits=LONG_CONNECT_TIMEOUT))
     client.ask(1, "a1", "load", allow="15000")
     until(engine.connect_pending, "the connect")
-    over = time.monotonic() + 0.5
-    until(lambda: time.monotonic() > over, "some time")
+    wait_end = time.monotonic() + 0.5
+    until(lambda: time.monotonic() > wait_end, "some time")
     engine.open()
     assert client.answer()[:2] == (1, 0)
-    told = dict(pair.split("=") for pair in engine.commands[0][2].split(","))
-    assert int(told["patience"]) <= 15000 - 500
+    command_fields = dict(pair.split("=") for pair in engine.commands[0][2].split(","))
+    assert int(command_fields["patience"]) <= 15000 - 500
 
 
-def test_the_window_for_repeats_ends_while_an_attempt_waits_for_a_connection(started):
-    """It was looked at when the attempt was planned, not when it was written."""
-    first, second = started.engine(lambda *_: None), started.engine(returns, full=True)
-    settings = classes(semantics="token", dedupScope="all", windowUs=600_000)
-    node = started(member(first, "s-1"), limits={**CONNECT, "secondCopies": True}, settings=settings)
-    client = joined(node)
+def test_retry_waiting_for_a_connection_is_not_sent_after_the_repeat_window(started):
+    """The window was checked when the attempt was planned, not when it was written."""
+    first, second = started.engine(lambda *_: None), started.engine(send_result, full=True)
+    settings = settings_with_class(semantics="token", dedupScope="all", windowUs=600_000)
+    gateway = started(
+        member(first, "s-1"), limits={**LONG_CONNECT_TIMEOUT, "secondCopies": True}, settings=settings
+    )
+    client = connect_client(gateway)
     client.ask(1, "a1")
     until(first.served, "the first attempt")
-    node.feed.wait_for_poll(node.feed.publish(member(first, "s-1", "DRAINING"), member(second, "s-2")))
+    gateway.feed.wait_for_poll(gateway.feed.publish(member(first, "s-1", "DRAINING"), member(second, "s-2")))
     reset(first.connections[0])
     until(second.connect_pending, "the connect")
-    second.open()  # the system tries it again a second after the first try
+    second.open()  # the kernel retries the connect one second after the first try
     assert client.answer()[:2] == (1, 1) and second.served() == []  # harmless, as all engines drop repeats
 
 
-def test_a_client_has_gone_before_its_query_is_read(started):
-    """A process that stood still reads a query, and only with its next look the end of its client."""
-    engine = started.engine(returns)
-    node = started(member(engine))
-    client, other = joined(node), joined(node)
-    settle(client)
+def test_query_is_not_sent_when_its_client_left_before_it_was_read(started):
+    """After a pause, a process reads the query first, and the end of the connection only in its next poll."""
+    engine = started.engine(send_result)
+    gateway = started(member(engine))
+    client, other = connect_client(gateway), connect_client(gateway)
+    wait_until_read(client)
 
-    def ask_and_go():
+    def ask_and_disconnect():
         client.ask(1, "a1")
-        closes(client)
+        close_connection(client)
 
-    pause_process(node, ask_and_go, 0.3)
+    pause_process(gateway, ask_and_disconnect, 0.3)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0) and engine.served() == ["b1"]
 
 
-def test_a_client_has_gone_while_its_query_waits_in_the_admission_queue(started):
-    """The answer that makes room for it and its client's end come in one look, the answer first."""
-    held = []
-    engine = started.engine(lambda e, c, i: held.append((c, i)))
+def test_queued_query_is_not_sent_when_its_client_left_before_its_turn(started):
+    """One poll returns the answer that frees the engine and the end of the client, with the answer first."""
+    pending = []
+    engine = started.engine(lambda e, c, i: pending.append((c, i)))
     one_at_a_time = {**SETTINGS["familyInfo"], "parallelism": [100, 100]}
-    node = started(member(engine), settings={"familyInfo": one_at_a_time})
-    busy, client, other = joined(node), joined(node), joined(node)
-    busy.ask(1, "w1")
-    until(lambda: held, "the attempt that fills the engine")
+    gateway = started(member(engine), settings={"familyInfo": one_at_a_time})
+    busy_client, client, other = connect_client(gateway), connect_client(gateway), connect_client(gateway)
+    busy_client.ask(1, "w1")
+    until(lambda: pending, "the attempt that fills the engine")
     client.ask(1, "a1")
-    settle(client)
+    wait_until_read(client)
 
-    def answer_and_go():
-        engine.script = returns
-        engine.return_result(*held[0])
-        closes(client)
+    def answer_and_disconnect():
+        engine.script = send_result
+        engine.return_result(*pending[0])
+        close_connection(client)
 
-    pause_process(node, answer_and_go, 0.3)
+    pause_process(gateway, answer_and_disconnect, 0.3)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0) and engine.served() == ["w1", "b1"]
 
 
-@pytest.mark.parametrize("rest", [b"x" * 40_000_000, frame(2, 1, b"\0") * 4_000_000], ids=["noise", "frames"])
-def test_a_client_that_breaks_the_protocol_gets_complete_answers(started, rest):
-    """A close over what it had still sent was a reset, which takes along what was not read yet."""
+@pytest.mark.parametrize(
+    "remaining_input", [b"x" * 40_000_000, frame(2, 1, b"\0") * 4_000_000], ids=["noise", "frames"]
+)
+def test_client_gets_complete_answers_after_a_protocol_error(started, remaining_input):
+    """A close with unread input sends a reset, which discards answers that the client has not read yet."""
     engine = started.engine(lambda *_: None)
-    node = started(member(engine))
-    client = joined(node)
+    gateway = started(member(engine))
+    client = connect_client(gateway)
     client.ask(1, "a1")
     until(engine.served, "the attempt")
-    client.send(frame(99, 1) + rest)
+    client.send(frame(99, 1) + remaining_input)
     assert client.read() == (4, 1, b"\2\0") and client.read() == (4, 0, b"\2\0")
-    assert client.socket.recv(1) == b""  # its end, no reset
+    assert client.socket.recv(1) == b""  # an orderly close, not a reset
+
 
+def test_query_sent_after_a_drain_closed_the_idle_connection_is_not_run(started):
+    """The query is read after this gateway closed its side, and is not sent to an engine.
 
-def test_a_resting_connection_is_ended_by_a_drain_and_a_query_crosses(started):
-    """It is read after our end, and is not sent on; who never ends its side does not keep us from ending."""
-    engine = started.engine(returns)
-    node = started(member(engine))
-    client = joined(node)
-    settle(client)
-    node.process.send_signal(signal.SIGTERM)
+    A client that never closes its side must not keep the gateway from exiting.
+    """
+    engine = started.engine(send_result)
+    gateway = started(member(engine))
+    client = connect_client(gateway)
+    wait_until_read(client)
+    gateway.process.send_signal(signal.SIGTERM)
     assert client.read() == (64, 0, b"")
     assert client.socket.recv(1) == b""
     client.ask(1, "a1")
-    assert node.process.wait(30) == 0 and engine.served() == []
+    assert gateway.process.wait(30) == 0 and engine.served() == []
 
 
-def test_a_query_that_comes_after_the_time_for_queries_is_rejected_at_once(started):
-    """It was taken, and lost where the kill came before its answer."""
-    held = []
-    engine = started.engine(lambda e, c, i: held.append((c, i)))
-    node = started(member(engine))
-    client, resting = joined(node), joined(node)
+def test_query_after_the_accepting_period_of_a_drain_is_rejected_at_once(started):
+    """The query was accepted, and lost when the process was killed before its answer."""
+    pending = []
+    engine = started.engine(lambda e, c, i: pending.append((c, i)))
+    gateway = started(member(engine))
+    client, idle_client = connect_client(gateway), connect_client(gateway)
     client.ask(1, "a1", "load")
-    settle(resting)
-    until(lambda: held, "the attempt")
-    node.process.send_signal(signal.SIGTERM)
-    assert resting.read() == (64, 0, b"") and resting.socket.recv(1) == b""  # the time is over
+    wait_until_read(idle_client)
+    until(lambda: pending, "the attempt")
+    gateway.process.send_signal(signal.SIGTERM)
+    # The end of the idle connection shows that the accepting period is over.
+    assert idle_client.read() == (64, 0, b"") and idle_client.socket.recv(1) == b""
     client.ask(2, "a2")
     assert client.read() == (64, 0, b"") and client.answer()[:2] == (2, 1)
-    engine.return_result(*held[0])
-    assert client.answer()[:2] == (1, 0) and node.process.wait(30) == 0 and engine.served() == ["a1"]
+    engine.return_result(*pending[0])
+    assert client.answer()[:2] == (1, 0) and gateway.process.wait(30) == 0 and engine.served() == ["a1"]
 
 
-def test_queries_that_had_come_when_the_time_for_queries_ended_are_answered(started):
-    """They lay unread while the process stood still over the end of a drain's times."""
-    engine = started.engine(returns)
-    node = started(member(engine))
-    client = joined(node)
-    settle(client)
+def test_query_received_in_the_accepting_period_of_a_drain_is_answered_after_a_pause(started):
+    """The query was unread while the process was paused past the end of the accepting period."""
+    engine = started.engine(send_result)
+    gateway = started(member(engine))
+    client = connect_client(gateway)
+    wait_until_read(client)
 
-    def term_and_ask():
-        node.process.send_signal(signal.SIGTERM)
+    def terminate_and_ask():
+        gateway.process.send_signal(signal.SIGTERM)
         client.ask(1, "a1")
 
-    pause_process(node, term_and_ask, 0.9)
+    pause_process(gateway, terminate_and_ask, 0.9)
     answers = [client.read(), client.read()]
     assert (64, 0, b"") in answers and any(one[:2] == (4, 1) and one[2][0] == 0 for one in answers)
-    assert node.process.wait(30) == 0
+    assert gateway.process.wait(30) == 0
 
 
-def test_two_terminations_and_new_configurations_in_between_are_one(started):
-    held = []
-    engine = started.engine(lambda e, c, i: held.append((c, i)))
-    node = started(member(engine))
-    client = joined(node)
+def test_repeated_termination_and_reload_signals_cause_one_drain(started):
+    pending = []
+    engine = started.engine(lambda e, c, i: pending.append((c, i)))
+    gateway = started(member(engine))
+    client = connect_client(gateway)
     client.ask(1, "a1", "load")
-    until(lambda: held, "the attempt")
+    until(lambda: pending, "the attempt")
     for sent in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-        node.process.send_signal(sent)
+        gateway.process.send_signal(sent)
     assert client.read() == (64, 0, b"")
-    node.process.send_signal(signal.SIGTERM)
-    engine.return_result(*held[0])
-    assert client.answer()[:2] == (1, 0) and node.process.wait(30) == 0
-    assert "Traceback" not in node.log.read_text()
+    gateway.process.send_signal(signal.SIGTERM)
+    engine.return_result(*pending[0])
+    assert client.answer()[:2] == (1, 0) and gateway.process.wait(30) == 0
+    assert "Traceback" not in gateway.log.read_text()
 
 
 @pytest.mark.parametrize(
-    ("told", "code", "fields"),
+    ("key", "status", "fields"),
     [
         ({"replay": "0ad86c9d46b2f30e6728b01990d675c6"}, 0, "op=0ad86c9d46b2f30e6728b01990d675c6"),
         ({"replay": "a-b_c.d:e/f+9"}, 0, "op=a-b_c.d:e/f+9"),
@@ -261,141 +272,147 @@
         ({"replay": "\n"}, 2, None),
     ],
 )
-def test_the_idempotency_key_reaches_every_engine_unaltered(started, told, code, fields):
-    """Without it no engine can tell a repeat; seen under settings of our own, on every day."""
-    engine = started.engine(returns)
-    settings = classes(semantics="token", dedupScope="all", windowUs=5_000_000)
-    client = joined(started(member(engine), settings=settings))
-    client.ask(1, "a1", **told)
-    assert client.answer()[:2] == (1, code)
+def test_idempotency_key_is_passed_on_unaltered_or_the_query_is_rejected(started, key, status, fields):
+    """Without the key, no engine can detect a repeat."""
+    engine = started.engine(send_result)
+    settings = settings_with_class(semantics="token", dedupScope="all", windowUs=5_000_000)
+    client = connect_client(started(member(engine), settings=settings))
+    client.ask(1, "a1", **key)
+    assert client.answer()[:2] == (1, status)
     sent = [command[2].split(",") for command in engine.commands if command[0] == "serve"]
     assert [fields in one for one in sent] == ([True] if fields else [])
 
 
-def test_queries_of_one_key_run_one_at_a_time_in_order(started):
-    """The key was not read from the frame: all of them ran at once."""
-    held = []
-    engine = started.engine(lambda e, c, i: held.append((c, i)))
-    settings = classes(inTurn=True)
-    client = joined(started(member(engine), settings=settings))
+def test_queries_with_the_same_order_key_run_one_at_a_time(started):
+    """When the key was not read from the frame, all queries ran at once."""
+    pending = []
+    engine = started.engine(lambda e, c, i: pending.append((c, i)))
+    settings = settings_with_class(inTurn=True)
+    client = connect_client(started(member(engine), settings=settings))
     for stream, key in ((1, "t-7"), (2, "t-7"), (3, "t-8")):
         client.ask(stream, f"a{stream}", lookup=key)
-    settle(client)
-    until(lambda: len(held) == 2, "the first of each key")
+    wait_until_read(client)
+    until(lambda: len(pending) == 2, "the first of each key")
     assert sorted(engine.served()) == ["a1", "a3"]
-    for connection, ident in list(held):
+    for connection, ident in list(pending):
         engine.return_result(connection, ident)
-    until(lambda: len(held) == 3, "the second of its key")
-    assert held[2][1] == ref("a2")
+    until(lambda: len(pending) == 3, "the second of its key")
+    assert pending[2][1] == ref("a2")
 
 
-def test_a_client_that_floods_the_same_query_and_leaves_earns_no_attempts(started):
-    """Seen on a day with bad clients under settings of our own: they broke the retry budget."""
+def test_cancelled_repeats_of_a_query_do_not_increase_the_retry_budget(started):
+    """Misbehaving clients that cancelled the same query again and again made retries exceed the budget."""
     engine = started.engine(lambda e, c, i: reset(c))
     safety = {**SETTINGS["safety"], "ratioSpanUs": 20_000_000, "extraRatio": 0.1, "minExtra": 1}
-    node = started(member(engine), settings={"safety": safety})
-    flood, client = joined(node), joined(node)
+    gateway = started(member(engine), settings={"safety": safety})
+    flooding_client, client = connect_client(gateway), connect_client(gateway)
     for stream in range(1, 101):
-        flood.ask(stream, "f0")
-        flood.send(frame(LEAVE, stream))
-    flood.send(frame(READY, 0, b"\0"))
-    while flood.read()[0] != READINESS:
-        pass  # an answer that was written before its client's leaving was read
+        flooding_client.ask(stream, "f0")
+        flooding_client.send(frame(CANCEL, stream))
+    flooding_client.send(frame(READINESS_CHECK, 0, b"\0"))
+    while flooding_client.read()[0] != READINESS:
+        pass  # an answer that was written before the cancel was read
     asked = [f"a{stream}" for stream in range(1, 9)]
     for stream, name in enumerate(asked, 1):
         client.ask(stream, name)
         client.answer()
     retries = [name for name in engine.served() if name in asked]
-    assert len(retries) <= len(asked) + 1  # 1 and a tenth of 9 queries
-
-
-def test_a_discovery_service_that_moved_to_where_nobody_is(started):
-    """What the former one had to tell was not heard any more."""
-    one, two = started.engine(returns), started.engine(returns)
-    node = started(member(one, "s-1"))
-    with socket.create_server(("127.0.0.1", 0)) as nobody:
-        dead = f"127.0.0.1:{nobody.getsockname()[1]}"
-    told = json.loads(node.config.read_text())
-    node.config.write_text(json.dumps({**told, "feed": dead}))
-    node.process.send_signal(signal.SIGHUP)
-    until(lambda: "discovery poll failed" in node.log.read_text(), "the failure")
-    node.feed.wait_for_poll(node.feed.publish(member(one, "s-1", "DELETED"), member(two, "s-2")))
-    client = joined(node)
+    assert len(retries) <= len(asked) + 1  # minExtra of 1, and a tenth of 9 queries
+
+
+def test_previous_discovery_address_is_polled_while_the_new_one_fails(started):
+    """Changes at the previous address were no longer received."""
+    one, two = started.engine(send_result), started.engine(send_result)
+    gateway = started(member(one, "s-1"))
+    with socket.create_server(("127.0.0.1", 0)) as unused_port:
+        unused_address = f"127.0.0.1:{unused_port.getsockname()[1]}"
+    configuration = json.loads(gateway.config.read_text())
+    gateway.config.write_text(json.dumps({**configuration, "feed": unused_address}))
+    gateway.process.send_signal(signal.SIGHUP)
+    until(lambda: "discovery poll failed" in gateway.log.read_text(), "the failure")
+    gateway.feed.wait_for_poll(gateway.feed.publish(member(one, "s-1", "DELETED"), member(two, "s-2")))
+    client = connect_client(gateway)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0) and two.served() == ["a1"]
-    assert node.log.read_text().count("discovery poll failed") == 1
+    assert gateway.log.read_text().count("discovery poll failed") == 1
 
 
-def test_several_signals_to_end_that_come_in_one_pass_are_one(started):
-    """The second stopped a reactor that was stopped already, and met a fault."""
-    node = started(member(started.engine(returns)))
-    joined(node)
+def test_several_termination_signals_in_one_pass_end_the_process_cleanly(started):
+    """The second signal stopped a reactor that was already stopped, which raised an error."""
+    gateway = started(member(started.engine(send_result)))
+    connect_client(gateway)
 
-    def signals():
+    def send_signals():
         for number in (signal.SIGTERM, signal.SIGINT):
-            node.process.send_signal(number)
+            gateway.process.send_signal(number)
 
-    pause_process(node, signals, 0.1)
-    assert node.process.wait(WAIT_TIMEOUT_S) == 0
-    assert "Traceback" not in node.log.read_text()
+    pause_process(gateway, send_signals, 0.1)
+    assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
+    assert "Traceback" not in gateway.log.read_text()
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGINT])
-def test_signals_until_the_very_end_change_nothing(started, number):
-    """Once the interpreter took its handlers down, the next one ended the process by itself."""
-    node = started(member(started.engine(returns)))
-    joined(node)
-    node.process.send_signal(signal.SIGTERM)
-    until(lambda: node.process.send_signal(number) or node.process.poll() is not None, "the end", 0.0005)
-    assert node.process.returncode == 0
+def test_signals_until_the_exit_do_not_change_the_exit_status(started, number):
+    """After the interpreter had removed its handlers, the next signal killed the process."""
+    gateway = started(member(started.engine(send_result)))
+    connect_client(gateway)
+    gateway.process.send_signal(signal.SIGTERM)
+    until(
+        lambda: gateway.process.send_signal(number) or gateway.process.poll() is not None, "the end", 0.0005
+    )
+    assert gateway.process.returncode == 0
 
 
-def test_a_discovery_service_that_answers_at_once_without_events_is_not_polled_in_a_storm(started):
+def test_polls_are_spaced_when_the_discovery_service_answers_at_once_without_events(started):
     feed = FakeDiscoveryService()
-    node = started(member(started.engine(returns)), feed=feed)
-    empty = b'{"n":1,"events":[]}'
+    gateway = started(member(started.engine(send_result)), feed=feed)
+    empty_answer = b'{"n":1,"events":[]}'
     feed.raw_answers.extend(
-        [b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%b" % (len(empty), empty)] * 1000
+        [
+            b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%b"
+            % (len(empty_answer), empty_answer)
+        ]
+        * 1000
     )
     asked = len(feed.polls)
-    pause_process(node, lambda: None, 0.1)
+    pause_process(gateway, lambda: None, 0.1)
     until(lambda: len(feed.polls) > asked + 2, "some polls")
-    seen, began = len(feed.polls), time.monotonic()
-    until(lambda: len(feed.polls) >= seen + 4, "four more polls")
-    assert time.monotonic() - began >= 3 * 0.25  # the pause that had begun is not counted
+    polls_before, start = len(feed.polls), time.monotonic()
+    until(lambda: len(feed.polls) >= polls_before + 4, "four more polls")
+    assert time.monotonic() - start >= 3 * 0.25  # the pause before the first of them had begun earlier
 
 
-def test_a_discovery_service_that_stops_within_an_answer_is_polled_again_before_the_wait_is_over(started):
-    """Each process waited for the rest until the time for the whole poll was over."""
-    feed, one, two = FakeDiscoveryService(), started.engine(returns), started.engine(returns)
-    node = started(member(one, "s-1"), feed=feed, limits={"dialTimeoutUs": 20_000_000})
+def test_discovery_is_polled_again_soon_after_an_answer_that_stops_in_the_middle(started):
+    """Each gateway waited for the rest of the answer until the time-out of the whole poll."""
+    feed, one, two = FakeDiscoveryService(), started.engine(send_result), started.engine(send_result)
+    gateway = started(member(one, "s-1"), feed=feed, limits={"dialTimeoutUs": 20_000_000})
     feed.answers_to_truncate = 1
     feed.wait_for_poll(feed.publish(member(one, "s-1", "DELETED"), member(two, "s-2")))
-    client = joined(node)
+    client = connect_client(gateway)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0) and two.served() == ["a1"]
 
 
-def test_idle_clients_fill_the_descriptors_while_discovery_is_down(started):
-    feed, one, two = FakeDiscoveryService(), started.engine(returns), started.engine(returns)
-    down = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-    feed.raw_answers.extend([down] * 100_000)
-    node = started(member(one, "s-1"), feed=feed, sockets=48)
-    idle = [node.client() for _ in range(60)]
-    until(lambda: "discovery poll failed" in node.log.read_text(), "the failure")
+def test_discovery_recovers_while_idle_clients_use_all_descriptors(started):
+    feed, one, two = FakeDiscoveryService(), started.engine(send_result), started.engine(send_result)
+    unavailable = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+    feed.raw_answers.extend([unavailable] * 100_000)
+    gateway = started(member(one, "s-1"), feed=feed, sockets=48)
+    idle = [gateway.client() for _ in range(60)]
+    until(lambda: "discovery poll failed" in gateway.log.read_text(), "the failure")
     feed.raw_answers.clear()
     feed.wait_for_poll(feed.publish(member(one, "s-1", "DELETED"), member(two, "s-2")))
-    for rests in idle:  # turned away, or ended for their silence
-        assert rests.read() in ((4, 0, b"\2\0"), None)
-    client = joined(node)
+    for idle_client in idle:  # rejected, or disconnected as they sent nothing
+        assert idle_client.read() in ((4, 0, b"\2\0"), None)
+    client = connect_client(gateway)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0) and two.served() == ["a1"]
-    assert node.process.poll() is None
+    assert gateway.process.poll() is None
 
 
-def flood(node, name):
-    """Many queries at once over eight connections; returns once all are answered."""
-    clients = [joined(node) for _ in range(8)]
+def flood(gateway, name):
+    """Sends many queries at once on eight connections; returns once all are answered."""
+    clients = [connect_client(gateway) for _ in range(8)]
     for number, client in enumerate(clients):
         for stream in range(1, 29):
             client.ask(stream, f"{name}{number}{stream:02}", effort="1200")
@@ -404,30 +421,30 @@
             client.answer()
 
 
-def test_processes_that_are_killed_and_started_again_keep_within_a_cold_engine_s_budget(tmp_path, request):
-    """Each had its whole part again, as nobody told it what it had sent before."""
+def test_restarted_gateways_keep_within_the_slow_start_budget_of_an_engine(tmp_path, request):
+    """Each restarted gateway used its full share again, as it did not know what it had sent before."""
 
     def completes(engine, connection, ident):
         engine.reply(connection, ident, "OK", "total=1,elapsed=1200,rss=40", b"a\tb\tc\n")
 
     engine = FakeEngine(completes)
     request.addfinalizer(engine.close)
-    cold = {"coldFrom": 0.3, "coldUs": 600_000_000, "fallMultiple": 2, "overloadForUs": 120_000_000}
-    nodes = []
+    cold_start = {"coldFrom": 0.3, "coldUs": 600_000_000, "fallMultiple": 2, "overloadForUs": 120_000_000}
+    gateways = []
     for position in range(5):
         folder = tmp_path / f"n{position}"
         folder.mkdir()
-        settings = {"safety": cold, "groupSize": 5, "position": position}
+        settings = {"safety": cold_start, "groupSize": 5, "position": position}
         started = member(engine, started=int(time.time() * 1000))
-        nodes.append(GatewayProcess(folder, FakeDiscoveryService(), started, settings=settings))
-        request.addfinalizer(nodes[-1].close)
-    for life in "ab":
-        for position, node in enumerate(nodes):
-            flood(node, f"{life}{position}")
-        for node in nodes:
-            node.process.kill()
-            node.process.wait()
-        for node in nodes:
-            node.start()
+        gateways.append(GatewayProcess(folder, FakeDiscoveryService(), started, settings=settings))
+        request.addfinalizer(gateways[-1].close)
+    for generation in "ab":
+        for position, gateway in enumerate(gateways):
+            flood(gateway, f"{generation}{position}")
+        for gateway in gateways:
+            gateway.process.kill()
+            gateway.process.wait()
+        for gateway in gateways:
+            gateway.start()
     allowed = 2 * 0.3 * 16 * 120 / 1.2  # in the window of two minutes
     assert 300 < len(engine.served()) <= allowed + 2 * allowed**0.5 + 2
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.helpers import ROOT, SERVICE_CLASS, SETTINGS, SLOW_START, entry, member, until
-from tests.test_crossings import joined, returns
+from tests.test_crossings import connect_client, send_result
 from vanerelay.interface import (
     SECOND,
     DeduplicationScope,
@@ -189,7 +189,7 @@
     (shim / "sitecustomize.py").write_text(
         f"from vanerelay.policy import engine_registry, query, retry_budget, retry_policy\n{ERRING[fault]}\n"
     )
-    one, two = (started.engine(returns if fault == "drain" else errs) for _ in "ab")
+    one, two = (started.engine(send_result if fault == "drain" else errs) for _ in "ab")
     safety = {**SETTINGS["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
     node = started(
         member(one, "s-1"),
@@ -197,7 +197,7 @@
         settings={"safety": safety},
         environment={"PYTHONPATH": f"{shim}:{ROOT}"},
     )
-    client = joined(node)
+    client = connect_client(node)
     if fault == "drain":
         node.feed.wait_for_poll(node.feed.publish(member(one, "s-1", "DRAINING")))
     for stream in range(1, 13):
@@ -216,9 +216,9 @@
 
 
 def test_sound_decisions_violate_nothing(started):
-    engine = started.engine(returns)
+    engine = started.engine(send_result)
     node = started(member(engine))
-    client = joined(node)
+    client = connect_client(node)
     for stream in range(1, 13):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 0)
@@ -244,7 +244,7 @@
 
 def test_reasons_of_closes_are_few_whatever_clients_send(started):
     """The reason of a close told what had come, so that each bad client made a count of its own."""
-    node = started(member(started.engine(returns)))
+    node = started(member(started.engine(send_result)))
     for length in (1, 2, 3):
         bad = node.client()
         bad.send(length.to_bytes(4, "big"))
@@ -260,7 +260,7 @@
 def test_retries_refusals_closes_and_changes_of_state_are_in_the_log_with_their_reasons(started):
     one, two = started.engine(errs), started.engine(errs)
     node = started(member(one, "s-1"), member(two, "s-2"))
-    client = joined(node)
+    client = connect_client(node)
     client.ask(1, "a1")
     client.answer()
     client.ask(2, "a2", "load")
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""The machines of the network code: fed whole, byte by byte and broken."""
+"""Tests of parsers and state machines of the network code, with complete, split and malformed input."""
 
 from __future__ import annotations
 
@@ -28,53 +28,53 @@
 
 
 @pytest.mark.parametrize("size", [1, 5, 1000, BLOCK - 1, BLOCK, BLOCK + 1, 3 * BLOCK])
-def test_what_is_gathered_comes_out_as_fed_and_the_blocks_go_back(size):
+def test_gather_returns_the_bytes_as_fed_and_releases_its_blocks(size):
     pool, data = Pool(), bytes(range(256)) * (4 * BLOCK // 256) + b"end"
-    held, out = Gather(pool), b""
+    gather, out = Gather(pool), b""
     for piece in pieces(data, size):
-        held.feed(piece)
-        while len(held) >= 700:
-            out += held.read(700)
-        held.keep()
-    assert out + held.read(len(held)) == data
-    held.drop()
+        gather.feed(piece)
+        while len(gather) >= 700:
+            out += gather.read(700)
+        gather.keep()
+    assert out + gather.read(len(gather)) == data
+    gather.drop()
     assert pool.taken == 0
 
 
-def test_a_dropped_gather_gives_its_blocks_back():
+def test_dropped_gather_returns_its_blocks_to_the_pool():
     pool = Pool(max_idle=1)
-    held = Gather(pool)
-    held.feed(bytes(3 * BLOCK))
-    held.keep()
-    assert pool.taken == 3 and held.peek(3 * BLOCK + 1) is None
-    held.drop()
-    assert (pool.taken, len(held)) == (0, 0)
+    gather = Gather(pool)
+    gather.feed(bytes(3 * BLOCK))
+    gather.keep()
+    assert pool.taken == 3 and gather.peek(3 * BLOCK + 1) is None
+    gather.drop()
+    assert (pool.taken, len(gather)) == (0, 0)
 
 
 # Clients.
 
 
-def call(stream, body=b"SELECT 1", **fields):
+def request_payload(stream, body=b"SELECT 1", **fields):
     return bytes((len(fields),)) + b"".join(
         bytes((len(n),)) + n.encode() + len(v).to_bytes(2, "big") + v.encode() for n, v in fields.items()
     ) + body, stream
 
 
 def request(stream, body=b"SELECT 1", **fields):
-    return frames.frame(FrameKind.REQUEST, stream, call(stream, body, **fields)[0])
+    return frames.frame(FrameKind.REQUEST, stream, request_payload(stream, body, **fields)[0])
 
 
 @SIZES
-def test_frames_come_out_alike_however_they_come_in(size):
-    reader, big = frames.FrameReader(Pool()), b"x" * (3 * BLOCK)
+def test_frames_are_parsed_alike_for_any_size_of_input_pieces(size):
+    reader, long_body = frames.FrameReader(Pool()), b"x" * (3 * BLOCK)
     data = (
         request(1, ref="a1", allow="1500")
         + frames.frame(FrameKind.CANCEL, 1)
         + frames.frame(FrameKind.READINESS_CHECK, 0, b"\0")
-        + request(9, big)
+        + request(9, long_body)
     )
-    if size:  # byte by byte, but for the long body
-        data, tail = data[: -len(big)], [big]
+    if size:  # small pieces, except for the long body
+        data, tail = data[: -len(long_body)], [long_body]
     else:
         tail = []
     got = [f for piece in pieces(data, size) + tail for f in reader.feed(piece)]
@@ -82,11 +82,11 @@
         frames.Frame(FrameKind.REQUEST, 1, {"ref": "a1", "allow": "1500"}, b"SELECT 1"),
         frames.Frame(FrameKind.CANCEL, 1, {}, b""),
         frames.Frame(FrameKind.READINESS_CHECK, 0, {}, b""),
-        frames.Frame(FrameKind.REQUEST, 9, {}, big),
+        frames.Frame(FrameKind.REQUEST, 9, {}, long_body),
     ]
 
 
-BROKEN = [
+INVALID_FRAMES = [
     (b"\0\0\0\4\2\0\0\0\1", "length"),
     (b"\0\4\0\1\2\0\0\0\1", "length"),
     (b"\xff" * 9, "length"),
@@ -105,8 +105,8 @@
 
 
 @SIZES
-@pytest.mark.parametrize(("data", "why"), BROKEN)
-def test_what_is_no_frame_ends_the_reading(data, why, size):
+@pytest.mark.parametrize(("data", "why"), INVALID_FRAMES)
+def test_malformed_frame_ends_the_parsing(data, why, size):
     pool = Pool()
     reader = frames.FrameReader(pool)
     got = [f for piece in pieces(data + request(50), size) for f in reader.feed(piece)]
@@ -114,12 +114,12 @@
     assert all(isinstance(frame, frames.Frame) for frame in got[:-1]) and pool.taken == 0
 
 
-def test_a_frame_cut_short_is_not_given():
+def test_incomplete_frame_is_not_returned():
     reader = frames.FrameReader(Pool())
     assert list(reader.feed(request(1)[:-1])) == [] and len(list(reader.feed(b"1"))) == 1
 
 
-def test_an_answer_is_laid_out_as_the_page_says():
+def test_answer_frame_is_encoded_as_specified():
     assert frames.answer(FrameKind.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
         b"\0\0\0\x16\4\0\0\0\7\1\1\x08cooldown\0\x03250b"
     )
@@ -128,46 +128,49 @@
 # Engines.
 
 
-def said(ident, word, told="-", body=b""):
-    return resp_codec.command(ident, word, told.encode(), body)
+def reply(ident, answer_type, fields="-", body=b""):
+    return resp_codec.command(ident, answer_type, fields.encode(), body)
 
 
-def exchange(most=4, may_cancel=True):
-    talk = resp_codec.Exchange(Pool(), most, may_cancel)
-    talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
-    talk.out.clear()
-    return talk
+def open_exchange(max_open=4, may_cancel=True):
+    exchange = resp_codec.Exchange(Pool(), max_open, may_cancel)
+    exchange.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
+    exchange.output.clear()
+    return exchange
 
 
-def test_an_attempt_is_encoded_as_the_protocol_says():
-    talk = resp_codec.Exchange(Pool(), 4, True)
-    talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
-    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
-    assert talk.out[0] == b"*4\r\n$5\r\nserve\r\n$1\r\nq\r\n$25\r\nsort=report,patience=1500\r\n$1\r\nS\r\n"
-    talk.send_query(b"s", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 2))
-    assert b"sort=report,patience=1500,pool=96\r\n" in talk.out[1]
-    assert b"sort=report,patience=1500,pool=96,band=2\r\n" in talk.out[2]
+def test_query_command_is_encoded_as_specified():
+    exchange = resp_codec.Exchange(Pool(), 4, True)
+    exchange.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    exchange.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
+    assert (
+        exchange.output[0]
+        == b"*4\r\n$5\r\nserve\r\n$1\r\nq\r\n$25\r\nsort=report,patience=1500\r\n$1\r\nS\r\n"
+    )
+    exchange.send_query(b"s", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 2))
+    assert b"sort=report,patience=1500,pool=96\r\n" in exchange.output[1]
+    assert b"sort=report,patience=1500,pool=96,band=2\r\n" in exchange.output[2]
 
 
-TOLD = "total=3,elapsed=8.5,rss=40,l=queue:3;x0:0.4"
+RESULT_FIELDS = "total=3,elapsed=8.5,rss=40,l=queue:3;x0:0.4"
 
 
 @SIZES
 @pytest.mark.parametrize("order", list(itertools.permutations([1, 2])))
-def test_pages_are_read_and_put_in_order(order, size):
-    talk = exchange()
+def test_result_pages_are_requested_and_joined_in_order(order, size):
+    exchange = open_exchange()
     rows = [b"a\tb\tc\n", b"", b"d\te\tf\r\n$1\t\t\xc3\xb1\n"]
-    data = said(b"q", b"OK", TOLD, rows[0]) + b"".join(
-        2 * said(b"q", b"ROWS", f"index={n}", rows[n]) for n in order
+    data = reply(b"q", b"OK", RESULT_FIELDS, rows[0]) + b"".join(
+        2 * reply(b"q", b"ROWS", f"index={n}", rows[n]) for n in order
     )
-    # What brings more than belongs to it, second copies and an answer to nobody, is as good without.
-    data = said(b"z", b"OK", TOLD, b"x") + said(b"q", b"OK", TOLD, rows[0]) + data
-    got = [end for piece in pieces(data, size) for end in talk.feed(piece)]
+    # Extra answers change nothing: repeated ones, and one of an unknown identifier.
+    data = reply(b"z", b"OK", RESULT_FIELDS, b"x") + reply(b"q", b"OK", RESULT_FIELDS, rows[0]) + data
+    got = [end for piece in pieces(data, size) for end in exchange.feed(piece)]
     assert [(i, e.cause, e.stage, e.rows) for i, e in got] == [
         (b"q", EndCause.OK, AttemptStage.COMPLETE_ANSWER, b"".join(rows))
     ]
     assert got[0][1].fields["l"] == "queue:3;x0:0.4" and got[0][1].fields["rss"] == "40"
-    assert talk.out == [
+    assert exchange.output == [
         resp_codec.command(b"read", b"q", b"1"),
         resp_codec.command(b"read", b"q", b"2"),
         resp_codec.command(b"release", b"q"),
@@ -175,48 +178,48 @@
 
 
 ROW = b"a\tb\tc\n"
-PAGE = said(b"q", b"OK", "total=3", ROW)
+PAGE = reply(b"q", b"OK", "total=3", ROW)
 
 
 @pytest.mark.parametrize(
     ("data", "cause", "stage"),
     [
-        (said(b"q", b"BUSY"), EndCause.BUSY, AttemptStage.WRITTEN),
-        (said(b"q", b"ERR"), EndCause.ERROR, AttemptStage.WRITTEN),
-        (said(b"q", b"VOID"), EndCause.VOID, AttemptStage.WRITTEN),
-        (said(b"q", b"WHAT"), EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (said(b"q", b"OK"), EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (said(b"q", b"OK", "total=0"), EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (said(b"q", b"OK", "total=x"), EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (said(b"q", b"OK", "total=\u00b2"), EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (said(b"q", b"OK", "total=" + "9" * 5000), EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (PAGE + said(b"q", b"ROWS", "index=\u00b2", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
-        (said(b"q", b"OK", "total=1", b"\t\tx\n" * 1501), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
-        (said(b"q", b"OK", "total=1", b"a\tb\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
-        (said(b"q", b"OK", "total=1", ROW + b"a\tb\tc"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (reply(b"q", b"BUSY"), EndCause.BUSY, AttemptStage.WRITTEN),
+        (reply(b"q", b"ERR"), EndCause.ERROR, AttemptStage.WRITTEN),
+        (reply(b"q", b"VOID"), EndCause.VOID, AttemptStage.WRITTEN),
+        (reply(b"q", b"WHAT"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (reply(b"q", b"OK"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (reply(b"q", b"OK", "total=0"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (reply(b"q", b"OK", "total=x"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (reply(b"q", b"OK", "total=\u00b2"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (reply(b"q", b"OK", "total=" + "9" * 5000), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (PAGE + reply(b"q", b"ROWS", "index=\u00b2", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (reply(b"q", b"OK", "total=1", b"\t\tx\n" * 1501), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (reply(b"q", b"OK", "total=1", b"a\tb\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (reply(b"q", b"OK", "total=1", ROW + b"a\tb\tc"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
         (
-            said(b"q", b"OK", "total=1", ROW + b"a\tb\tc\td\n"),
+            reply(b"q", b"OK", "total=1", ROW + b"a\tb\tc\td\n"),
             EndCause.MALFORMED,
             AttemptStage.PARTIAL_ANSWER,
         ),
-        (said(b"q", b"OK", "total=1", b"a\tb\t\xff\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
-        (said(b"q", b"OK", "total=1", b"a\tb\t\0\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
-        (said(b"q", b"OK", "total", ROW), EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (said(b"z", b"OK", "=", ROW), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (reply(b"q", b"OK", "total=1", b"a\tb\t\xff\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (reply(b"q", b"OK", "total=1", b"a\tb\t\0\n"), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (reply(b"q", b"OK", "total", ROW), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (reply(b"z", b"OK", "=", ROW), EndCause.MALFORMED, AttemptStage.WRITTEN),
         (b"*3\r\n$1\r\nq\r\n", EndCause.MALFORMED, AttemptStage.WRITTEN),
         (b"x", EndCause.MALFORMED, AttemptStage.WRITTEN),
         (b"*x", EndCause.MALFORMED, AttemptStage.WRITTEN),
         (b"*4\r\n$1x", EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (said(b"q", b"ROWS", "index=1"), EndCause.MALFORMED, AttemptStage.WRITTEN),
-        (PAGE + said(b"q", b"ERR"), EndCause.ERROR, AttemptStage.PARTIAL_ANSWER),
-        (PAGE + said(b"q", b"BUSY"), EndCause.BUSY, AttemptStage.PARTIAL_ANSWER),
-        (PAGE + said(b"q", b"VOID"), EndCause.VOID, AttemptStage.PARTIAL_ANSWER),
-        (PAGE + said(b"q", b"OK", "total=4", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
-        (PAGE + said(b"q", b"ROWS", "index=0", ROW + ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
-        (PAGE + said(b"q", b"ROWS", "index=3", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
-        (PAGE + said(b"q", b"ROWS", "", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (reply(b"q", b"ROWS", "index=1"), EndCause.MALFORMED, AttemptStage.WRITTEN),
+        (PAGE + reply(b"q", b"ERR"), EndCause.ERROR, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + reply(b"q", b"BUSY"), EndCause.BUSY, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + reply(b"q", b"VOID"), EndCause.VOID, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + reply(b"q", b"OK", "total=4", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + reply(b"q", b"ROWS", "index=0", ROW + ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + reply(b"q", b"ROWS", "index=3", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
+        (PAGE + reply(b"q", b"ROWS", "", ROW), EndCause.MALFORMED, AttemptStage.PARTIAL_ANSWER),
         (
-            PAGE + said(b"q", b"ROWS", "index=1", ROW) + said(b"q", b"ROWS", "index=1", b"\t\t\n"),
+            PAGE + reply(b"q", b"ROWS", "index=1", ROW) + reply(b"q", b"ROWS", "index=1", b"\t\t\n"),
             EndCause.MALFORMED,
             AttemptStage.PARTIAL_ANSWER,
         ),
@@ -230,110 +233,120 @@
     ],
 )
 @SIZES
-def test_every_answer_ends_its_attempt_once(data, cause, stage, size):
-    talk = exchange()
-    got = [end for piece in pieces(data + b" " * 3, size) for end in talk.feed(piece)]
-    assert [(i, e.cause, e.stage) for i, e in got] == [(b"q", cause, stage)] and not talk.open
+def test_answer_ends_its_attempt_once_with_the_expected_cause_and_stage(data, cause, stage, size):
+    exchange = open_exchange()
+    got = [end for piece in pieces(data + b" " * 3, size) for end in exchange.feed(piece)]
+    assert [(i, e.cause, e.stage) for i, e in got] == [(b"q", cause, stage)] and not exchange.open
 
 
-def test_a_result_past_what_the_page_allows_is_not_an_answer():
-    talk = exchange()
-    data = said(b"q", b"OK", "total=9", b"\t\tx\n" * 1500) + b"".join(
-        said(b"q", b"ROWS", f"index={n}", b"\t\tx\n" * 1500) for n in range(1, 9)
+def test_result_above_the_maximum_size_is_malformed():
+    exchange = open_exchange()
+    data = reply(b"q", b"OK", "total=9", b"\t\tx\n" * 1500) + b"".join(
+        reply(b"q", b"ROWS", f"index={n}", b"\t\tx\n" * 1500) for n in range(1, 9)
     )
-    assert [e.cause for _, e in talk.feed(data)] == [EndCause.MALFORMED]
+    assert [e.cause for _, e in exchange.feed(data)] == [EndCause.MALFORMED]
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_late_answer_passes_for_no_other(may_cancel):
-    """Answers name only the id. One given up must not end an attempt of the same query sent later."""
-    talk = exchange(most=2, may_cancel=may_cancel)
-    assert talk.give_up(b"q") is AttemptStage.WRITTEN
-    assert talk.out == ([resp_codec.command(b"cancel", b"q")] if may_cancel else [])
-    assert talk.takes(b"q") == may_cancel and talk.takes(b"r")
-    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
-    assert talk.takes(b"s") == may_cancel  # one that the engine may still run counts among the most
-    assert list(talk.feed(said(b"q", b"OK", "total=1", b"x"))) == [] and b"r" in talk.open
-    assert talk.takes(b"q") and talk.takes(b"s")
+def test_late_answer_of_a_given_up_attempt_does_not_end_another_attempt(may_cancel):
+    """Answers carry only the query's identifier.
+
+    The answer of an attempt that was given up must not end a later attempt of the same query.
+    """
+    exchange = open_exchange(max_open=2, may_cancel=may_cancel)
+    assert exchange.give_up(b"q") is AttemptStage.WRITTEN
+    assert exchange.output == ([resp_codec.command(b"cancel", b"q")] if may_cancel else [])
+    assert exchange.can_open(b"q") == may_cancel and exchange.can_open(b"r")
+    exchange.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    # An attempt that the engine may still run counts towards the limit.
+    assert exchange.can_open(b"s") == may_cancel
+    assert list(exchange.feed(reply(b"q", b"OK", "total=1", b"x"))) == [] and b"r" in exchange.open
+    assert exchange.can_open(b"q") and exchange.can_open(b"s")
 
 
 @SIZES
 @pytest.mark.parametrize(
-    ("told", "note"),
+    ("fields", "note"),
     [
-        ("n=frac,datum=0.5", resp_codec.Note(ProgressKind.PROGRESS, 0.5)),
-        ("n=missing,datum=13", resp_codec.Note(ProgressKind.SPILL, 13.0)),
-        ("n=parked,datum=2", resp_codec.Note(ProgressKind.WAITING, 2.0)),
+        ("n=frac,datum=0.5", resp_codec.ProgressNote(ProgressKind.PROGRESS, 0.5)),
+        ("n=missing,datum=13", resp_codec.ProgressNote(ProgressKind.SPILL, 13.0)),
+        ("n=parked,datum=2", resp_codec.ProgressNote(ProgressKind.WAITING, 2.0)),
         ("n=other,datum=2", None),
         ("n=frac,datum=x", None),
         ("n=frac", None),
         ("-", None),
     ],
 )
-def test_a_note_ends_nothing(told, note, size):
-    """Taken for an answer that cannot be read, it had a query retried beside the one that ran on."""
-    talk, data = exchange(), said(b"q", b"NOTE", told) + said(b"z", b"NOTE", told) + said(b"q", b"ERR")
-    got = [said for piece in pieces(data, size) for _, said in talk.feed(piece)]
+def test_progress_note_does_not_end_its_attempt(fields, note, size):
+    """When a progress note counted as a malformed answer, the query was retried while its attempt ran on."""
+    exchange, data = (
+        open_exchange(),
+        reply(b"q", b"NOTE", fields) + reply(b"z", b"NOTE", fields) + reply(b"q", b"ERR"),
+    )
+    got = [answer for piece in pieces(data, size) for _, answer in exchange.feed(piece)]
     assert got[:-1] == ([note] if note else []) and got[-1].cause is EndCause.ERROR
 
 
-def test_an_unreadable_answer_ends_all_that_is_open_and_the_connection_takes_no_more():
-    talk = exchange()
-    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
-    got = list(talk.feed(b"?"))
+def test_malformed_answer_ends_all_open_attempts_and_no_new_one_can_be_opened():
+    exchange = open_exchange()
+    exchange.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    got = list(exchange.feed(b"?"))
     assert [(i, e.cause) for i, e in got] == [(b"q", EndCause.MALFORMED), (b"r", EndCause.MALFORMED)]
-    assert talk.broken and not talk.takes(b"s") and list(talk.feed(said(b"q", b"ERR"))) == []
+    assert exchange.broken and not exchange.can_open(b"s") and list(exchange.feed(reply(b"q", b"ERR"))) == []
 
 
-def test_something_begun_is_awaited_until_it_is_complete():
-    """A message that stops in its middle says nothing more: only time tells, and the driver must know."""
-    talk, data = exchange(), PAGE
-    assert talk.awaits is None
-    seen = set()
+def test_read_progress_is_reported_until_the_result_is_complete():
+    """A message that stops in the middle is detected by time only, so the read progress is needed."""
+    exchange, data = open_exchange(), PAGE
+    assert exchange.partial_read_progress is None
+    progress_values = set()
     for piece in pieces(data, 1):
-        assert list(talk.feed(piece)) == [] and talk.awaits is not None
-        seen.add(talk.awaits)
-    assert len(seen) == 2  # going on with the pages is another thing to await than the first message
-    assert [e.stage for _, e in talk.break_off("stopped")] == [
+        assert list(exchange.feed(piece)) == [] and exchange.partial_read_progress is not None
+        progress_values.add(exchange.partial_read_progress)
+    assert len(progress_values) == 2  # after the first message the progress has another value
+    assert [e.stage for _, e in exchange.fail_all("stopped")] == [
         AttemptStage.PARTIAL_ANSWER
-    ] and talk.awaits is None
-    assert list(talk.feed(PAGE)) == [] and not talk.takes(b"r")
+    ] and exchange.partial_read_progress is None
+    assert list(exchange.feed(PAGE)) == [] and not exchange.can_open(b"r")
 
 
-def test_a_lost_attempt_reports_how_far_it_had_come():
-    talk = exchange()
-    talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
-    assert list(talk.feed(PAGE)) == []
-    assert talk.lost() == {b"q": AttemptStage.PARTIAL_ANSWER, b"r": AttemptStage.WRITTEN} and not talk.open
+def test_connection_loss_returns_the_stage_of_each_open_attempt():
+    exchange = open_exchange()
+    exchange.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
+    assert list(exchange.feed(PAGE)) == []
+    assert (
+        exchange.connection_lost() == {b"q": AttemptStage.PARTIAL_ANSWER, b"r": AttemptStage.WRITTEN}
+        and not exchange.open
+    )
 
 
 # Ends and outcomes.
 
 
 @pytest.mark.parametrize(("cause", "stage"), list(attempt_outcome.OUTCOMES))
-def test_only_what_is_proved_never_to_have_run_is_said_so(cause, stage):
+def test_outcome_is_never_ran_only_if_that_is_proven(cause, stage):
     outcome = attempt_outcome.OUTCOMES[cause, stage]
-    proved = stage in (AttemptStage.NOT_CONNECTED, AttemptStage.PARTLY_WRITTEN) or (
+    proven = stage in (AttemptStage.NOT_CONNECTED, AttemptStage.PARTLY_WRITTEN) or (
         stage is AttemptStage.WRITTEN and cause in (EndCause.BUSY, EndCause.VOID)
     )
-    assert (outcome in NEVER_RAN) == proved
+    assert (outcome in NEVER_RAN) == proven
     assert (outcome is Outcome.COMPLETED) == (stage is AttemptStage.COMPLETE_ANSWER)
 
 
-def test_the_table_has_a_row_for_every_end_there_is():
-    spoken = (EndCause.BUSY, EndCause.ERROR, EndCause.VOID, EndCause.MALFORMED)
+def test_outcome_table_has_an_entry_for_every_possible_end():
+    answered = (EndCause.BUSY, EndCause.ERROR, EndCause.VOID, EndCause.MALFORMED)
     given_up = (EndCause.TIMEOUT, EndCause.CANCELLED)
-    wanted = {
+    expected_ends = {
         (EndCause.OK, AttemptStage.COMPLETE_ANSWER),
         (EndCause.CONNECTION_LOST, AttemptStage.PARTLY_WRITTEN),
     }
-    wanted |= set(
+    expected_ends |= set(
         itertools.product(
-            (*spoken, *given_up, EndCause.CONNECTION_LOST),
+            (*answered, *given_up, EndCause.CONNECTION_LOST),
             (AttemptStage.WRITTEN, AttemptStage.PARTIAL_ANSWER),
         )
     )
-    wanted |= {
+    expected_ends |= {
         (cause, AttemptStage.NOT_CONNECTED)
         for cause in (
             *given_up,
@@ -343,21 +356,21 @@
             EndCause.NOT_SENT,
         )
     }
-    assert set(attempt_outcome.OUTCOMES) == wanted
+    assert set(attempt_outcome.OUTCOMES) == expected_ends
 
 
 # The discovery service.
 
 BODY = b'{"n":0,"events":[]}'
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 19\r\n\r\n" + BODY
+COMPLETE_REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 19\r\n\r\n" + BODY
 
 
 @SIZES
 @pytest.mark.parametrize(
     ("data", "result"),
     [
-        (WHOLE, discovery_codec.Reply(200, BODY, True)),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE, discovery_codec.Reply(200, BODY, True)),
+        (COMPLETE_REPLY, discovery_codec.Reply(200, BODY, True)),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + COMPLETE_REPLY, discovery_codec.Reply(200, BODY, True)),
         (
             b"HTTP/1.1 200 OK\r\ncontent-length:19\r\nConnection: Close\r\n\r\n" + BODY,
             discovery_codec.Reply(200, BODY, False),
@@ -385,7 +398,7 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", discovery_codec.Unreadable),
     ],
 )
-def test_an_answer_of_the_discovery_service(data, result, size):
+def test_discovery_answer_is_parsed_or_rejected(data, result, size):
     reader, got = discovery_codec.ReplyReader(Pool()), None
     for piece in pieces(data, size):
         got = got or reader.feed(piece)
@@ -402,10 +415,10 @@
         (b"", discovery_codec.Unreadable),
     ],
 )
-def test_a_connection_that_ends_ends_the_answer(data, result):
+def test_closed_connection_completes_or_invalidates_a_discovery_answer(data, result):
     reader = discovery_codec.ReplyReader(Pool())
     assert reader.feed(data) is None
-    got = reader.ended()
+    got = reader.connection_closed()
     assert got == result if isinstance(result, discovery_codec.Reply) else isinstance(got, result)
 
 
@@ -418,7 +431,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "body",
     [
         b"",
         b"[]",
@@ -433,13 +446,13 @@
         {"events": [event(1, {"id": "e"})]},
     ],
 )
-def test_nonsense_from_the_discovery_service_changes_nothing(told):
-    assert isinstance(discovery_codec.parse(told, {}, {}), discovery_codec.Unreadable)
+def test_invalid_discovery_body_is_unreadable(body):
+    assert isinstance(discovery_codec.parse(body, {}, {}), discovery_codec.Unreadable)
 
 
-def test_a_line_of_the_list_in_the_module_s_terms():
-    told = {"events": [event(1, row(phase="DRAINING", cell=2, size=1.5, up_since_ms=7)), {"n": 2, "x": 1}]}
-    changes = discovery_codec.parse(told, {"a": 0, "b": 1}, {"k": 0})
+def test_discovery_event_is_converted_to_engine_entries():
+    answer = {"events": [event(1, row(phase="DRAINING", cell=2, size=1.5, up_since_ms=7)), {"n": 2, "x": 1}]}
+    changes = discovery_codec.parse(answer, {"a": 0, "b": 1}, {"k": 0})
     entry = changes[0].engines[0].entry(5)
     assert (entry.index, entry.zone, entry.machine_kind, entry.cell, entry.weight, entry.started_at) == (
         5,
@@ -449,14 +462,14 @@
         1.0,
         70,
     )
-    assert (changes[0].engines[0].size, changes[0].engines[0].weight) == (1.5, None)  # a size is no weight
+    assert (changes[0].engines[0].size, changes[0].engines[0].weight) == (1.5, None)  # a size is not a weight
     assert entry.state is EngineState.DRAINING and changes[1] == EngineListChange(2, False, [])
     unknown = discovery_codec.parse({"events": [event(1, row(locality="z", flavor="z"))]}, {"a": 0}, {"k": 0})
     assert (unknown[0].engines[0].zone, unknown[0].engines[0].machine_kind) == (1, 1)
 
 
 @pytest.mark.parametrize(
-    ("held", "numbers", "applied", "gap"),
+    ("last_applied", "numbers", "applied", "gap"),
     [
         (0, [1, 2, 3], [1, 2, 3], False),
         (2, [1, 2, 3], [3], False),
@@ -467,14 +480,13 @@
         (2, [-9], [9], False),
     ],
 )
-def test_events_are_applied_once_and_a_gap_is_noticed(held, numbers, applied, gap):
+def test_events_are_applied_once_in_order_up_to_a_gap(last_applied, numbers, applied, gap):
     numbering = discovery_codec.EventNumbers()
-    numbering.held = held
-    new, missing = numbering.take_new(
-        [EngineListChange(abs(n), n < 0, []) for n in numbers]
-    )  # below 0: a whole list
-    assert ([change.number for change in new], missing) == (applied, gap)
-    assert numbering.held == (applied[-1] if applied else held)
+    numbering.last_applied = last_applied
+    # A negative number stands for a complete list.
+    new, found_gap = numbering.take_new([EngineListChange(abs(n), n < 0, []) for n in numbers])
+    assert ([change.number for change in new], found_gap) == (applied, gap)
+    assert numbering.last_applied == (applied[-1] if applied else last_applied)
 
 
 # Statements.
@@ -524,13 +536,13 @@
         ("SELECT * FROM a_1.t LEFT JOIN LATERAL (SELECT * FROM b_2.t) s ON true", [1, 2]),
     ],
 )
-def test_table_groups(statement, groups):
+def test_table_groups_are_found_in_the_statement(statement, groups):
     assert table_groups(statement) == groups and table_group(statement) == (groups or [0])[0]
 
 
 @pytest.mark.parametrize("part", ["(from ", "from ", "'a''", "/*", "a.", "((", "join(", "x_1.", '"a".'])
-def test_the_longest_statement_is_gone_through_once(part):
-    """At each FROM the lexer looked back for its bracket: the longest frame held the loop for minutes."""
+def test_longest_statement_is_scanned_in_one_pass(part):
+    """The lexer searched back for a bracket at each FROM: the longest frame blocked the loop for minutes."""
     assert table_groups(part * (frames.MAX_LENGTH // len(part))) in ([], [1])
 
 
@@ -538,37 +550,37 @@
 
 
 @pytest.mark.parametrize(("before", "after", "group"), [("", "1," * 100_000, 1), (" " * BLOCK, "", 0)])
-def test_only_the_beginning_of_a_statement_is_gone_through(before, after, group):
-    """Bad clients can ask for the longest as often as they like, and each took half a second."""
+def test_only_the_beginning_of_a_long_statement_is_scanned(before, after, group):
+    """Clients can send the longest statement at any rate, and scanning all of it took half a second."""
     assert table_group(f"SELECT *{before} FROM a_1.t WHERE x IN ({after}1)") == group
 
 
 @pytest.mark.parametrize("wall", [5.0, 5.5, 3605.0, -3595.0])
-def test_the_clock_never_goes_back_nor_by_the_wall_clock(wall):
-    """Replaces the test that it never goes back: it also stood still while the wall clock was behind."""
-    told, walls = iter([5.0, 5.0, 4.0, 5.00012, 65.0]), iter([5.0])
-    clock = Clock(lambda: next(told), lambda: next(walls, wall))
+def test_clock_never_goes_back_and_ignores_steps_of_the_wall_clock(wall):
+    """The clock must neither go back nor stand still while the wall clock is behind."""
+    readings, wall_readings = iter([5.0, 5.0, 4.0, 5.00012, 65.0]), iter([5.0])
+    clock = Clock(lambda: next(readings), lambda: next(wall_readings, wall))
     assert [clock.now() for _ in range(4)] == [50_000, 50_000, 50_001, 650_000]
 
 
 @pytest.mark.parametrize(
-    ("at_start", "now", "began", "moment"),
+    ("error_at_start", "error_now", "start", "expected"),
     [
-        (0.0, 0.0, -30.0, -30.0),  # seconds that the wall clock is wrong by; the true start; as taken
+        (0.0, 0.0, -30.0, -30.0),  # wall clock errors, true start and expected start, in seconds
         (0.0, 3600.0, -30.0, -30.0),
         (0.0, -3600.0, -30.0, -30.0),
         (3600.0, 0.0, -30.0, -30.0),
         (-3600.0, 0.0, -30.0, -30.0),
         (0.0, 3600.0, -7200.0, -7200.0),
-        (0.0, -3600.0, -7200.0, -3600.0),  # which of the two is right can't be told: the later one
+        (0.0, -3600.0, -7200.0, -3600.0),  # it is unknown which reading is right: the later start is taken
         (0.0, 5.0, -30.0, -30.0),
         (0.0, -5.0, -30.0, -25.0),
-        (-3600.0, -3600.0, -30.0, 0.0),  # in the future: now
-        (0.0, 3600.0, 0.5, 0.0),  # another machine's clock is a little ahead
+        (-3600.0, -3600.0, -30.0, 0.0),  # a start in the future counts as now
+        (0.0, 3600.0, 0.5, 0.0),  # the clock of another machine is slightly ahead
     ],
 )
-def test_a_moment_of_the_calendar_is_never_taken_for_older_than_it_is(at_start, now, began, moment):
-    time, wrong = 1000.0, [at_start, now]
-    clock = Clock(lambda: 7.0, lambda: time + wrong.pop(0))
-    found = clock.from_unix_time(int((time + began) * 10_000)) - clock.now()
-    assert found == int(moment * 10_000)
+def test_converted_unix_time_is_never_earlier_than_the_true_time(error_at_start, error_now, start, expected):
+    time, wall_errors = 1000.0, [error_at_start, error_now]
+    clock = Clock(lambda: 7.0, lambda: time + wall_errors.pop(0))
+    found = clock.from_unix_time(int((time + start) * 10_000)) - clock.now()
+    assert found == int(expected * 10_000)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,7 +12,7 @@
 
 from tests.faults import Faults
 from tests.helpers import member, pause_process, until
-from tests.test_crossings import cancels, closes, joined, returns, settle
+from tests.test_crossings import cancel_query, close_connection, connect_client, send_result, wait_until_read
 from tests.test_drivers import Fleet, Served
 from vanerelay.attempt_outcome import AttemptStage, EndCause
 from vanerelay.net.buffers import Pool
@@ -29,19 +29,19 @@
 
     mending = threading.Thread(target=mend, daemon=True)
     mending.start()
-    node = started(member(started.engine(returns)), faults=faults)
+    node = started(member(started.engine(send_result)), faults=faults)
     mending.join()
-    client = joined(node)
+    client = connect_client(node)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0)
 
 
-@pytest.mark.parametrize("leaves", [cancels, closes])
+@pytest.mark.parametrize("leaves", [cancel_query, close_connection])
 def test_a_client_that_left_is_noticed_though_reads_are_short(started, tmp_path, leaves):
     """Its query was read in pieces, and began before the rest, which told that it had left."""
-    faults, engine = Faults(tmp_path / "faults"), started.engine(returns)
+    faults, engine = Faults(tmp_path / "faults"), started.engine(send_result)
     node = started(member(engine), faults=faults)
-    client, other = joined(node), joined(node)
+    client, other = connect_client(node), connect_client(node)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0)  # there is a connection to the engine, over which all goes at once
 
@@ -51,18 +51,18 @@
         faults.set(short=1.0)
 
     pause_process(node, meanwhile, 0.1)
-    settle(other)
+    wait_until_read(other)
     faults.set(short=0.0)
     other.ask(2, "b2")
     assert other.answer()[:2] == (2, 0) and engine.served() == ["b1", "b2"]
 
 
-@pytest.mark.parametrize("leaves", [cancels, closes])
+@pytest.mark.parametrize("leaves", [cancel_query, close_connection])
 def test_a_client_that_left_before_it_could_be_accepted_gets_no_attempt(started, tmp_path, leaves):
     """Its query was read long after it had come, and began before the rest was read."""
-    faults, engine = Faults(tmp_path / "faults"), started.engine(returns)
+    faults, engine = Faults(tmp_path / "faults"), started.engine(send_result)
     node = started(member(engine), faults=faults)
-    other = joined(node)
+    other = connect_client(node)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0)
     faults.set(accept=1.0)
@@ -71,9 +71,9 @@
     over = time.monotonic() + 0.2
     until(lambda: time.monotonic() > over, "some time")
     leaves(client)
-    settle(other)
+    wait_until_read(other)
     faults.set(accept=0.0)
-    joined(node)  # accepted after it, and heard
+    connect_client(node)  # accepted after it, and heard
     other.ask(2, "b2")
     assert other.answer()[:2] == (2, 0) and engine.served() == ["b1", "b2"]
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,7 +13,7 @@
 
 from tests.faults import Faults
 from tests.helpers import SETTINGS, WAIT_TIMEOUT_S, FakeDiscoveryService, member, reset, until
-from tests.test_crossings import classes, flood, joined, returns, settle
+from tests.test_crossings import connect_client, flood, send_result, settings_with_class, wait_until_read
 
 HOUR = 3600.0
 STEPS = [-HOUR, -5.0, 5.0, HOUR]
@@ -30,13 +30,13 @@
 
 def test_a_drain_on_a_silent_watch_is_heard_though_the_clock_is_stepped_back(started, faults):
     """Rule 3: the watch's time-out was a timer on the wall clock, and came an hour late."""
-    feed, one, two = FakeDiscoveryService(), started.engine(returns), started.engine(returns)
+    feed, one, two = FakeDiscoveryService(), started.engine(send_result), started.engine(send_result)
     node = started(member(one, "s-1"), member(two, "s-2"), feed=feed, faults=faults)
     feed.polls_to_hang = 1
     until(lambda: not feed.polls_to_hang, "a poll that hangs")
     faults.step(-HOUR)
     feed.wait_for_poll(feed.publish(member(one, "s-1", "DRAINING")))
-    client = joined(node)
+    client = connect_client(node)
     for stream in range(1, 21):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 0)
@@ -45,10 +45,10 @@
 
 def test_lines_of_the_log_keep_their_order_though_the_clock_is_stepped(started, faults):
     """In the incident they could not be put in order: their time is the wall clock's."""
-    node = started(member(started.engine(returns)), faults=faults)
+    node = started(member(started.engine(send_result)), faults=faults)
     for span in STEPS:
         faults.step(span)
-        joined(node).send(b"\0\0\0\0")
+        connect_client(node).send(b"\0\0\0\0")
     node.process.send_signal(signal.SIGTERM)
     assert node.process.wait(WAIT_TIMEOUT_S) == 0
     lines = [json.loads(line) for line in node.log.read_text().splitlines()]
@@ -61,7 +61,7 @@
     engine = started.engine(lambda e, c, i: e.reply(c, i, "ERR"))
     safety = {**SETTINGS["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
     node = started(member(engine), faults=faults, settings={"safety": safety})
-    client = joined(node)
+    client = connect_client(node)
     for stream in range(1, 13):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 1)
@@ -72,7 +72,7 @@
 def test_a_deadline_comes_though_the_clock_is_stepped_back(started, faults):
     """Rule 1: the timer of the deadline was one on the wall clock."""
     engine = started.engine(silent)
-    client = joined(started(member(engine), faults=faults))
+    client = connect_client(started(member(engine), faults=faults))
     began = time.monotonic()
     client.ask(1, "a1", "load", allow="600")
     until(engine.served, "the attempt")
@@ -86,21 +86,21 @@
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
     node = started(member(engine), faults=faults)
-    client, other = joined(node), joined(node)
+    client, other = connect_client(node), connect_client(node)
     client.ask(1, "a1", "load")
     until(lambda: held, "the attempt")
     faults.step(span)
-    settle(other)
+    wait_until_read(other)
     engine.return_result(*held[0])
     assert client.answer()[:2] == (1, 0) and engine.served() == ["a1"]
 
 
 def test_the_window_for_repeats_runs_on_though_the_clock_is_stepped_back(started, faults):
     """Rule 2: the clock stood still for the time that it was stepped back, and the window with it."""
-    first, second = started.engine(silent), started.engine(returns)
-    settings = classes(semantics="token", dedupScope="all", windowUs=600_000)
+    first, second = started.engine(silent), started.engine(send_result)
+    settings = settings_with_class(semantics="token", dedupScope="all", windowUs=600_000)
     node = started(member(first, "s-1"), settings=settings, faults=faults)
-    client = joined(node)
+    client = connect_client(node)
     client.ask(1, "a1")
     until(first.served, "the attempt")
     faults.step(-HOUR)
@@ -113,8 +113,8 @@
 
 @pytest.mark.parametrize("span", STEPS)
 def test_a_process_that_is_terminated_ends_though_its_clock_is_stepped(started, faults, span):
-    node = started(member(started.engine(returns)), faults=faults)
-    client = joined(node)
+    node = started(member(started.engine(send_result)), faults=faults)
+    client = connect_client(node)
     node.process.send_signal(signal.SIGTERM)
     assert client.read() == (64, 0, b"")
     faults.step(span)
@@ -136,7 +136,7 @@
     node = started(member(former, "s-1"), settings={"safety": cold}, faults=faults)
     if not early:
         faults.step(span)
-    joined(node)
+    connect_client(node)
     row = member(fresh, "s-2", started=int(time.time() * 1000))
     node.feed.wait_for_poll(node.feed.publish(member(former, "s-1", "DELETED"), row))
     flood(node, "a")
@@ -151,7 +151,7 @@
     engine = started.engine(lambda e, c, i: held.append((c, i)))
     row = member(engine, started=int(time.time() * 1000))
     node = started(row, faults=faults)
-    client = joined(node)
+    client = connect_client(node)
     client.ask(1, "a1", "load")
     until(lambda: held, "the attempt")
     faults.step(span)
@@ -163,9 +163,9 @@
 @pytest.mark.parametrize("span", STEPS)
 def test_resting_connections_are_let_go_of_by_real_time(started, faults, span):
     """A step forward ended each as long idle; after one back none was, and engines closed them first."""
-    engine = started.engine(returns)
+    engine = started.engine(send_result)
     node = started(member(engine), faults=faults, limits={"connIdleUs": 1_600_000})
-    client = joined(node)
+    client = connect_client(node)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0)
     faults.step(span)
--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -325,8 +325,8 @@
         self._note_close(cause.value)
         self._end()
         for ident, stage in self.exchange.connection_lost().items():
-            # The transport has not reported an empty write buffer, so the last command was sent only partly. If
-            # a cancel or a read was written after it, the unsent bytes may be of that one instead.
+            # The transport has not reported an empty write buffer, so the last command was sent only partly.
+            # If a cancel or a read was written after it, the unsent bytes may be of that one instead.
             partly = ident == self._last_written and stage is AttemptStage.WRITTEN
             self.attempts.pop(ident).end(AttemptEnd(cause, AttemptStage.PARTLY_WRITTEN if partly else stage))
         self.all_sent()
@@ -345,9 +345,9 @@
             self._close_if_unused()
 
     def _close_if_unused(self) -> None:
-        is_exhausted = self._closing or self.exchange.is_exhausted
+        should_close = self._closing or self.exchange.is_exhausted
         if (
-            is_exhausted
+            should_close
             and not self.attempt_count
             and not self._pending_ends
             and not self.ended
