--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -83,7 +83,7 @@
 )
 @pytest.mark.parametrize("service", ["look", "load"])
 def test_attempt_waiting_for_a_connection_is_not_sent_when_its_client_leaves(started, leave, limits, service):
-    """Without cancelling, the attempt was still sent once the connection was established."""
+    """Guards against sending the attempt once its connection is established, without a right to cancel."""
     engine = started.engine(send_result, full=True)
     gateway = started(member(engine), limits={**LONG_CONNECT_TIMEOUT, **limits})
     client, other = connect_client(gateway), connect_client(gateway)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("phase", ["DRAINING", "DELETED"])
 def test_attempt_waiting_for_a_connection_moves_when_its_engine_leaves_the_list(started, phase):
-    """The attempt was sent when the connection was established, however long after the grace period."""
+    """Guards against sending the attempt to the removed engine, however long after its grace period."""
     slow, other = started.engine(send_result, full=True), started.engine(send_result)
     gateway = started(member(slow, "s-1"), limits=LONG_CONNECT_TIMEOUT)
     client = connect_client(gateway)
@@ -111,7 +111,7 @@
 
 
 def test_time_limit_sent_to_the_engine_excludes_the_time_of_the_connect(started):
-    """The limit was computed when the attempt was planned, so it was too long by the time of the connect."""
+    """Guards against the limit of the time of planning, which is too long by the duration of the connect."""
     engine = started.engine(send_result, full=True)
     client = connect_client(started(member(engine), limits=LONG_CONNECT_TIMEOUT))
     client.ask(1, "a1", "load", allow="15000")
@@ -125,7 +125,7 @@
 
 
 def test_retry_waiting_for_a_connection_is_not_sent_after_the_repeat_window(started):
-    """The window was checked when the attempt was planned, not when it was written."""
+    """Guards against a window that is checked when the attempt is planned, but not when it is written."""
     first, second = started.engine(lambda *_: None), started.engine(send_result, full=True)
     settings = settings_with_class(semantics="token", dedupScope="all", windowUs=600_000)
     gateway = started(
@@ -138,11 +138,13 @@
     reset(first.connections[0])
     until(second.connect_pending, "the connect")
     second.open()  # the kernel retries the connect one second after the first try
-    assert client.answer()[:2] == (1, 1) and second.served() == []  # harmless, as all engines drop repeats
+    assert (
+        client.answer()[:2] == (1, 1) and second.served() == []
+    )  # the client may repeat it, as all engines drop repeats
 
 
 def test_query_is_not_sent_when_its_client_left_before_it_was_read(started):
-    """After a pause, a process reads the query first, and the end of the connection only in its next poll."""
+    """After a pause, a gateway reads the query first, and the end of the connection only in its next poll."""
     engine = started.engine(send_result)
     gateway = started(member(engine))
     client, other = connect_client(gateway), connect_client(gateway)
@@ -158,7 +160,7 @@
 
 
 def test_queued_query_is_not_sent_when_its_client_left_before_its_turn(started):
-    """One poll returns the answer that frees the engine and the end of the client, with the answer first."""
+    """One poll returns the engine's answer, which frees a place, and then the end of the client."""
     pending = []
     engine = started.engine(lambda e, c, i: pending.append((c, i)))
     one_at_a_time = {**SETTINGS["familyInfo"], "parallelism": [100, 100]}
@@ -183,7 +185,7 @@
     "remaining_input", [b"x" * 40_000_000, frame(2, 1, b"\0") * 4_000_000], ids=["noise", "frames"]
 )
 def test_client_gets_complete_answers_after_a_protocol_error(started, remaining_input):
-    """A close with unread input sends a reset, which discards answers that the client has not read yet."""
+    """Guards against a close with unread input: it sends a reset, which discards answers at the client."""
     engine = started.engine(lambda *_: None)
     gateway = started(member(engine))
     client = connect_client(gateway)
@@ -211,7 +213,7 @@
 
 
 def test_query_after_the_accepting_period_of_a_drain_is_rejected_at_once(started):
-    """The query was accepted, and lost when the process was killed before its answer."""
+    """Guards against accepting a query that is lost when the process is killed before its answer."""
     pending = []
     engine = started.engine(lambda e, c, i: pending.append((c, i)))
     gateway = started(member(engine))
@@ -229,7 +231,7 @@
 
 
 def test_query_received_in_the_accepting_period_of_a_drain_is_answered_after_a_pause(started):
-    """The query was unread while the process was paused past the end of the accepting period."""
+    """The query arrives in the accepting period, but is read after it, as the process was paused."""
     engine = started.engine(send_result)
     gateway = started(member(engine))
     client = connect_client(gateway)
@@ -284,7 +286,7 @@
 
 
 def test_queries_with_the_same_order_key_run_one_at_a_time(started):
-    """When the key was not read from the frame, all queries ran at once."""
+    """Guards against not reading the key from the frame, which let all queries run at once."""
     pending = []
     engine = started.engine(lambda e, c, i: pending.append((c, i)))
     settings = settings_with_class(inTurn=True)
@@ -301,7 +303,7 @@
 
 
 def test_cancelled_repeats_of_a_query_do_not_increase_the_retry_budget(started):
-    """Misbehaving clients that cancelled the same query again and again made retries exceed the budget."""
+    """Guards against a budget that grows with cancelled repeats, so that retries of others exceed it."""
     engine = started.engine(lambda e, c, i: reset(c))
     safety = {**SETTINGS["safety"], "ratioSpanUs": 20_000_000, "extraRatio": 0.1, "minExtra": 1}
     gateway = started(member(engine), settings={"safety": safety})
@@ -321,7 +323,7 @@
 
 
 def test_previous_discovery_address_is_polled_while_the_new_one_fails(started):
-    """Changes at the previous address were no longer received."""
+    """Guards against missing the changes that are known only at the previous address."""
     one, two = started.engine(send_result), started.engine(send_result)
     gateway = started(member(one, "s-1"))
     with socket.create_server(("127.0.0.1", 0)) as unused_port:
@@ -338,7 +340,7 @@
 
 
 def test_several_termination_signals_in_one_pass_end_the_process_cleanly(started):
-    """The second signal stopped a reactor that was already stopped, which raised an error."""
+    """Guards against stopping the reactor twice, which raises an error."""
     gateway = started(member(started.engine(send_result)))
     connect_client(gateway)
 
@@ -353,7 +355,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGINT])
 def test_signals_until_the_exit_do_not_change_the_exit_status(started, number):
-    """After the interpreter had removed its handlers, the next signal killed the process."""
+    """Guards against a signal that kills the process after the interpreter has removed its handlers."""
     gateway = started(member(started.engine(send_result)))
     connect_client(gateway)
     gateway.process.send_signal(signal.SIGTERM)
@@ -379,11 +381,11 @@
     until(lambda: len(feed.polls) > asked + 2, "some polls")
     polls_before, start = len(feed.polls), time.monotonic()
     until(lambda: len(feed.polls) >= polls_before + 4, "four more polls")
-    assert time.monotonic() - start >= 3 * 0.25  # the pause before the first of them had begun earlier
+    assert time.monotonic() - start >= 3 * 0.25  # three full pauses: the first of the four had begun earlier
 
 
 def test_discovery_is_polled_again_soon_after_an_answer_that_stops_in_the_middle(started):
-    """Each gateway waited for the rest of the answer until the time-out of the whole poll."""
+    """Guards against waiting for the rest of the answer until the time-out of the whole poll."""
     feed, one, two = FakeDiscoveryService(), started.engine(send_result), started.engine(send_result)
     gateway = started(member(one, "s-1"), feed=feed, limits={"dialTimeoutUs": 20_000_000})
     feed.answers_to_truncate = 1
@@ -422,7 +424,7 @@
 
 
 def test_restarted_gateways_keep_within_the_slow_start_budget_of_an_engine(tmp_path, request):
-    """Each restarted gateway used its full share again, as it did not know what it had sent before."""
+    """Guards against a restarted gateway that uses its full share again, unaware of what it sent before."""
 
     def completes(engine, connection, ident):
         engine.reply(connection, ident, "OK", "total=1,elapsed=1200,rss=40", b"a\tb\tc\n")
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -278,7 +278,7 @@
     ],
 )
 def test_progress_note_does_not_end_its_attempt(fields, note, size):
-    """When a progress note counted as a malformed answer, the query was retried while its attempt ran on."""
+    """Guards against a note counted as a malformed answer: the query was retried while its attempt ran on."""
     exchange, data = (
         open_exchange(),
         reply(b"q", b"NOTE", fields) + reply(b"z", b"NOTE", fields) + reply(b"q", b"ERR"),
@@ -542,19 +542,19 @@
 
 @pytest.mark.parametrize("part", ["(from ", "from ", "'a''", "/*", "a.", "((", "join(", "x_1.", '"a".'])
 def test_longest_statement_is_scanned_in_one_pass(part):
-    """The lexer searched back for a bracket at each FROM: the longest frame blocked the loop for minutes."""
+    """Guards against a search back for a bracket at each FROM, which blocked the event loop for minutes."""
     assert table_groups(part * (frames.MAX_LENGTH // len(part))) in ([], [1])
 
 
-# Time.
-
-
 @pytest.mark.parametrize(("before", "after", "group"), [("", "1," * 100_000, 1), (" " * BLOCK, "", 0)])
 def test_only_the_beginning_of_a_long_statement_is_scanned(before, after, group):
-    """Clients can send the longest statement at any rate, and scanning all of it took half a second."""
+    """Guards against a full scan, which took half a second; clients can send such statements at any rate."""
     assert table_group(f"SELECT *{before} FROM a_1.t WHERE x IN ({after}1)") == group
 
 
+# Time.
+
+
 @pytest.mark.parametrize("wall", [5.0, 5.5, 3605.0, -3595.0])
 def test_clock_never_goes_back_and_ignores_steps_of_the_wall_clock(wall):
     """The clock must neither go back nor stand still while the wall clock is behind."""
--- a/vanerelay/net/discovery_codec.py
+++ b/vanerelay/net/discovery_codec.py
@@ -120,7 +120,11 @@
                 continue
             line = self._buffer.line(_MAX_LINE_BYTES)
             if line is None:
-                return Unreadable("header line is too long") if len(self._buffer) >= _MAX_LINE_BYTES else None
+                return (
+                    Unreadable("line of an answer is too long")
+                    if len(self._buffer) >= _MAX_LINE_BYTES
+                    else None
+                )
             result = self._read_line(line.decode("latin-1"))
             if result is not None:
                 return result
@@ -222,9 +226,8 @@
 ) -> EngineListChange:
     body = event.get("members")
     if body is None:
-        return EngineListChange(
-            int(event["n"]), False, []
-        )  # an event of another kind; only its number matters
+        # An event of another kind: only its number matters.
+        return EngineListChange(int(event["n"]), False, [])
     engines = [_listed_engine(row, zones, machine_kinds) for row in body["members"]]
     return EngineListChange(int(event["n"]), bool(body.get("complete")), engines)
 
--- a/vanerelay/net/engine_pool.py
+++ b/vanerelay/net/engine_pool.py
@@ -53,8 +53,8 @@
     def connection_for(self, attempt: Attempt, connection_limit: int) -> EngineConnection | None:
         """Returns the connection to use for an attempt, or None if a new one should be opened.
 
-        A new connection is wanted if no connection can take the attempt, or if each has at least as many
-        attempts as there are connections.
+        A new connection is wanted if no connection can take the attempt, or if each that can has at least as
+        many attempts as there are connections and the limit is not reached.
 
         Args:
             attempt: The attempt.
