--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.helpers import ROOT, SERVICE_CLASS, SETTINGS, SLOW_START, entry, member, until
-from tests.test_crossings import joined, returns
+from tests.test_crossings import connect_client, send_result
 from vanerelay.interface import (
     SECOND,
     DeduplicationScope,
@@ -191,7 +191,7 @@
     (shim / "sitecustomize.py").write_text(
         f"from vanerelay.policy import engine_registry, query, retry_budget, retry_policy\n{FAULTS[fault]}\n"
     )
-    one, two = (started.engine(returns if fault == "drain" else reply_with_error) for _ in "ab")
+    one, two = (started.engine(send_result if fault == "drain" else reply_with_error) for _ in "ab")
     safety = {**SETTINGS["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
     gateway = started(
         member(one, "s-1"),
@@ -199,7 +199,7 @@
         settings={"safety": safety},
         environment={"PYTHONPATH": f"{shim}:{ROOT}"},
     )
-    client = joined(gateway)
+    client = connect_client(gateway)
     if fault == "drain":
         gateway.feed.wait_for_poll(gateway.feed.publish(member(one, "s-1", "DRAINING")))
     for stream in range(1, 13):
@@ -218,9 +218,9 @@
 
 
 def test_unchanged_policy_causes_no_violation(started):
-    engine = started.engine(returns)
+    engine = started.engine(send_result)
     gateway = started(member(engine))
-    client = joined(gateway)
+    client = connect_client(gateway)
     for stream in range(1, 13):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 0)
@@ -246,7 +246,7 @@
 
 def test_protocol_errors_of_clients_are_counted_under_one_close_reason(started):
     """If a close reason contained the received bytes, each faulty client would add a count of its own."""
-    gateway = started(member(started.engine(returns)))
+    gateway = started(member(started.engine(send_result)))
     for length in (1, 2, 3):
         bad = gateway.client()
         bad.send(length.to_bytes(4, "big"))
@@ -262,7 +262,7 @@
 def test_retries_rejections_closes_and_state_changes_are_logged_with_their_reasons(started):
     one, two = started.engine(reply_with_error), started.engine(reply_with_error)
     gateway = started(member(one, "s-1"), member(two, "s-2"))
-    client = joined(gateway)
+    client = connect_client(gateway)
     client.ask(1, "a1")
     client.answer()
     client.ask(2, "a2", "load")
