--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -19,7 +19,7 @@
     RetryBudgetTerms,
 )
 from vanerelay.invariants import BUCKET_WIDTH, MIN_ANSWERS, GuardTerms, Invariant, InvariantGuard
-from vanerelay.net.events import BURST, MAX_REASONS, EventLog, LogEventKind
+from vanerelay.net.events import BURST_LINES, MAX_REASONS, EventLog, LogEventKind
 
 NOW = 1000 * SECOND
 LIMIT = NOW + 20 * SECOND
@@ -231,15 +231,15 @@
             return 5.0
 
     events = EventLog(Stopped())
-    for number in range(10 * BURST):
+    for number in range(10 * BURST_LINES):
         events.note(LogEventKind.RETRY, "reset", id=f"{number:016x}")
     events.write_counts()
-    assert events.counts[LogEventKind.RETRY, "reset"] == 10 * BURST
-    assert capsys.readouterr().out.count(LogEventKind.RETRY.value) <= BURST + 1
+    assert events.counts[LogEventKind.RETRY, "reset"] == 10 * BURST_LINES
+    assert capsys.readouterr().out.count(LogEventKind.RETRY.value) <= BURST_LINES + 1
     for number in range(10 * MAX_REASONS):
         events.note(LogEventKind.CLOSE, f"a frame's length is {number}")
     assert len(events.counts) <= MAX_REASONS + len(LogEventKind)
-    assert events.counts.total() == 10 * BURST + 10 * MAX_REASONS
+    assert events.counts.total() == 10 * BURST_LINES + 10 * MAX_REASONS
 
 
 def test_reasons_of_closes_are_few_whatever_clients_send(started):
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -12,7 +12,7 @@
 from vanerelay.engine_list import EngineListChange
 from vanerelay.interface import NEVER_RAN, EngineState, Outcome, ProgressKind
 from vanerelay.net import discovery_codec, frames, resp_codec
-from vanerelay.net.buffers import BLOCK, Gather, Pool
+from vanerelay.net.buffers import BLOCK_BYTES, BufferPool, ReceiveBuffer
 from vanerelay.net.frames import FrameKind
 from vanerelay.net.statements import table_group, table_groups
 
@@ -27,28 +27,28 @@
 # Buffers.
 
 
-@pytest.mark.parametrize("size", [1, 5, 1000, BLOCK - 1, BLOCK, BLOCK + 1, 3 * BLOCK])
+@pytest.mark.parametrize("size", [1, 5, 1000, BLOCK_BYTES - 1, BLOCK_BYTES, BLOCK_BYTES + 1, 3 * BLOCK_BYTES])
 def test_what_is_gathered_comes_out_as_fed_and_the_blocks_go_back(size):
-    pool, data = Pool(), bytes(range(256)) * (4 * BLOCK // 256) + b"end"
-    held, out = Gather(pool), b""
+    pool, data = BufferPool(), bytes(range(256)) * (4 * BLOCK_BYTES // 256) + b"end"
+    held, out = ReceiveBuffer(pool), b""
     for piece in pieces(data, size):
         held.feed(piece)
         while len(held) >= 700:
             out += held.read(700)
-        held.keep()
+        held.store_unread()
     assert out + held.read(len(held)) == data
-    held.drop()
-    assert pool.taken == 0
+    held.clear()
+    assert pool.in_use == 0
 
 
 def test_a_dropped_gather_gives_its_blocks_back():
-    pool = Pool(max_idle=1)
-    held = Gather(pool)
-    held.feed(bytes(3 * BLOCK))
-    held.keep()
-    assert pool.taken == 3 and held.peek(3 * BLOCK + 1) is None
-    held.drop()
-    assert (pool.taken, len(held)) == (0, 0)
+    pool = BufferPool(max_idle=1)
+    held = ReceiveBuffer(pool)
+    held.feed(bytes(3 * BLOCK_BYTES))
+    held.store_unread()
+    assert pool.in_use == 3 and held.peek(3 * BLOCK_BYTES + 1) is None
+    held.clear()
+    assert (pool.in_use, len(held)) == (0, 0)
 
 
 # Clients.
@@ -61,16 +61,16 @@
 
 
 def request(stream, body=b"SELECT 1", **fields):
-    return frames.frame(FrameKind.REQUEST, stream, call(stream, body, **fields)[0])
+    return frames.encode_frame(FrameKind.REQUEST, stream, call(stream, body, **fields)[0])
 
 
 @SIZES
 def test_frames_come_out_alike_however_they_come_in(size):
-    reader, big = frames.FrameReader(Pool()), b"x" * (3 * BLOCK)
+    reader, big = frames.FrameReader(BufferPool()), b"x" * (3 * BLOCK_BYTES)
     data = (
         request(1, ref="a1", allow="1500")
-        + frames.frame(FrameKind.CANCEL, 1)
-        + frames.frame(FrameKind.READINESS_CHECK, 0, b"\0")
+        + frames.encode_frame(FrameKind.CANCEL, 1)
+        + frames.encode_frame(FrameKind.READINESS_CHECK, 0, b"\0")
         + request(9, big)
     )
     if size:  # byte by byte, but for the long body
@@ -90,37 +90,37 @@
     (b"\0\0\0\4\2\0\0\0\1", "length"),
     (b"\0\4\0\1\2\0\0\0\1", "length"),
     (b"\xff" * 9, "length"),
-    (frames.frame(4, 1, b"\0\0"), "type"),
-    (frames.frame(0, 1), "type"),
-    (frames.frame(2, 0, b"\0"), "stream 0"),
+    (frames.encode_frame(4, 1, b"\0\0"), "type"),
+    (frames.encode_frame(0, 1), "type"),
+    (frames.encode_frame(2, 0, b"\0"), "stream 0"),
     (request(5) + request(5), "stream 5"),
     (request(5) + request(4), "stream 4"),
-    (frames.frame(2, 1), "fields"),
-    (frames.frame(2, 1, b"\1"), "fields"),
-    (frames.frame(2, 1, b"\1\3ab"), "field"),
-    (frames.frame(2, 1, b"\1\1a\0\5xy"), "past"),
-    (frames.frame(2, 1, b"\2\1a\0\1x"), "fields"),
-    (frames.frame(2, 1, b"\1\1\xff\0\1x"), "text"),
+    (frames.encode_frame(2, 1), "fields"),
+    (frames.encode_frame(2, 1, b"\1"), "fields"),
+    (frames.encode_frame(2, 1, b"\1\3ab"), "field"),
+    (frames.encode_frame(2, 1, b"\1\1a\0\5xy"), "past"),
+    (frames.encode_frame(2, 1, b"\2\1a\0\1x"), "fields"),
+    (frames.encode_frame(2, 1, b"\1\1\xff\0\1x"), "text"),
 ]
 
 
 @SIZES
 @pytest.mark.parametrize(("data", "why"), BROKEN)
 def test_what_is_no_frame_ends_the_reading(data, why, size):
-    pool = Pool()
+    pool = BufferPool()
     reader = frames.FrameReader(pool)
     got = [f for piece in pieces(data + request(50), size) for f in reader.feed(piece)]
     assert isinstance(got[-1], frames.Malformed) and why in got[-1].why
-    assert all(isinstance(frame, frames.Frame) for frame in got[:-1]) and pool.taken == 0
+    assert all(isinstance(frame, frames.Frame) for frame in got[:-1]) and pool.in_use == 0
 
 
 def test_a_frame_cut_short_is_not_given():
-    reader = frames.FrameReader(Pool())
+    reader = frames.FrameReader(BufferPool())
     assert list(reader.feed(request(1)[:-1])) == [] and len(list(reader.feed(b"1"))) == 1
 
 
 def test_an_answer_is_laid_out_as_the_page_says():
-    assert frames.answer(FrameKind.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
+    assert frames.encode_answer(FrameKind.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
         b"\0\0\0\x16\4\0\0\0\7\1\1\x08cooldown\0\x03250b"
     )
 
@@ -133,14 +133,14 @@
 
 
 def exchange(most=4, may_cancel=True):
-    talk = resp_codec.Exchange(Pool(), most, may_cancel)
+    talk = resp_codec.Exchange(BufferPool(), most, may_cancel)
     talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
     talk.out.clear()
     return talk
 
 
 def test_an_attempt_is_encoded_as_the_protocol_says():
-    talk = resp_codec.Exchange(Pool(), 4, True)
+    talk = resp_codec.Exchange(BufferPool(), 4, True)
     talk.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     talk.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
     assert talk.out[0] == b"*4\r\n$5\r\nserve\r\n$1\r\nq\r\n$25\r\nsort=report,patience=1500\r\n$1\r\nS\r\n"
@@ -386,7 +386,7 @@
     ],
 )
 def test_an_answer_of_the_discovery_service(data, result, size):
-    reader, got = discovery_codec.ReplyReader(Pool()), None
+    reader, got = discovery_codec.ReplyReader(BufferPool()), None
     for piece in pieces(data, size):
         got = got or reader.feed(piece)
     assert got == result if isinstance(result, discovery_codec.Reply) else isinstance(got, result)
@@ -403,7 +403,7 @@
     ],
 )
 def test_a_connection_that_ends_ends_the_answer(data, result):
-    reader = discovery_codec.ReplyReader(Pool())
+    reader = discovery_codec.ReplyReader(BufferPool())
     assert reader.feed(data) is None
     got = reader.ended()
     assert got == result if isinstance(result, discovery_codec.Reply) else isinstance(got, result)
@@ -537,7 +537,7 @@
 # Time.
 
 
-@pytest.mark.parametrize(("before", "after", "group"), [("", "1," * 100_000, 1), (" " * BLOCK, "", 0)])
+@pytest.mark.parametrize(("before", "after", "group"), [("", "1," * 100_000, 1), (" " * BLOCK_BYTES, "", 0)])
 def test_only_the_beginning_of_a_statement_is_gone_through(before, after, group):
     """Bad clients can ask for the longest as often as they like, and each took half a second."""
     assert table_group(f"SELECT *{before} FROM a_1.t WHERE x IN ({after}1)") == group
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,9 +13,9 @@
 from tests.faults import Faults
 from tests.helpers import member, pause_process, until
 from tests.test_crossings import cancels, closes, joined, returns, settle
-from tests.test_drivers import Fleet, Served
+from tests.test_drivers import EngineHarness, ServiceHarness
 from vanerelay.attempt_outcome import AttemptStage, EndCause
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.client_listener import ClientListener
 
 
@@ -103,8 +103,10 @@
 )
 def test_who_waits_when_the_port_closes_is_accepted_though_accept_fails(faults):
     """The first failure ended the look, and the close reset all that still waited."""
-    served = Served()
-    clients = ClientListener(MemoryReactorClock(), served.clock, served.service, Pool(), 100, lambda: True)
+    served = ServiceHarness()
+    clients = ClientListener(
+        MemoryReactorClock(), served.clock, served.service, BufferPool(), 100, lambda: True
+    )
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
@@ -118,22 +120,22 @@
 
 def test_without_a_descriptor_a_client_waits_and_is_not_shut():
     """Its request may have come already: shut unread it would be lost."""
-    served, reactor = Served(), MemoryReactorClock()
-    clients = ClientListener(reactor, served.clock, served.service, Pool(), 100, lambda: True)
+    served, reactor = ServiceHarness(), MemoryReactorClock()
+    clients = ClientListener(reactor, served.clock, served.service, BufferPool(), 100, lambda: True)
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
     with socket.create_connection((address.host, address.port)):
-        served.look()
+        served.next_pass()
         came, port.socket = served.clock.previous_poll_at, Failing(port.socket, [errno.EMFILE, errno.ENFILE])
         port.doRead()
         assert clients.descriptor_count == 0 and port not in reactor.getReaders()
         while not clients.descriptor_count:
             served.advance(0.2)
-            served.look()
+            served.next_pass()
             reactor.advance(0.2)
         assert port in reactor.getReaders() and clients.descriptor_count == 1
-        client = next(iter(clients.all()))
+        client = next(iter(clients.connections()))
         assert (
             client.received_after() == came
         )  # when its first request may have come: its time runs from then
@@ -142,13 +144,13 @@
 
 def test_an_attempt_whose_answer_was_unreadable_ends_once():
     """Its time-out came before the end of its connection, and met a fault."""
-    fleet = Fleet()
+    fleet = EngineHarness()
     attempt = fleet.send("a", time_out=0.5)
     wire = fleet.connect()
-    wire.leave()
-    fleet.say(b"what is this\r\n" * 3)
+    wire.flush()
+    fleet.receive(b"what is this\r\n" * 3)
     fleet.reactor.advance(1.0)
     attempt.give_up(EndCause.CANCELLED)
     assert fleet.ends == [] and wire.aborted
-    fleet.lose()
+    fleet.lose_connection()
     assert fleet.ends == [("a", EndCause.MALFORMED, AttemptStage.WRITTEN)]
--- a/vanerelay/freshness/constraint_router.py
+++ b/vanerelay/freshness/constraint_router.py
@@ -13,8 +13,8 @@
 from vanerelay.freshness.read_constraints import ReadConstraint
 from vanerelay.freshness.service import FreshnessService
 from vanerelay.interface import Duration
-from vanerelay.net.buffers import BLOCK
-from vanerelay.net.statements import named, writes
+from vanerelay.net.buffers import BLOCK_BYTES
+from vanerelay.net.statements import may_write, schema_numbers
 
 
 class ConstraintRouter:
@@ -44,18 +44,18 @@
 
     def _constrain_load(self, query: QueryInfo) -> QueryConstraint | None:
         config = self.service.config
-        statement = query.statement[:BLOCK]
+        statement = query.statement[:BLOCK_BYTES]
         wanted = config.load_end_field or config.route_loads_to_source
-        if not wanted or not writes(statement.encode()):
+        if not wanted or not may_write(statement.encode()):
             return None
-        written, _ = named(statement)
+        written, _ = schema_numbers(statement)
         return LoadConstraint(self, query, written) if written else None
 
     def _constrain_read(self, query: QueryInfo, hint: Hint) -> QueryConstraint | str:
         size = len(query.statement)
-        if size > BLOCK:
-            return f"hint: a statement of {size} characters, expected {BLOCK} at most with a hint"
-        written, read = named(query.statement)
+        if size > BLOCK_BYTES:
+            return f"hint: a statement of {size} characters, expected {BLOCK_BYTES} at most with a hint"
+        written, read = schema_numbers(query.statement)
         if written:
             return "hint: in a load, expected in a read"
         table_groups = tuple(dict.fromkeys(read))
--- a/vanerelay/lab/client_connection.py
+++ b/vanerelay/lab/client_connection.py
@@ -9,7 +9,7 @@
 from vanerelay.lab.event_log import QueryResult
 from vanerelay.lab.faulty_connection import FaultyConnection
 from vanerelay.lab.schedule import ClientRequest
-from vanerelay.net.frames import MAX_OPEN_REQUESTS, FrameKind, frame
+from vanerelay.net.frames import MAX_OPEN_REQUESTS, FrameKind, encode_frame
 
 FRAME_HEAD = struct.Struct(">IBI")
 LENGTH_BYTES = 4
@@ -93,12 +93,12 @@
         self._last_stream += 1
         query.stream = self._last_stream
         self._open[query.stream] = query
-        self._connection.send(self, frame(FrameKind.REQUEST, query.stream, payload))
+        self._connection.send(self, encode_frame(FrameKind.REQUEST, query.stream, payload))
 
     def cancel(self, query: ClientQuery) -> None:
         """The client gives a query up."""
         if self._open.pop(query.stream, None) is not None:
-            self._connection.send(self, frame(FrameKind.CANCEL, query.stream))
+            self._connection.send(self, encode_frame(FrameKind.CANCEL, query.stream))
 
     def deliver(self, data: bytes) -> None:
         """The gateway has sent (a part of) frames."""
--- a/vanerelay/lab/gateway_process.py
+++ b/vanerelay/lab/gateway_process.py
@@ -18,7 +18,7 @@
 from vanerelay.lab.event_log import EventKind
 from vanerelay.lab.faulty_connection import FaultyConnection
 from vanerelay.lab.run_context import RunContext
-from vanerelay.net.frames import FrameKind, frame
+from vanerelay.net.frames import FrameKind, encode_frame
 
 PROBE_INTERVAL_S = 0.25
 """Between probes of a gateway that the clients' front does not use."""
@@ -57,7 +57,7 @@
 
     def send(self) -> None:
         """Asks."""
-        self._connection.send(self, frame(FrameKind.READINESS_CHECK, 0, b"\0"))
+        self._connection.send(self, encode_frame(FrameKind.READINESS_CHECK, 0, b"\0"))
 
     def deliver(self, data: bytes) -> None:
         """The gateway has sent (a part of) its reply."""
--- a/vanerelay/net/accepting_port.py
+++ b/vanerelay/net/accepting_port.py
@@ -12,18 +12,18 @@
 from twisted.python.failure import Failure
 
 # Nothing can be accepted for want of something that others may let go of. Whoever waits goes on waiting.
-EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-NOTHING_WAITS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
+EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+WOULD_BLOCK_ERRNOS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
 # A socket that could not be had for one of these may be had a moment later.
-TRANSIENT = EXHAUSTED | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR}
-ACCEPT_AGAIN_S = 0.02
-LAST_ACCEPT_ROUNDS = 64
+TRANSIENT_ERRNOS = EXHAUSTION_ERRNOS | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR}
+ACCEPT_RETRY_INTERVAL_S = 0.02
+MAX_FINAL_ACCEPT_ROUNDS = 64
 """How often accepting is tried again when the port is about to close."""
 
 
-def is_transient(fault: CannotListenError) -> bool:
+def is_transient(error: CannotListenError) -> bool:
     """Whether listening may work a moment later."""
-    return isinstance(fault.socketError, OSError) and fault.socketError.errno in TRANSIENT
+    return isinstance(error.socketError, OSError) and error.socketError.errno in TRANSIENT_ERRNOS
 
 
 class ClientTransport(Server):
@@ -35,20 +35,20 @@
 
     def doRead(self) -> Any:
         """Reads until nothing is left, or as much as one look may take."""
-        left = self.bufferSize
-        while left > 0:
+        remaining = self.bufferSize
+        while remaining > 0:
             try:
                 data = self.socket.recv(self.bufferSize)
-            except OSError as fault:
-                if fault.errno == errno.EINTR:
+            except OSError as error:
+                if error.errno == errno.EINTR:
                     continue
-                return None if fault.errno in NOTHING_WAITS else CONNECTION_LOST
-            ended = self._dataReceived(data)
-            if ended is not None or self.disconnected:
-                return ended
-            left -= len(data)
-        if left <= 0:
-            self.protocol.left_behind()
+                return None if error.errno in WOULD_BLOCK_ERRNOS else CONNECTION_LOST
+            result = self._dataReceived(data)
+            if result is not None or self.disconnected:
+                return result
+            remaining -= len(data)
+        if remaining <= 0:
+            self.protocol.read_limit_reached()
         return None
 
 
@@ -65,15 +65,15 @@
 
     def doRead(self) -> None:
         """Accepts all that wait; where the system has not what it takes, it tries again soon."""
-        fault = self._accept_waiting()
-        if fault in EXHAUSTED and self._accept_timer is None:
+        error = self._accept_pending()
+        if error in EXHAUSTION_ERRNOS and self._accept_timer is None:
             self.stopReading()  # type: ignore[no-untyped-call]  # it would be reported ready over and over
-            self._accept_timer = self.reactor.callLater(ACCEPT_AGAIN_S, self._accept_again)
+            self._accept_timer = self.reactor.callLater(ACCEPT_RETRY_INTERVAL_S, self._retry_accept)
 
-    def accept_last(self) -> None:
+    def accept_remaining(self) -> None:
         """Accepts all that wait before the port closes, whatever fails in between."""
-        for _ in range(LAST_ACCEPT_ROUNDS):
-            if self._accept_waiting() is None:
+        for _ in range(MAX_FINAL_ACCEPT_ROUNDS):
+            if self._accept_pending() is None:
                 return
 
     def connectionLost(self, reason: Failure) -> None:
@@ -82,31 +82,31 @@
             self._accept_timer.cancel()
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
-    def _accept_again(self) -> None:
+    def _retry_accept(self) -> None:
         self._accept_timer = None
         if self.connected:
             self.startReading()  # type: ignore[no-untyped-call]
             self.doRead()
 
-    def _accept_waiting(self) -> int | None:
+    def _accept_pending(self) -> int | None:
         """Accepts until nothing waits, or until the system is short of something: then its error number."""
         for _ in range(2 * self.backlog):
             try:
                 accepted, address = self.socket.accept()
-            except OSError as fault:
-                if fault.errno in NOTHING_WAITS:
-                    self.factory.nobody_waits()
+            except OSError as error:
+                if error.errno in WOULD_BLOCK_ERRNOS:
+                    self.factory.backlog_emptied()
                     return None
-                if fault.errno in EXHAUSTED:
+                if error.errno in EXHAUSTION_ERRNOS:
                     self.factory.accept_failed()
-                    return fault.errno
+                    return error.errno
                 continue  # one connection is lost: the next may be sound
-            self._join(accepted, address)
+            self._set_up_connection(accepted, address)
         return None
 
-    def _join(self, accepted: socket.socket, address: tuple[str, int]) -> None:
+    def _set_up_connection(self, accepted: socket.socket, address: tuple[str, int]) -> None:
         peer = self._buildAddr(address)  # type: ignore[no-untyped-call]
         protocol: Any = self.factory.buildProtocol(peer)
-        number, self.sessionno = self.sessionno, self.sessionno + 1
-        transport: Any = self.transport(accepted, protocol, address, self, number, self.reactor)
+        session_number, self.sessionno = self.sessionno, self.sessionno + 1
+        transport: Any = self.transport(accepted, protocol, address, self, session_number, self.reactor)
         protocol.makeConnection(transport)
--- a/vanerelay/net/attempt_results.py
+++ b/vanerelay/net/attempt_results.py
@@ -20,7 +20,7 @@
 from vanerelay.net.query_answers import QueryAnswers
 from vanerelay.net.resp_codec import Note
 from vanerelay.net.service_settings import SettingsInForce
-from vanerelay.net.statements import writes
+from vanerelay.net.statements import may_write
 
 log = structlog.get_logger()
 
@@ -72,7 +72,7 @@
                 ),
             )
             self._decisions.call(query, query.handle.attempt_ended, number, result, query.ended)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
         self._deadlines.check(self._queries.open_count)
 
     def progressed(self, query: ClientQuery, number: int, note: Note) -> None:
@@ -106,7 +106,7 @@
         tables = query.arrival.table_group if query.arrival is not None else 0
         run = EngineRun(
             table_group=tables,
-            writes=writes(query.body),
+            writes=may_write(query.body),
             engine=engine,
             work=work,
             internal=query.is_internal,
--- a/vanerelay/net/client_listener.py
+++ b/vanerelay/net/client_listener.py
@@ -12,14 +12,14 @@
 
 from vanerelay.clock import Clock
 from vanerelay.net.accepting_port import AcceptingPort
-from vanerelay.net.buffers import Pool
-from vanerelay.net.client_connection import IDLE_S, ClientConnection, QueryService
+from vanerelay.net.buffers import BufferPool
+from vanerelay.net.client_connection import CLIENT_IDLE_TIMEOUT_S, ClientConnection, QueryService
 from vanerelay.net.events import EventLog
 from vanerelay.net.rate_limited_log import RateLimitedLog
 
-FORGOTTEN_S = 2 * IDLE_S
+UNUSED_TIMEOUT_S = 2 * CLIENT_IDLE_TIMEOUT_S
 """Who keeps a connection for longer without a request has forgotten it."""
-WHOLE_FRAME_S, SWEEP_S = 2.0, 0.25
+FRAME_TIMEOUT_S, SWEEP_INTERVAL_S = 2.0, 0.25
 """The time for a whole frame, and between two sweeps: a client that sends none is ended within 3 s."""
 
 log = structlog.get_logger()
@@ -39,7 +39,7 @@
         reactor: Any,
         clock: Clock,
         service: QueryService,
-        pool: Pool,
+        pool: BufferPool,
         max_connections: int,
         has_spare_descriptor: Callable[[], bool],
         events: EventLog | None = None,
@@ -58,8 +58,8 @@
         self._port: Any = None
         self._accept_failed_at: int | None = None
         self.protocol_errors = RateLimitedLog(reactor, "client protocol error")
-        self._share_full = RateLimitedLog(reactor, "client connections at their limit")
-        reactor.callLater(SWEEP_S, self._sweep)
+        self._limit_warning = RateLimitedLog(reactor, "client connections at their limit")
+        reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
 
     def buildProtocol(self, addr: object) -> ClientConnection:
         """The driver of a connection that was accepted."""
@@ -94,10 +94,10 @@
         self._limit_lingering()
         if len(self._connections) <= self._max_connections:
             return True
-        self._share_full.warn(connections=len(self._connections))
+        self._limit_warning.warn(connections=len(self._connections))
         # One that came later may be about to send its first request, and goes last (seen as first requests
         # failed, rd6423a).
-        new_since = self.reactor.seconds() - SWEEP_S
+        new_since = self.reactor.seconds() - SWEEP_INTERVAL_S
         if self._end_silent(new_since):
             return True
         idle = self._longest_idle(new_since)
@@ -133,18 +133,18 @@
         if self._accept_failed_at is None:
             self._accept_failed_at = self.clock.previous_poll_at
 
-    def nobody_waits(self) -> None:
+    def backlog_emptied(self) -> None:
         """All that waited were accepted."""
         self._accept_failed_at = None
 
-    def accepted_after(self) -> int:
+    def connected_after(self) -> int:
         """The last moment at which a client that is accepted now had not come."""
         failed_at = self._accept_failed_at
         return (
             self.clock.previous_poll_at if failed_at is None else min(failed_at, self.clock.previous_poll_at)
         )
 
-    def all(self) -> list[ClientConnection]:
+    def connections(self) -> list[ClientConnection]:
         """The connections, the longest unused first."""
         return list(self._connections)
 
@@ -171,22 +171,22 @@
         if not expected:
             self._frame_due.pop(connection, None)
         elif connection not in self._frame_due and connection in self._connections:
-            self._frame_due[connection] = self.reactor.seconds() + WHOLE_FRAME_S
+            self._frame_due[connection] = self.reactor.seconds() + FRAME_TIMEOUT_S
 
     def _sweep(self) -> None:
         """Ends those whose frame is overdue, and those that nobody uses any more."""
         now = self.reactor.seconds()
-        self.reactor.callLater(SWEEP_S, self._sweep)
+        self.reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
         while self._frame_due and next(iter(self._frame_due.values())) <= now:
             connection, _ = self._frame_due.popitem(last=False)
-            connection.refuse("no complete frame came")
+            connection.end_with_protocol_error("no complete frame came")
         for connection in list(self._connections):
-            if now - connection.used_at < FORGOTTEN_S:
+            if now - connection.used_at < UNUSED_TIMEOUT_S:
                 break
             if not connection.open and not connection.ended:
                 connection.end("idle")
 
-    def forget(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         """The connection is no more."""
         self._connections.pop(connection, None)
         self._frame_due.pop(connection, None)
@@ -195,11 +195,11 @@
     def stop_listening(self) -> None:
         """Closes the port, once all that wait there are accepted."""
         if self._port is not None:
-            self._port.accept_last()  # the close would reset what was not accepted
+            self._port.accept_remaining()  # the close would reset what was not accepted
             self._port.stopListening()
             self._port = None
 
-    def each(self, call: Callable[[ClientConnection], None]) -> None:
+    def for_each(self, call: Callable[[ClientConnection], None]) -> None:
         """Calls for every connection; a fault at one is logged and keeps none of the others."""
         for connection in list(self._connections):
             try:
--- a/vanerelay/net/deadlines.py
+++ b/vanerelay/net/deadlines.py
@@ -11,7 +11,7 @@
 from vanerelay.interface import SECOND
 from vanerelay.net.held_queries import ClientQuery
 
-ANSWERED_KEPT = 100
+MAX_ANSWERED_ENTRIES = 100
 """Answered queries that may stay in the heap, beyond as many as are open, before they are swept out."""
 
 
@@ -22,13 +22,13 @@
     50 to 70 ms, while the timers that had fallen due waited for the pass to end.
     """
 
-    def __init__(self, reactor: Any, clock: Clock, expired: Callable[[ClientQuery], None]) -> None:
-        """`expired` is called for each query whose deadline has come."""
+    def __init__(self, reactor: Any, clock: Clock, on_expired: Callable[[ClientQuery], None]) -> None:
+        """`on_expired` is called for each query whose deadline has come."""
         self._reactor = reactor
         self._clock = clock
-        self._expired = expired
+        self._on_expired = on_expired
         self._heap: list[tuple[int, int, ClientQuery]] = []  # by deadline, then in the order added
-        self._serial = itertools.count()
+        self._serials = itertools.count()
         self._due_at: int | None = None
         self._timer: Any = None
 
@@ -37,7 +37,7 @@
 
     def add(self, query: ClientQuery) -> None:
         """Watches the deadline of a query from the next check on."""
-        heapq.heappush(self._heap, (query.deadline, next(self._serial), query))
+        heapq.heappush(self._heap, (query.deadline, next(self._serials), query))
 
     def check(self, open_count: int) -> None:
         """Expires what is overdue, and sets the timer for the next deadline.
@@ -49,8 +49,8 @@
         while self._heap and (self._heap[0][2].ended or self._heap[0][0] <= now):
             query = heapq.heappop(self._heap)[2]
             if not query.ended:
-                self._expired(query)
-        if len(self._heap) > 2 * open_count + ANSWERED_KEPT:
+                self._on_expired(query)
+        if len(self._heap) > 2 * open_count + MAX_ANSWERED_ENTRIES:
             self._heap = [entry for entry in self._heap if not entry[2].ended]
             heapq.heapify(self._heap)
         if self._heap and (self._due_at is None or self._heap[0][0] < self._due_at):
@@ -60,8 +60,8 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._due_at = self._heap[0][0]
-        self._timer = self._reactor.callLater(max(1, self._due_at - now) / SECOND, self._due)
+        self._timer = self._reactor.callLater(max(1, self._due_at - now) / SECOND, self._timer_fired)
 
-    def _due(self) -> None:
+    def _timer_fired(self) -> None:
         self._due_at = None
         self.check(len(self._heap))
--- a/vanerelay/net/discovery_client.py
+++ b/vanerelay/net/discovery_client.py
@@ -17,7 +17,7 @@
 
 from vanerelay.extension import DiscoveryAnswerListener, ListListener
 from vanerelay.net import discovery_codec
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 
 POLL_WAIT_MS = 7_000 - 5_000
 """How long a poll waits for an event.
@@ -55,7 +55,7 @@
 
     transport: Any
 
-    def __init__(self, reactor: Any, pool: Pool) -> None:
+    def __init__(self, reactor: Any, pool: BufferPool) -> None:
         self._reactor = reactor
         self._pool = pool
         self._reader = discovery_codec.ReplyReader(pool)
@@ -119,7 +119,7 @@
     def __init__(
         self,
         reactor: Any,
-        pool: Pool,
+        pool: BufferPool,
         address: str,
         zones: Mapping[str, int],
         machine_kinds: Mapping[str, int],
--- a/vanerelay/net/discovery_codec.py
+++ b/vanerelay/net/discovery_codec.py
@@ -11,7 +11,7 @@
 
 from vanerelay.engine_list import EngineListChange, ListedEngine
 from vanerelay.interface import EngineState
-from vanerelay.net.buffers import Gather, Pool, number
+from vanerelay.net.buffers import BufferPool, ReceiveBuffer, parse_number
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 """No list is nearly as long."""
@@ -66,8 +66,8 @@
 class ReplyReader:
     """Reads one answer, fed in any pieces."""
 
-    def __init__(self, pool: Pool) -> None:
-        self._held = Gather(pool)
+    def __init__(self, pool: BufferPool) -> None:
+        self._held = ReceiveBuffer(pool)
         self._part = _Part.STATUS
         self._status = 0
         self._headers = dict[str, str]()
@@ -80,9 +80,9 @@
         """Reads on; the answer once it is complete, None before."""
         self._held.feed(data)
         result = self._read()
-        self._held.keep()
+        self._held.store_unread()
         if result is not None:
-            self._held.drop()
+            self._held.clear()
         return result
 
     def ended(self) -> Reply | Unreadable:
@@ -93,7 +93,7 @@
 
     def drop(self) -> None:
         """Reads nothing more."""
-        self._held.drop()
+        self._held.clear()
 
     def _read(self) -> Reply | Unreadable | None:
         while True:
@@ -106,7 +106,7 @@
                     return self._complete()
                 self._part = _Part.CHUNK_END
                 continue
-            line = self._held.line(_MAX_LINE_BYTES)
+            line = self._held.read_line(_MAX_LINE_BYTES)
             if line is None:
                 return Unreadable("a line is too long") if len(self._held) >= _MAX_LINE_BYTES else None
             result = self._read_line(line.decode("latin-1"))
@@ -139,7 +139,7 @@
 
     def _read_status(self, line: str) -> Unreadable | None:
         words = line.split(" ", 2)
-        status = number(words[1], _MAX_STATUS) if len(words) > 1 else None
+        status = parse_number(words[1], _MAX_STATUS) if len(words) > 1 else None
         if status is None or not words[0].startswith("HTTP/1."):
             return Unreadable("no status line")
         self._status = status
@@ -177,7 +177,7 @@
                 return self._complete()
             self._part = _Part.BODY_TO_END
         else:
-            size = number(length, MAX_BODY_BYTES)
+            size = parse_number(length, MAX_BODY_BYTES)
             if size is None:
                 return Unreadable("no length that can be used")
             self._left, self._part = size, _Part.BODY_OF_LENGTH
--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -16,7 +16,7 @@
 
 from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.net.attempt import Attempt
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.engine_protocol import EngineProtocol
 from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.resp_codec import Exchange, Note, QueryCommand
@@ -36,7 +36,7 @@
     """
 
     reactor: Any
-    pool: Pool
+    pool: BufferPool
     host: str
     port: int
     settings: ConnectionSettings
--- a/vanerelay/net/engine_pool.py
+++ b/vanerelay/net/engine_pool.py
@@ -11,7 +11,7 @@
 
 from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.net.attempt import Attempt
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.engine_connection import NOT_SENT, ConnectionSettings, EngineConnection
 from vanerelay.net.events import EventLog
 
@@ -32,7 +32,7 @@
     def __init__(
         self,
         reactor: Any,
-        pool: Pool,
+        pool: BufferPool,
         host: str,
         port: int,
         settings: ConnectionSettings,
@@ -106,7 +106,7 @@
     def __init__(
         self,
         reactor: Any,
-        pool: Pool,
+        pool: BufferPool,
         settings: ConnectionSettings,
         max_connections: int,
         after_recent_poll: Callable[[Callable[[], None]], None],
--- a/vanerelay/net/events.py
+++ b/vanerelay/net/events.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-BURST = 30
+BURST_LINES = 30
 """Lines written in a row."""
 LINES_PER_S = 3.0
 """Lines a second in the long run."""
@@ -40,8 +40,8 @@
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         self.counts = Counter[tuple[LogEventKind, str]]()
-        self._lines, self._filled_at = float(BURST), reactor.seconds()
-        self._counts_due, self._counted = reactor.seconds() + COUNTS_INTERVAL_S, 0
+        self._lines_available, self._refilled_at = float(BURST_LINES), reactor.seconds()
+        self._counts_due_at, self._total_written = reactor.seconds() + COUNTS_INTERVAL_S, 0
 
     def note(self, kind: LogEventKind, why: str, line: bool = True, **values: Any) -> None:
         """Counts an event, and writes a line unless it is to be counted alone.
@@ -54,28 +54,30 @@
         """
         known = (kind, why) in self.counts or len(self.counts) < MAX_REASONS
         self.counts[kind, why if known else OTHER_REASON] += 1
-        if line and self._may_write():
+        if line and self._take_line():
             log.info(kind.value, why=why, **values)
 
-    def _may_write(self) -> bool:
+    def _take_line(self) -> bool:
         now = self._reactor.seconds()
-        self._lines = min(float(BURST), self._lines + (now - self._filled_at) * LINES_PER_S)
-        self._filled_at = now
-        if self._lines < 1.0:
+        self._lines_available = min(
+            float(BURST_LINES), self._lines_available + (now - self._refilled_at) * LINES_PER_S
+        )
+        self._refilled_at = now
+        if self._lines_available < 1.0:
             return False
-        self._lines -= 1.0
+        self._lines_available -= 1.0
         return True
 
     def sweep(self) -> None:
         """Writes the counts where they are due and have changed."""
-        if self._reactor.seconds() >= self._counts_due:
-            self._counts_due = self._reactor.seconds() + COUNTS_INTERVAL_S
+        if self._reactor.seconds() >= self._counts_due_at:
+            self._counts_due_at = self._reactor.seconds() + COUNTS_INTERVAL_S
             self.write_counts()
 
     def write_counts(self) -> None:
         """Writes the counts where they have changed."""
         total = self.counts.total()
-        if total == self._counted:
+        if total == self._total_written:
             return
-        self._counted = total
+        self._total_written = total
         log.info("events so far", **{f"{kind.value}: {why}": n for (kind, why), n in self.counts.items()})
--- a/vanerelay/net/frames.py
+++ b/vanerelay/net/frames.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 
 from vanerelay.interface import AnswerStatus
-from vanerelay.net.buffers import Gather, Pool
+from vanerelay.net.buffers import BufferPool, ReceiveBuffer
 
 MIN_LENGTH, MAX_LENGTH = 5, 262_144
 """What the length of a frame may be, which counts the kind, the stream and the payload."""
@@ -56,8 +56,8 @@
 class FrameReader:
     """Fed what a client sent, in any pieces."""
 
-    def __init__(self, pool: Pool) -> None:
-        self._held = Gather(pool)
+    def __init__(self, pool: BufferPool) -> None:
+        self._buffer = ReceiveBuffer(pool)
         self._last_stream = 0
         self._broken = False
 
@@ -65,40 +65,40 @@
         """Reads on; gives each frame that is complete now."""
         if self._broken:
             return
-        self._held.feed(data)
+        self._buffer.feed(data)
         while not self._broken:
-            header = self._held.peek(_HEADER.size)
+            header = self._buffer.peek(_HEADER.size)
             if header is None:
                 break
             size, kind, stream = _HEADER.unpack(header)
-            wrong = self._wrong(size, kind, stream)
-            if wrong is None and len(self._held) < _LENGTH_BYTES + size:
+            error = self._header_error(size, kind, stream)
+            if error is None and len(self._buffer) < _LENGTH_BYTES + size:
                 break
-            if wrong is None:
-                frame = self._held.read(_LENGTH_BYTES + size) or b""
+            if error is None:
+                frame = self._buffer.read(_LENGTH_BYTES + size) or b""
                 parsed = _parse(_FROM_CLIENTS[kind], stream, frame)
                 if isinstance(parsed, Frame):
                     if parsed.kind is FrameKind.REQUEST:
                         self._last_stream = stream
                     yield parsed
                     continue
-                wrong = parsed.why
+                error = parsed.why
             self._broken = True
-            self._held.drop()
-            yield Malformed(wrong)
-        self._held.keep()
+            self._buffer.clear()
+            yield Malformed(error)
+        self._buffer.store_unread()
 
     @property
     def partial(self) -> bool:
         """Whether what came last is not complete."""
-        return len(self._held) > 0
+        return len(self._buffer) > 0
 
-    def drop(self) -> None:
+    def stop(self) -> None:
         """Reads nothing more."""
         self._broken = True
-        self._held.drop()
+        self._buffer.clear()
 
-    def _wrong(self, size: int, kind: int, stream: int) -> str | None:
+    def _header_error(self, size: int, kind: int, stream: int) -> str | None:
         if not MIN_LENGTH <= size <= MAX_LENGTH:
             return f"a frame's length is {size}"
         if kind not in _FROM_CLIENTS:
@@ -112,28 +112,28 @@
     if kind is FrameKind.CANCEL:
         return Frame(kind, stream, {}, b"")
     fields: dict[str, str] = {}
-    at = _HEADER.size + 1
+    position = _HEADER.size + 1
     try:
         for _ in range(frame[_HEADER.size]):
-            name_end = at + 1 + frame[at]
+            name_end = position + 1 + frame[position]
             value_end = name_end + 2 + int.from_bytes(frame[name_end : name_end + 2], "big")
             if value_end > len(frame):
                 return Malformed("a field ends past its frame")
-            fields[frame[at + 1 : name_end].decode()] = frame[name_end + 2 : value_end].decode()
-            at = value_end
+            fields[frame[position + 1 : name_end].decode()] = frame[name_end + 2 : value_end].decode()
+            position = value_end
     except IndexError:
         return Malformed("a frame ends within its fields")
     except UnicodeDecodeError:
         return Malformed("a field is no text")
-    return Frame(kind, stream, fields, frame[at:])
+    return Frame(kind, stream, fields, frame[position:])
 
 
-def frame(kind: FrameKind, stream: int, payload: bytes = b"") -> bytes:
+def encode_frame(kind: FrameKind, stream: int, payload: bytes = b"") -> bytes:
     """The bytes of a frame."""
     return _HEADER.pack(MIN_LENGTH + len(payload), kind, stream) + payload
 
 
-def answer(
+def encode_answer(
     kind: FrameKind, stream: int, status: AnswerStatus, fields: Mapping[str, str], body: bytes = b""
 ) -> bytes:
     """The bytes of an answer, or of a readiness."""
@@ -141,4 +141,4 @@
     for name, value in fields.items():
         parts.append(bytes((len(name),)) + name.encode() + struct.pack(">H", len(value)) + value.encode())
     parts.append(body)
-    return frame(kind, stream, b"".join(parts))
+    return encode_frame(kind, stream, b"".join(parts))
--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -195,35 +195,35 @@
 
     def send_attempt(self, query: int, engine: int, timeout: int) -> None:
         """See `Transport.send_attempt`."""
-        self._sender.send(self.queries.at(query), engine, timeout)
+        self._sender.send(self.queries.by_index(query), engine, timeout)
 
     def grant_memory(self, query: int, memory: float, priority: int) -> None:
         """See `Transport.grant_memory`. What the engines do not heed is not sent."""
-        held = self.queries.at(query)
+        held = self.queries.by_index(query)
         allowed = self.settings.current
         held.memory_grant = round(memory) if allowed.sends_memory_grants else 0
         held.priority = priority if allowed.sends_priorities else 0
 
     def reject(self, query: int, retry_after: int) -> None:
         """See `Transport.reject`."""
-        held = self.queries.at(query)
+        held = self.queries.by_index(query)
         if not held.ended:
             self._answers.note_rejection(held, "rejected by the decisions")
             fields = request_codec.retry_after_fields(retry_after)
             self._answers.answer(held, AnswerStatus.REJECTED, fields)
-        self.queries.settle(held)  # rejected in the admission queue, nothing else comes for it
+        self.queries.discard_if_done(held)  # rejected in the admission queue, nothing else comes for it
 
     def fail(self, query: int) -> None:
         """See `Transport.fail`."""
-        held = self.queries.at(query)
+        held = self.queries.by_index(query)
         if not held.ended:
             self._answers.note_rejection(held, "failed by the decisions")
             self._answers.answer(held, AnswerStatus.FAILED)
-        self.queries.settle(held)
+        self.queries.discard_if_done(held)
 
     def cancel_attempt(self, query: int, attempt: int) -> None:
         """See `Transport.cancel_attempt`."""
-        running = self.queries.at(query).attempts[attempt]
+        running = self.queries.by_index(query).attempts[attempt]
         if running is not None:
             self._reactor.callLater(0, running.give_up, EndCause.CANCELLED)
 
--- a/vanerelay/net/held_queries.py
+++ b/vanerelay/net/held_queries.py
@@ -13,7 +13,7 @@
 from vanerelay.net.request_codec import QueryRequest
 from vanerelay.query_table import HeldQuery, QueryTable
 
-NOT_FROM_A_CLIENT = -1
+INTERNAL_QUERY_PASS = -1
 """The pass of the event loop in which a query was read that no client brought."""
 
 
@@ -82,7 +82,7 @@
         self.client = client
         self.stream = stream
         self.received_after = received_after
-        self.read_in_pass = NOT_FROM_A_CLIENT
+        self.read_in_pass = INTERNAL_QUERY_PASS
         self.service_class = request.service_class.encode()
         self.deadline = deadline
         self.body = request.body
@@ -100,7 +100,7 @@
         """Whether it is a query of the gateway itself."""
         return isinstance(self.client, InternalClient)
 
-    def left(self) -> None:
+    def abandon(self) -> None:
         """Its client no longer waits."""
         self.owner.client_left(self)
 
@@ -157,11 +157,11 @@
         self._free_bytes += len(query.body)
         query.body = b""
 
-    def at(self, index: int) -> ClientQuery:
+    def by_index(self, index: int) -> ClientQuery:
         """The query of an index."""
         return self._table.get(index)
 
-    def settle(self, query: ClientQuery) -> None:
+    def discard_if_done(self, query: ClientQuery) -> None:
         """Forgets a query for which nothing can come any more."""
         self._table.remove_if_done(query)
 
@@ -173,20 +173,20 @@
     for others.
     """
 
-    KEPT, MOST = 30 * SECOND, 20_000
+    MAX_AGE, MAX_COUNT = 30 * SECOND, 20_000
     """The time and the number after which the older half is forgotten."""
 
     def __init__(self, now: int) -> None:
-        self._newer, self._older = set[int](), set[int]()
-        self._since = now
+        self._newer_half, self._older_half = set[int](), set[int]()
+        self._newer_since = now
 
     def seen_before(self, reference: str, now: int) -> bool:
         """Whether it has come lately; from now on it has."""
-        if now - self._since > self.KEPT or len(self._newer) >= self.MOST:
-            self._newer, self._older, self._since = set(), self._newer, now
+        if now - self._newer_since > self.MAX_AGE or len(self._newer_half) >= self.MAX_COUNT:
+            self._newer_half, self._older_half, self._newer_since = set(), self._newer_half, now
         number = int(reference, 16)
-        seen = number in self._newer or number in self._older
-        self._newer.add(number)
+        seen = number in self._newer_half or number in self._older_half
+        self._newer_half.add(number)
         return seen
 
 
@@ -210,6 +210,6 @@
 
     def cancel(self) -> None:
         """Nobody waits for it any more."""
-        self._query.left()
+        self._query.abandon()
         if not self.done.called:
             self.done.callback(AnswerStatus.REJECTED)
--- a/vanerelay/net/load_reports.py
+++ b/vanerelay/net/load_reports.py
@@ -45,4 +45,4 @@
 
 
 def _figure(fields: Mapping[str, str], name: str) -> float:
-    return request_codec.figure(fields, name) or 0.0
+    return request_codec.parse_number(fields, name) or 0.0
--- a/vanerelay/net/query_ends.py
+++ b/vanerelay/net/query_ends.py
@@ -26,14 +26,14 @@
             self._events.note(LogEventKind.REJECTION, "client left", False)
             self._answers.abandon(query)
             self._stop_attempts(query)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
 
     def deadline_passed(self, query: ClientQuery) -> None:
         """Its deadline has come, whatever the decisions made of it."""
         self._answers.note_rejection(query, "deadline passed")
         self._answers.answer(query, AnswerStatus.FAILED)
         self._stop_attempts(query)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
 
     def _stop_attempts(self, query: ClientQuery) -> None:
         """Tells the decisions. What has not begun does not begin, also where nothing can be cancelled."""
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -33,7 +33,7 @@
 from vanerelay.net.service_settings import SettingsInForce
 from vanerelay.net.statements import table_group
 
-LONGEST_WAIT = 2
+MAX_TIME_LIMIT_FACTOR = 2
 """Times the deadline of its service class: the longest time limit that a client can mean."""
 
 
@@ -107,7 +107,7 @@
         self._ends = ends
         self._extensions = extensions
         self._events = events
-        self._recent = RecentReferences(clock.now())
+        self._recent_references = RecentReferences(clock.now())
 
     def accept(
         self, client: ClientConnection, frame: frames.Frame, received_after: int
@@ -127,7 +127,7 @@
         if isinstance(admitted, Rejection):
             return self._reject(client, frame, admitted)
         query = self._hold_for_client(client, frame.stream, admitted, received_after)
-        query.arrival = self._arrival(query, admitted)
+        query.arrival = self._make_arrival(query, admitted)
         earns_retries = not query.arrival.earns_no_retries
         query.guard_record = self._guard.query_submitted(
             self._decisions.now, admitted.service_class, admitted.deadline, earns_retries
@@ -136,7 +136,7 @@
             self._decisions.submit(query)
         else:
             self._decisions.call(query, query.constraint.start, query)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
         self._deadlines.check(self._queries.open_count)
         return RequestResult.ANSWERED if query.ended else query
 
@@ -187,7 +187,7 @@
         )
         query.guard_record = self._guard.query_submitted(now, row, query.deadline, False)
         self._decisions.submit(query)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
         self._deadlines.check(self._queries.open_count)
         return InternalQuery(query, client.done)
 
@@ -210,7 +210,7 @@
         else:
             query.arrival.service_class = service_class
             self._decisions.submit(query)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
         self._deadlines.check(self._queries.open_count)
 
     def reject_constrained(self, query: ClientQuery, retry_after: int) -> None:
@@ -218,15 +218,15 @@
         if not query.ended and query.handle is None:
             self._answers.note_rejection(query, "rejected by its constraint")
             retry_after = min(retry_after, self._settings.current.max_retry_after)
-            shown = retry_after if retry_after >= request_codec.TICKS_PER_MS else 0
-            fields = request_codec.retry_after_fields(shown)
+            reported_retry_after = retry_after if retry_after >= request_codec.TICKS_PER_MS else 0
+            fields = request_codec.retry_after_fields(reported_retry_after)
             self._answers.answer(query, AnswerStatus.REJECTED, fields)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
 
     def _admit(self, frame: frames.Frame, received_after: int) -> AdmittedRequest | Rejection:
         """Decodes and validates a request, and looks whether there is capacity for it."""
         request = request_codec.parse(frame)
-        service_class = None if request is None else self._usable_for(request)
+        service_class = None if request is None else self._find_service_class(request)
         if request is None or service_class is None:
             reference = request_codec.reference_for_log(frame.fields)
             return Rejection(RejectionReason.UNUSABLE, reference)
@@ -239,14 +239,14 @@
             return Rejection(RejectionReason.UNSATISFIABLE, request.reference, constraint)
         return AdmittedRequest(request, service_class, deadline, constraint)
 
-    def _usable_for(self, request: QueryRequest) -> int | None:
+    def _find_service_class(self, request: QueryRequest) -> int | None:
         """The row of the service class that the request belongs to; None where an engine could not use it."""
         settings = self._settings.current
         row = settings.rows.get(request.service_class)
         if row is None:
             return None
         known_tenant = not settings.tenants or request.tenant in settings.tenants
-        in_range = request.time_limit <= LONGEST_WAIT * settings.service_classes[row].deadline
+        in_range = request.time_limit <= MAX_TIME_LIMIT_FACTOR * settings.service_classes[row].deadline
         usable = known_tenant and in_range and not self._queries.is_open(request.reference)
         return row if usable else None
 
@@ -296,7 +296,7 @@
         self._queries.hold(query)
         self._deadlines.add(query)
 
-    def _arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
+    def _make_arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
         """The query as the decisions get it."""
         request = admitted.request
         return QueryArrival(
@@ -309,5 +309,5 @@
             estimated_memory=request.estimated_memory,
             is_retry=False,
             table_group=table_group(request.statement),
-            earns_no_retries=self._recent.seen_before(request.reference, self._decisions.now),
+            earns_no_retries=self._recent_references.seen_before(request.reference, self._decisions.now),
         )
--- a/vanerelay/net/rate_limited_log.py
+++ b/vanerelay/net/rate_limited_log.py
@@ -18,15 +18,15 @@
     def __init__(self, reactor: Any, event: str) -> None:
         self._reactor = reactor
         self._event = event
-        self._due_at = 0.0
-        self._left_out = 0
+        self._next_allowed_at = 0.0
+        self._suppressed = 0
 
     def warn(self, **values: Any) -> None:
         """Writes the warning with these values, or counts it as left out."""
         now = self._reactor.seconds()
-        if now < self._due_at:
-            self._left_out += 1
+        if now < self._next_allowed_at:
+            self._suppressed += 1
             return
-        log.warning(self._event, left_out=self._left_out, **values)
-        self._due_at = now + INTERVAL_S
-        self._left_out = 0
+        log.warning(self._event, left_out=self._suppressed, **values)
+        self._next_allowed_at = now + INTERVAL_S
+        self._suppressed = 0
--- a/vanerelay/net/request_codec.py
+++ b/vanerelay/net/request_codec.py
@@ -9,14 +9,14 @@
 
 from vanerelay.net import frames
 
-REFERENCE = re.compile("[0-9a-fA-F]{16}")
-FIGURE = re.compile(r"[0-9]{1,15}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
-KEY = re.compile(r"[0-9a-zA-Z_.:/+-]{1,128}")
+REFERENCE_PATTERN = re.compile("[0-9a-fA-F]{16}")
+NUMBER_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
+KEY_PATTERN = re.compile(r"[0-9a-zA-Z_.:/+-]{1,128}")
 """An idempotency key or order key: it stands in a list of fields, between commas and signs of equality."""
-FIGURE_LIMIT = 1e8
+NUMBER_LIMIT = 1e8
 """No work is as long in milliseconds, no memory as large in MB."""
 TICKS_PER_MS = 10
-REFERENCE_LENGTH = 16
+MAX_LOGGED_REFERENCE_LENGTH = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,12 +45,14 @@
 def parse(frame: frames.Frame) -> QueryRequest | None:
     """The request of a frame; None where something is missing or can't be used."""
     fields = frame.fields
-    time_limit, cost, memory = (figure(fields, name) for name in ("allow", "effort", "space"))
-    statement = _text(frame.body)
+    time_limit, cost, memory = (parse_number(fields, name) for name in ("allow", "effort", "space"))
+    statement = _decode_utf8(frame.body)
     keys = [fields.get(name, "") for name in ("replay", "lookup")]
     if time_limit is None or cost is None or memory is None or not statement:
         return None
-    if not REFERENCE.fullmatch(fields.get("ref", "")) or any(key and not KEY.fullmatch(key) for key in keys):
+    if not REFERENCE_PATTERN.fullmatch(fields.get("ref", "")) or any(
+        key and not KEY_PATTERN.fullmatch(key) for key in keys
+    ):
         return None
     return QueryRequest(
         reference=fields["ref"],
@@ -73,7 +75,7 @@
 
 def reference_for_log(fields: Mapping[str, str]) -> str:
     """The reference of a request, usable or not, as far as a log line takes it."""
-    return fields.get("ref", "")[:REFERENCE_LENGTH]
+    return fields.get("ref", "")[:MAX_LOGGED_REFERENCE_LENGTH]
 
 
 def retry_after_fields(retry_after: int) -> dict[str, str]:
@@ -86,14 +88,14 @@
     return {} if explanation is None else {"why": explanation}
 
 
-def figure(fields: Mapping[str, str], name: str) -> float | None:
+def parse_number(fields: Mapping[str, str], name: str) -> float | None:
     """A figure as given, 0 where it is not; None where it cannot be used."""
     text = fields.get(name, "" if name == "allow" else "0")
-    value = float(text) if FIGURE.fullmatch(text) else FIGURE_LIMIT
-    return value if value < FIGURE_LIMIT else None
+    value = float(text) if NUMBER_PATTERN.fullmatch(text) else NUMBER_LIMIT
+    return value if value < NUMBER_LIMIT else None
 
 
-def _text(body: bytes) -> str | None:
+def _decode_utf8(body: bytes) -> str | None:
     try:
         return body.decode()
     except UnicodeDecodeError:
--- a/vanerelay/net/resp_codec.py
+++ b/vanerelay/net/resp_codec.py
@@ -8,7 +8,7 @@
 
 from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.interface import ProgressKind
-from vanerelay.net.buffers import Gather, Pool, number
+from vanerelay.net.buffers import BufferPool, ReceiveBuffer, parse_number
 
 MAX_RESULT_BYTES, MAX_PAGE_BYTES = 48_000, 6_000
 _MAX_LINE_BYTES = 32
@@ -36,8 +36,8 @@
 class BulkReader:
     """Fed bytes in any pieces, gives arrays of bulk strings; None once what came is not readable."""
 
-    def __init__(self, pool: Pool) -> None:
-        self._held = Gather(pool)
+    def __init__(self, pool: BufferPool) -> None:
+        self._held = ReceiveBuffer(pool)
         self._parts_expected = 0  # of the array that is being read; 0 between two
         self._parts = list[bytes]()
         self._size = -1  # of the bulk string that is being read; -1 before its header has come
@@ -63,12 +63,12 @@
         except _NotRespError:
             self.drop()
             yield None
-        self._held.keep()
+        self._held.store_unread()
 
     def drop(self) -> None:
         """Reads nothing more."""
         self.broken = True
-        self._held.drop()
+        self._held.clear()
 
     def _step(self) -> bool:
         """Reads the next header or string; whether there was one."""
@@ -92,7 +92,7 @@
         return True
 
     def _header(self, sign: bytes, largest: int) -> int | None:
-        line = self._held.line(_MAX_LINE_BYTES)
+        line = self._held.read_line(_MAX_LINE_BYTES)
         if line is None:
             # Noise without an end of line is known by its first bytes: nobody has to wait for the rest.
             start = self._held.peek(min(len(self._held), _MAX_LINE_BYTES)) or sign
@@ -100,7 +100,7 @@
             if len(start) >= _MAX_LINE_BYTES or start[:1] != sign or digits and not digits.isdigit():
                 raise _NotRespError
             return None
-        count = number(line[1:].decode("latin-1"), largest)
+        count = parse_number(line[1:].decode("latin-1"), largest)
         if line[:1] != sign or count is None:
             raise _NotRespError
         return count
@@ -206,7 +206,7 @@
         out: What is to be written, in this order.
     """
 
-    def __init__(self, pool: Pool, max_open: int, may_cancel: bool) -> None:
+    def __init__(self, pool: BufferPool, max_open: int, may_cancel: bool) -> None:
         self._reader = BulkReader(pool)
         self._max_open = max_open
         self._may_cancel = may_cancel
@@ -328,7 +328,7 @@
         if word == b"OK":
             return self._first_page(ident, named, body)
         if word == b"ROWS" and pages is not None:
-            index = number(named.get("index", ""), MAX_RESULT_BYTES)
+            index = parse_number(named.get("index", ""), MAX_RESULT_BYTES)
             if index is None or not pages.put(index, body):
                 return BAD_PAGE
             return self._end_if_complete(ident, pages)
@@ -342,7 +342,7 @@
 
     def _first_page(self, ident: bytes, named: dict[str, str], body: bytes) -> AttemptEnd | str | None:
         """Takes the page with the named values in, and asks for the others."""
-        total = number(named.get("total", ""), MAX_RESULT_BYTES)
+        total = parse_number(named.get("total", ""), MAX_RESULT_BYTES)
         if not total:
             return "no number of pages"
         pages = self.open[ident]
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -14,7 +14,7 @@
 from vanerelay.estimation import stable_hash
 from vanerelay.extension import DiscoveryAnswerListener, Extension, ExtensionHost, ListListener, StartupError
 from vanerelay.net import startup
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.client_listener import ClientListener
 from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.events import EventLog
@@ -68,7 +68,7 @@
         self.supervised = self._sockets.listen_fd is not None
         self._internal_queries = int(clock.now())  # a number for the next reference
         self._failure: str | None = None  # found while running, which ends the program
-        self._pool = Pool()
+        self._pool = BufferPool()
         self.events = EventLog(reactor)
         self._shares = DescriptorShares.divide(configuration.descriptors)
         self._make_service(configuration)
--- a/vanerelay/net/shutdown.py
+++ b/vanerelay/net/shutdown.py
@@ -97,7 +97,7 @@
         self._service.draining = True
         self._reactor.callLater(CONNECTIONS_S, self._refuse_connections)
         self._reactor.callLater(REQUESTS_S, self._refuse_queries)
-        self._clients.each(lambda client: client.stop_requests())
+        self._clients.for_each(lambda client: client.send_go_away())
         for extension in self._extensions:
             guarded(extension.draining)
         return self._done
@@ -105,12 +105,12 @@
     def _refuse_connections(self) -> None:
         self._log_step("no new connections from now on")
         self._clients.stop_listening()
-        self._clients.each(lambda client: client.stop_requests())
+        self._clients.for_each(lambda client: client.send_go_away())
 
     def _refuse_queries(self) -> None:
         self._log_step("no new queries from now on")
         self._reactor.callLater(0, self._await_answers)
-        self._clients.each(lambda client: client.end_when_answered())
+        self._clients.for_each(lambda client: client.end_when_answered())
 
     def _log_step(self, event: str) -> None:
         log.info(event, clients=self._clients.descriptor_count, open=self._service.queries.open_count)
--- a/vanerelay/net/startup.py
+++ b/vanerelay/net/startup.py
@@ -16,7 +16,7 @@
 from vanerelay.extension import StartupError
 from vanerelay.interface import SECOND
 from vanerelay.net.accepting_port import is_transient
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.client_listener import ClientListener
 from vanerelay.net.engine_connection import ConnectionSettings
 from vanerelay.net.engine_pool import EnginePool
@@ -170,7 +170,7 @@
 def make_engine_pool(
     reactor: Any,
     clock: Clock,
-    pool: Pool,
+    pool: BufferPool,
     raw_settings: RawSettings,
     shares: DescriptorShares,
     events: EventLog,
--- a/vanerelay/net/statements.py
+++ b/vanerelay/net/statements.py
@@ -4,20 +4,23 @@
 
 import re
 
-from vanerelay.net.buffers import BLOCK
+from vanerelay.net.buffers import BLOCK_BYTES
 
 # What is skipped goes with the token behind it: a match for each took a quarter of a gateway's CPU.
-_TOKEN = re.compile(
+_TOKEN_PATTERN = re.compile(
     r"""(?:\s+|--[^\n]*|/\*.*?(?:\*/|\Z)|'(?:[^']|'')*(?:'|\Z))*+"""
     r"""(?:("(?:[^"]|"")*(?:"|\Z))|([^\W\d]\w*)|(\d\w*|[=<>+%|&!;:?]+|.)|\Z)""",
     re.DOTALL,
 )
-_WRITE = re.compile(rb"\b(?:into|update|table|overwrite|truncate)\b", re.IGNORECASE)
-_GROUP = re.compile(r"_([0-9]{1,15})\Z")  # no more digits than a figure on the wire may have
-# Words after which a table is named; a comma goes on with the list after the first two kinds.
-_LISTS, _SINGLE = {"from", "using"}, {"join", "into", "update", "table", "overwrite", "truncate"}
-_WRITES = {"into", "update", "table", "overwrite", "truncate"}
-_ENDS = {
+_WRITE_PATTERN = re.compile(rb"\b(?:into|update|table|overwrite|truncate)\b", re.IGNORECASE)
+_GROUP_SUFFIX = re.compile(r"_([0-9]{1,15})\Z")  # no more digits than a figure on the wire may have
+# Words after which a table is schema_numbers; a comma goes on with the list after the first two kinds.
+_LIST_KEYWORDS, _SINGLE_KEYWORDS = (
+    {"from", "using"},
+    {"join", "into", "update", "table", "overwrite", "truncate"},
+)
+_WRITE_KEYWORDS = {"into", "update", "table", "overwrite", "truncate"}
+_END_KEYWORDS = {
     "where",
     "group",
     "order",
@@ -35,11 +38,14 @@
     "qualify",
     "when",
 }
-_FUNCTIONS, _BEFORE_QUERY = {"extract", "trim", "substring", "overlay", "position"}, _LISTS | {"join", ","}
+_FROM_FUNCTIONS, _BEFORE_SUBQUERY = (
+    {"extract", "trim", "substring", "overlay", "position"},
+    _LIST_KEYWORDS | {"join", ","},
+)
 # All else means nothing unless a table is expected.
-_WORDS = _LISTS | _SINGLE | _ENDS
-_SIGNS = {"(", ")", ","}
-_BETWEEN = {"only", "lateral", "if", "not", "exists", "table"}
+_KEYWORDS = _LIST_KEYWORDS | _SINGLE_KEYWORDS | _END_KEYWORDS
+_PUNCTUATION = {"(", ")", ","}
+_FILLER_KEYWORDS = {"only", "lateral", "if", "not", "exists", "table"}
 
 
 def _tokens(statement: str) -> list[tuple[str, str]]:
@@ -50,19 +56,19 @@
         else ("", other)
         if other
         else ("name", quoted[1:].removesuffix('"').replace('""', '"'))
-        for quoted, word, other in _TOKEN.findall(statement)
+        for quoted, word, other in _TOKEN_PATTERN.findall(statement)
         if quoted or word or other
     ]
 
 
-def named(statement: str) -> tuple[list[int], list[int]]:
+def schema_numbers(statement: str) -> tuple[list[int], list[int]]:
     """The numbers of the schemas of all tables that are written, and of those read."""
-    scan = _Scan(_tokens(statement))
-    scan.run()
-    return scan.written, scan.read
+    scanner = _TableScanner(_tokens(statement))
+    scanner.run()
+    return scanner.written, scanner.read
 
 
-class _Scan:
+class _TableScanner:
     """Goes through the tokens of a statement once, and notes the tables that it names.
 
     Attributes:
@@ -77,7 +83,7 @@
         # By open bracket: whether a list of tables goes on, and whether the bracket is that of a function.
         # Kept as brackets open, not looked for at each FROM: that took minutes for the longest frame there
         # may be.
-        self._listing = [False]
+        self._in_table_list = [False]
         self._in_function = [False]
 
     def run(self) -> None:
@@ -86,64 +92,64 @@
         while at < len(tokens):
             kind, text = tokens[at]
             word = text.lower() if kind == "word" else ""
-            if not self._table_expected and word not in _WORDS and text not in _SIGNS:
+            if not self._table_expected and word not in _KEYWORDS and text not in _PUNCTUATION:
                 at += 1
-            elif word in _LISTS or word in _SINGLE:
-                self._before_table(word)
+            elif word in _LIST_KEYWORDS or word in _SINGLE_KEYWORDS:
+                self._expect_table(word)
                 at += 1
             elif self._table_expected and _may_name_table(kind, word):
-                at = self._take_table(at)
+                at = self._record_table(at)
             else:
                 before = tokens[at - 1][1].lower() if at else ""
-                self._other(text, word, before)
+                self._handle_other(text, word, before)
                 at += 1
 
-    def _before_table(self, word: str) -> None:
+    def _expect_table(self, word: str) -> None:
         # EXTRACT(x FROM y), TRIM(x FROM y) and SUBSTRING(x FROM y) name a column here, no table.
         names_column = word == "from" and self._in_function[-1]
         if not (word == "table" and self._table_expected):
-            self._writing = word in _WRITES
+            self._writing = word in _WRITE_KEYWORDS
         self._table_expected = not names_column
-        self._listing[-1] = word in _LISTS and not names_column
+        self._in_table_list[-1] = word in _LIST_KEYWORDS and not names_column
 
-    def _take_table(self, at: int) -> int:
-        """Notes the table that is named here; returns where the tokens go on."""
-        names, following = _dotted(self._tokens, at)
+    def _record_table(self, at: int) -> int:
+        """Notes the table that is schema_numbers here; returns where the tokens go on."""
+        names, following = _dotted_name(self._tokens, at)
         if len(names) > 1:
-            (self.written if self._writing else self.read).extend(_number(names[-2]))
+            (self.written if self._writing else self.read).extend(_schema_number(names[-2]))
         self._table_expected = False
         return following
 
-    def _other(self, text: str, word: str, before: str) -> None:
+    def _handle_other(self, text: str, word: str, before: str) -> None:
         if text == "(":
-            self._listing.append(False)
-            self._in_function.append(before in _FUNCTIONS)
-            self._table_expected = self._table_expected and before in _BEFORE_QUERY
+            self._in_table_list.append(False)
+            self._in_function.append(before in _FROM_FUNCTIONS)
+            self._table_expected = self._table_expected and before in _BEFORE_SUBQUERY
         elif text == ")":
-            if len(self._listing) > 1:
-                self._listing.pop()
+            if len(self._in_table_list) > 1:
+                self._in_table_list.pop()
                 self._in_function.pop()
             self._table_expected = False
-        elif text == "," and self._listing[-1]:
+        elif text == "," and self._in_table_list[-1]:
             self._table_expected, self._writing = True, False
-        elif word in _ENDS:
+        elif word in _END_KEYWORDS:
             self._table_expected = False
-            self._listing[-1] = False
+            self._in_table_list[-1] = False
 
 
 def _may_name_table(kind: str, word: str) -> bool:
-    return kind == "name" or kind == "word" and word not in _BETWEEN and word not in _ENDS
+    return kind == "name" or kind == "word" and word not in _FILLER_KEYWORDS and word not in _END_KEYWORDS
 
 
 def table_groups(statement: str) -> list[int]:
     """The numbers of the schemas of all tables that a statement names, those written first, each once."""
-    written, read = named(statement)
+    written, read = schema_numbers(statement)
     return list(dict.fromkeys(written + read))
 
 
-def writes(statement: bytes) -> bool:
+def may_write(statement: bytes) -> bool:
     """Whether a statement may write; one that only looks so counts as well."""
-    return _WRITE.search(statement, 0, BLOCK) is not None
+    return _WRITE_PATTERN.search(statement, 0, BLOCK_BYTES) is not None
 
 
 def table_group(statement: str) -> int:
@@ -151,10 +157,10 @@
 
     It stands near the beginning; the longest statements would take half a second to go through.
     """
-    return next(iter(table_groups(statement[:BLOCK])), 0)
+    return next(iter(table_groups(statement[:BLOCK_BYTES])), 0)
 
 
-def _dotted(tokens: list[tuple[str, str]], at: int) -> tuple[list[str], int]:
+def _dotted_name(tokens: list[tuple[str, str]], at: int) -> tuple[list[str], int]:
     names = [tokens[at][1]]
     while at + 2 < len(tokens) and tokens[at + 1][1] == "." and tokens[at + 2][0] in ("word", "name"):
         at += 2
@@ -162,6 +168,6 @@
     return names, at + 1
 
 
-def _number(schema: str) -> list[int]:
-    match = _GROUP.search(schema)
+def _schema_number(schema: str) -> list[int]:
+    match = _GROUP_SUFFIX.search(schema)
     return [] if match is None else [int(match.group(1))]
