--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -253,8 +253,8 @@
     assert node.process.wait(30) == 0
     lines = [json.loads(line) for line in node.log.read_text().splitlines()]
     counts = [line for line in lines if line["event"] == "events so far"][-1]
-    by_us = [name for name in counts if "client, by us" in name]
-    assert by_us == ["connection closed: client, by us: protocol error"]
+    by_this_gateway = [name for name in counts if "client, by this gateway" in name]
+    assert by_this_gateway == ["connection closed: client, by this gateway: protocol error"]
 
 
 def test_retries_refusals_closes_and_changes_of_state_are_in_the_log_with_their_reasons(started):
@@ -268,12 +268,15 @@
     client.send(b"\0\0\0\0")
     node.feed.wait_for_poll(node.feed.publish(member(one, "s-1", "DRAINING")))
     until(lambda: "up to draining" in node.log.read_text(), "the change of state")
-    until(lambda: "client, by us" in node.log.read_text(), "the close")
+    until(lambda: "client, by this gateway" in node.log.read_text(), "the close")
     lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
     retry = next(line for line in lines if line["event"] == LogEventKind.RETRY.value)
     assert bytes.fromhex(retry["id"]).lstrip(b"\0") == b"a1" and retry["why"] == "error, written whole"
     refusal = [line for line in lines if line["event"] == LogEventKind.REJECTION.value]
     assert [line["why"] for line in refusal] == ["rejected by the decisions", "failed by the decisions"]
-    assert any(line["event"] == LogEventKind.CLOSE.value and "client, by us" in line["why"] for line in lines)
+    assert any(
+        line["event"] == LogEventKind.CLOSE.value and "client, by this gateway" in line["why"]
+        for line in lines
+    )
     state = next(line for line in lines if line["event"] == LogEventKind.STATE.value)
     assert state["engine"] == "s-1" and state["why"] == "engine up to draining"
--- a/vanerelay/net/accepting_port.py
+++ b/vanerelay/net/accepting_port.py
@@ -1,4 +1,4 @@
-"""The port that clients come through: accepts all that wait, also where the system fails for a moment."""
+"""The listening port for clients: accepts all waiting connections, with retries if resources run out."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from twisted.internet.tcp import Port, Server
 from twisted.python.failure import Failure
 
-# Nothing can be accepted for want of something that others may let go of. Whoever waits goes on waiting.
+# The system is short of a resource that may be freed later. Waiting clients stay in the backlog.
 EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 WOULD_BLOCK_ERRNOS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
-# A socket that could not be had for one of these may be had a moment later.
+# If opening the socket failed with one of these, a later attempt may succeed.
 TRANSIENT_ERRNOS = EXHAUSTION_ERRNOS | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR}
 ACCEPT_RETRY_INTERVAL_S = 0.02
 MAX_FINAL_ACCEPT_ROUNDS = 64
-"""How often accepting is tried again when the port is about to close."""
+"""How often accepting is tried when the port is about to close."""
 
 
 def is_transient(error: CannotListenError) -> bool:
-    """Whether listening may work a moment later."""
+    """Returns True if listening may succeed a moment later."""
     return isinstance(error.socketError, OSError) and error.socketError.errno in TRANSIENT_ERRNOS
 
 
 class ClientTransport(Server):
-    """The transport of a client's connection.
+    """The transport of a client connection.
 
-    At each look it reads all that has come, up to a bound: a read may be short, and what a client asked and
-    its end may lie one behind the other.
+    It reads all input that is available, up to `bufferSize`: one `recv` may return less, and a request may be
+    followed by the end of its connection.
     """
 
     def doRead(self) -> Any:
-        """Reads until nothing is left, or as much as one look may take."""
+        """Reads until the socket is empty or `bufferSize` bytes have been read."""
         remaining = self.bufferSize
         while remaining > 0:
             try:
@@ -53,10 +53,11 @@
 
 
 class AcceptingPort(Port):
-    """Accepts all that wait in each pass.
+    """A port that accepts all waiting connections in each event-loop pass.
 
-    Twisted's own port takes few at first, so that how long the rest had waited would not be known; without a
-    free descriptor it closes a client's connection unread; and one failure ends its look.
+    Twisted's own port accepts only few at first, so that the time for which the others had waited would not
+    be known. Without a free descriptor it closes a connection unread, and it stops accepting at the first
+    failure.
     """
 
     factory: Any  # the ClientListener
@@ -64,20 +65,20 @@
     _accept_timer: Any = None
 
     def doRead(self) -> None:
-        """Accepts all that wait; where the system has not what it takes, it tries again soon."""
+        """Accepts all waiting connections. Retries soon if the system is short of resources."""
         error = self._accept_pending()
         if error in EXHAUSTION_ERRNOS and self._accept_timer is None:
-            self.stopReading()  # type: ignore[no-untyped-call]  # it would be reported ready over and over
+            self.stopReading()  # type: ignore[no-untyped-call]  # it would stay readable
             self._accept_timer = self.reactor.callLater(ACCEPT_RETRY_INTERVAL_S, self._retry_accept)
 
     def accept_remaining(self) -> None:
-        """Accepts all that wait before the port closes, whatever fails in between."""
+        """Accepts all waiting connections before the port closes, even if some attempts fail."""
         for _ in range(MAX_FINAL_ACCEPT_ROUNDS):
             if self._accept_pending() is None:
                 return
 
     def connectionLost(self, reason: Failure) -> None:
-        """The port is closed."""
+        """Cancels the retry timer when the port is closed."""
         if self._accept_timer is not None and self._accept_timer.active():
             self._accept_timer.cancel()
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
@@ -89,7 +90,10 @@
             self.doRead()
 
     def _accept_pending(self) -> int | None:
-        """Accepts until nothing waits, or until the system is short of something: then its error number."""
+        """Accepts connections until none waits or the system is short of a resource.
+
+        Returns the errno of the shortage, or None.
+        """
         for _ in range(2 * self.backlog):
             try:
                 accepted, address = self.socket.accept()
@@ -100,7 +104,7 @@
                 if error.errno in EXHAUSTION_ERRNOS:
                     self.factory.accept_failed()
                     return error.errno
-                continue  # one connection is lost: the next may be sound
+                continue  # this connection is lost, but the next may be accepted
             self._set_up_connection(accepted, address)
         return None
 
--- a/vanerelay/net/buffers.py
+++ b/vanerelay/net/buffers.py
@@ -1,24 +1,28 @@
-"""Buffers of one size, used again from a pool, for what has come of a message that is not complete yet."""
+"""Receive buffers in blocks of a fixed size, which are reused from a pool."""
 
 from __future__ import annotations
 
 BLOCK_BYTES = 16_384
-"""The size of a block: the max_size result fits three, nearly every message one."""
+"""The size of a block: the longest result fits into three, and nearly every message into one."""
 MAX_LEADING_ZEROS = 8
-"""Leading zeros, in effect, that a number may have."""
+"""The number of digits that a number may have beyond those of its largest permitted value."""
 
 
 def parse_number(text: str, largest: int) -> int | None:
-    """A whole number in digits, no larger than `largest`; None for all else.
+    """Returns the whole number in `text`, or None if `text` is not one or exceeds `largest`.
 
-    `int` itself takes digits of other scripts, and fails at thousands of them.
+    `int` alone would accept digits of other scripts, and fails at thousands of digits.
     """
     is_valid = text.isascii() and text.isdigit() and len(text) <= len(str(largest)) + MAX_LEADING_ZEROS
     return int(text) if is_valid and int(text) <= largest else None
 
 
 class BufferPool:
-    """Blocks that are not in use; past `max_idle` of them they go back to the system."""
+    """Unused blocks, of which at most `max_idle` are kept.
+
+    Attributes:
+        in_use: The number of blocks that are in use.
+    """
 
     def __init__(self, max_idle: int = 64) -> None:
         self._max_idle = max_idle
@@ -26,38 +30,46 @@
         self.in_use = 0
 
     def acquire(self) -> bytearray:
-        """A block, whatever it holds."""
+        """Returns a block with arbitrary content."""
         self.in_use += 1
         return self._idle.pop() if self._idle else bytearray(BLOCK_BYTES)
 
     def release(self, block: bytearray) -> None:
-        """Takes a block back."""
+        """Takes a block back into the pool."""
         self.in_use -= 1
         if len(self._idle) < self._max_idle:
             self._idle.append(block)
 
 
 class ReceiveBuffer:
-    """Bytes in the order fed. What stays over from one feed to the next stands in blocks of the pool."""
+    """Received bytes that have not been read, in the order fed.
+
+    The bytes of the last feed are read from the object that was fed. Those that are left before the next feed
+    are stored in blocks of the pool.
+    """
 
     def __init__(self, pool: BufferPool) -> None:
         self._pool = pool
         self._blocks = list[bytearray]()
         self._stored_start = self._stored_end = (
-            0  # of what is held, counted from the first block's first byte
+            0  # of the stored bytes, counted from the first byte of the first block
         )
-        self._unstored, self._unstored_start = b"", 0  # what was fed last, and how much of it was read
+        self._unstored, self._unstored_start = b"", 0  # the last feed, and how much of it was read
 
     def __len__(self) -> int:
         return self._stored_end - self._stored_start + len(self._unstored) - self._unstored_start
 
     def feed(self, data: bytes) -> None:
-        """Reading takes from `data` itself as long as nothing older is held: most messages come in one."""
+        """Adds received bytes.
+
+        They are read directly from `data` while nothing older is stored, as most messages arrive in one
+        piece.
+        """
         self.store_unread()
         self._unstored, self._unstored_start = data, 0
 
     def store_unread(self) -> None:
-        """Copies what was not read into blocks; called when the bytes fed are gone through."""
+        """Copies the unread bytes of the last feed into blocks, once all complete messages in it are read."""
         rest = memoryview(self._unstored)[self._unstored_start :]
         while rest:
             offset = self._stored_end % BLOCK_BYTES
@@ -69,7 +81,7 @@
         self._unstored, self._unstored_start = b"", 0
 
     def peek(self, size: int) -> bytes | None:
-        """The next bytes, still held; None while fewer are there."""
+        """Returns the next `size` bytes without consuming them, or None if fewer are available."""
         if len(self) < size:
             return None
         if self._stored_start == self._stored_end:
@@ -84,7 +96,7 @@
         return b"".join(parts)
 
     def skip(self, size: int) -> None:
-        """Goes on behind the next bytes, of which there are so many."""
+        """Consumes the next `size` bytes, which must be available."""
         held = min(size, self._stored_end - self._stored_start)
         self._stored_start += held
         self._unstored_start += size - held
@@ -98,14 +110,17 @@
                 self._stored_start = self._stored_end = 0
 
     def read(self, size: int) -> bytes | None:
-        """The next bytes; None, and nothing read, while fewer are there."""
+        """Consumes and returns the next `size` bytes. Returns None, and consumes none, if fewer are there."""
         data = self.peek(size)
         if data is not None:
             self.skip(size)
         return data
 
     def read_line(self, max_size: int) -> bytes | None:
-        """The next line without its end, if one ends within `max_size` bytes; None while none does."""
+        """Consumes the next line and returns it without its line end.
+
+        Returns None if no line ends within `max_size` bytes.
+        """
         head = self.peek(min(max_size, len(self))) or b""
         end = head.find(b"\r\n")
         if end < 0:
@@ -114,7 +129,7 @@
         return head[:end]
 
     def clear(self) -> None:
-        """Gives up all that is held."""
+        """Discards all bytes and releases the blocks."""
         while self._blocks:
             self._pool.release(self._blocks.pop())
         self._stored_start = self._stored_end = 0
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -1,4 +1,7 @@
-"""One client's connection: the driver that reads frames, hands on requests and writes answers."""
+"""The protocol driver of one client connection.
+
+It reads frames, passes requests to the service and writes the answers.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +25,17 @@
 from vanerelay.net.rate_limited_log import RateLimitedLog
 
 CLIENT_IDLE_TIMEOUT_S = 4.0
-"""Clients close connections that are idle for this long; one that takes no bytes for as long is aborted."""
+"""Clients close a connection that has been idle for this long. A client that reads nothing for as long is
+disconnected.
+"""
 LINGER_TIMEOUT_S = 1.0
-"""How long what a client sends after our end is read and dropped, until its own end comes."""
+"""The time for which further input is discarded after the write side is closed, unless the client closes
+first.
+"""
 FLUSH_TIMEOUT_S = 0.1
-"""The time for what has not left when a connection is closed."""
+"""The time allowed for unsent bytes to leave before a connection that is being closed is aborted."""
 MAX_UNSENT_BYTES = 262_144
-"""Bytes of answers that a client does not take, past which its further queries are rejected."""
+"""The unsent bytes of answers past which further queries of a client that does not read are rejected."""
 
 CONNECTION_DONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 
@@ -36,36 +43,46 @@
 
 
 class RequestResult(Enum):
-    """What became of a request that is not open now."""
+    """The result of a request that needs no further answer."""
 
     ANSWERED = "answered"
     UNUSABLE = "answered, and no engine could use it"
+    """Answered with an error, as no engine could have executed the request."""
 
 
 class OpenRequest(Interface):
-    """A request as this driver sees it."""
+    """A request that has not been answered, as the connection driver uses it."""
 
     def abandon(self) -> None:
-        """Its client no longer waits."""
+        """Ends the request, as its client no longer waits for the answer."""
 
 
 class QueryService(Interface):
-    """What the driver asks of the service."""
+    """The part of the gateway service that the connection driver uses."""
 
     def request(
         self, client: ClientConnection, frame: frames.Frame, received_after: int
     ) -> OpenRequest | RequestResult:
-        """Takes a request, of which nothing had come before `received_after`."""
+        """Handles the request in a frame.
+
+        Args:
+            client: The connection that the request arrived on.
+            frame: The frame of the request.
+            received_after: A time before which no byte of the request had arrived.
+
+        Returns:
+            The open request, or the result if it has been answered already.
+        """
 
     def ready(self) -> bool:
-        """Whether queries can be result."""
+        """Returns True if queries can be accepted."""
 
     def may_close(self, unanswered: int) -> bool:
-        """Whether a connection with so many requests unanswered may be closed."""
+        """Returns True if a connection with this number of unanswered requests may be closed."""
 
 
 class ConnectionOwner(Interface):
-    """What a connection needs of the one that has them all."""
+    """The part of the listener that a client connection uses."""
 
     reactor: Any
     clock: Clock
@@ -75,33 +92,39 @@
     protocol_errors: RateLimitedLog
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Takes a new connection; whether it has a descriptor."""
+        """Registers a new connection. Returns False if no descriptor can be spared for it."""
 
     def connected_after(self) -> int:
-        """The last moment at which a client that is accepted now had not come."""
+        """Returns a time before which a client that is accepted now had not connected."""
 
     def mark_used(self, connection: ClientConnection) -> None:
-        """The connection was of use just now."""
+        """Records that the connection was used just now."""
 
     def expect_frame(self, connection: ClientConnection, expected: bool) -> None:
-        """Whether the client owes the rest of a frame, or its first one; said again, the time runs on."""
+        """Starts or stops the timeout for the next complete frame.
+
+        Args:
+            connection: The connection.
+            expected: True if the client has to send its first frame or the rest of a frame. A timeout that
+                runs already is not extended.
+        """
 
     def linger(self, connection: ClientConnection) -> None:
-        """Our side has ended; the connection holds its descriptor until the client's end comes."""
+        """Registers that the write side is closed. The descriptor is held until the client closes too."""
 
     def remove(self, connection: ClientConnection) -> None:
-        """The connection is no more."""
+        """Removes a connection that is closed."""
 
 
 @implementer(IPushProducer)
 class ClientConnection(Protocol):
-    """One client's connection.
+    """One client connection.
 
     Attributes:
-        open: The requests open on it, by their stream.
-        used_at: When it was of use last, in seconds of the reactor.
-        silent: Whether no whole frame has come yet.
-        ended: Whether our side has ended it.
+        open: The open requests, by stream.
+        used_at: The last use, in seconds of the reactor.
+        silent: True until the first complete frame has arrived.
+        ended: True once this gateway has ended the connection.
     """
 
     transport: Any
@@ -113,31 +136,33 @@
         self.used_at = owner.reactor.seconds()
         self.silent = True
         self.ended = False
-        # What is read up to this pass may have come by that moment, which is earlier than the last look.
+        # Input that is read up to this event-loop pass had not arrived before this time, which is earlier
+        # than the previous poll of the sockets.
         self._earlier_received_after = 0
-        self._received_after_until_pass = -1
+        self._earlier_until_pass = -1
         self._go_away_sent = False
-        self._closing_when_answered = False  # ends once nothing is open
+        self._closing_when_answered = False  # ends once no request is open
         self._dropping_input = False
         self._lost = False
-        self._abort_timer: Any = None  # runs while the client takes no bytes
+        self._abort_timer: Any = None  # runs while the client reads nothing
         self._linger_timer: Any = None
-        self._congested = False  # the transport holds much that has not left
-        self._unsent = 0  # bytes written since then
-        self._unusable_requests = 0  # in a row
+        self._congested = False  # the write buffer of the transport is full
+        self._unsent = 0  # bytes written since the write buffer became full
+        self._unusable_requests = 0  # consecutive
 
     def connectionMade(self) -> None:
-        """Asks for a place among the connections, or ends."""
+        """Registers with the listener, or ends the connection if no descriptor can be spared."""
         self.transport.setTcpNoDelay(True)
-        # What the client sent before it was accepted was there while nobody looked at its socket.
+        # The client may have sent input before it was accepted, when its socket was not yet polled.
         self._set_received_after(self._owner.connected_after())
-        # The transport says when its buffer is over its size; nothing more is read until it has drained.
+        # The transport calls pauseProducing when its write buffer is full, and resumeProducing when it has
+        # drained.
         self.transport.registerProducer(self, True)
         if not self._owner.admit(self):
-            self.end("no descriptor is left")
+            self.end("no descriptor left for a new connection")
 
     def dataReceived(self, data: bytes) -> None:
-        """Reads frames, and hands on the requests among them."""
+        """Decodes frames and handles the requests in them."""
         received_after = self.received_after()
         if len(data) >= self.transport.bufferSize:
             self.read_limit_reached()
@@ -145,7 +170,10 @@
         self._expect_frame()
 
     def read_limit_reached(self) -> None:
-        """A look that took as much as it may has left more behind, that had come as early."""
+        """Records that a read stopped at its size limit.
+
+        Input that is still in the socket arrived as early as the input that was read.
+        """
         self._set_received_after(self.received_after())
 
     def _expect_frame(self) -> None:
@@ -154,14 +182,14 @@
 
     def _set_received_after(self, received_after: int) -> None:
         self._earlier_received_after = received_after
-        self._received_after_until_pass = self._owner.clock.loop_passes + 1
+        self._earlier_until_pass = self._owner.clock.loop_passes + 1
 
     def received_after(self) -> int:
-        """The last moment at which what is read now had not come."""
+        """Returns a time before which the input that is read now had not arrived."""
         clock = self._owner.clock
         return (
             self._earlier_received_after
-            if clock.loop_passes <= self._received_after_until_pass
+            if clock.loop_passes <= self._earlier_until_pass
             else clock.previous_poll_at
         )
 
@@ -170,12 +198,12 @@
             if isinstance(frame, frames.Malformed):
                 self.end_with_protocol_error(frame.why)
                 return
-            self._owner.expect_frame(self, False)  # what is expected from now on is another frame
+            self._owner.expect_frame(self, False)  # from now on the timeout is for the next frame
             self.silent = False
             try:
                 self._handle(frame, received_after)
             except Exception:
-                log.exception("error in a client's frame")
+                log.exception("handling a client's frame failed")
                 if frame.kind == FrameKind.REQUEST:
                     self.answer(frame.stream, AnswerStatus.FAILED, {}, b"")
 
@@ -193,7 +221,7 @@
             self._write(frames.encode_answer(FrameKind.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
         elif len(self.open) >= frames.MAX_OPEN_REQUESTS:
             self._write(frames.encode_answer(FrameKind.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
-            self.end_with_protocol_error("more requests open than there may be")
+            self.end_with_protocol_error("more open requests than allowed on a connection")
         else:
             self._request(frame, received_after)
 
@@ -204,13 +232,13 @@
         unusable = result is RequestResult.UNUSABLE
         self._unusable_requests = self._unusable_requests + 1 if unusable else 0
         if self._unusable_requests >= frames.MAX_OPEN_REQUESTS:
-            self.end_with_protocol_error("one request after another that nobody can use")
+            self.end_with_protocol_error("too many unusable requests in a row")
 
     def end_with_protocol_error(self, why: str) -> None:
-        """Ends the connection of a client that does not keep to the protocol.
+        """Ends the connection of a client that violates the protocol.
 
-        It gets a failure for itself and for each query open, for which nothing is done any more. What else it
-        sends cannot be told apart, and is not read.
+        The client gets a failure on stream 0 and one for each open query, all of which are abandoned. Further
+        input is discarded, as frame boundaries are no longer known.
         """
         if self._dropping_input:
             return
@@ -221,7 +249,7 @@
         self.end("protocol error", why)
 
     def _fail_open_requests(self) -> None:
-        """The final answer of each query that is open here, for which nothing is done any more."""
+        """Answers every open query with a failure and abandons it."""
         opened, self.open = self.open, {}
         for stream, request in opened.items():
             self._write(frames.encode_answer(FrameKind.ANSWER, stream, AnswerStatus.FAILED, {}))
@@ -231,20 +259,20 @@
         try:
             request.abandon()
         except Exception:
-            log.exception("error when a client left")
+            log.exception("abandoning a client's request failed")
 
     def _write(self, data: bytes) -> None:
-        """Hands bytes over and has them sent now.
+        """Writes bytes and sends them immediately.
 
-        Twisted alone would wait for the end of its pass, which is long when much has come at once. What could
-        not be sent, or the connection's end, it finds itself.
+        Twisted alone would send them at the end of the event-loop pass, which is long when much input has
+        arrived at once. Twisted itself handles what could not be sent, and a connection that has closed.
         """
         self._unsent = self._unsent + len(data) if self._congested else 0
         self.transport.write(data)
         self.transport.doWrite()
 
     def answer(self, stream: int, status: AnswerStatus, fields: dict[str, str], body: bytes) -> None:
-        """Writes the one answer of a request; nothing where its client is gone."""
+        """Writes the single answer of a request, unless its connection is closed."""
         self.open.pop(stream, None)
         if not self._lost:
             self._write(frames.encode_answer(FrameKind.ANSWER, stream, status, fields, body))
@@ -252,44 +280,44 @@
             self._end_if_answered()
 
     def send_go_away(self) -> None:
-        """Asks for no new request on this connection."""
+        """Tells the client to send no new request on this connection."""
         if not self._go_away_sent and not self._lost:
             self._go_away_sent = True
             self._write(frames.encode_frame(FrameKind.GO_AWAY, 0))
 
     def end_when_answered(self) -> None:
-        """Ends once nothing is open.
+        """Ends the connection once no request is open.
 
-        What had come until now is result. What comes later is rejected at once, as little time may be left to
-        answer it.
+        Requests that have arrived by now are handled. Later ones are rejected at once, as there may be too
+        little time left to answer them.
         """
         self.read_waiting()
         self._closing_when_answered = True
         self._end_if_answered()
 
     def end(self, why: str, detail: str = "") -> None:
-        """Ends our side once all has left.
+        """Closes the write side once all answers have been sent.
 
-        What the client still sends is read and dropped until its own end comes, for a while: a close over
-        unread bytes is a reset, which takes answers along.
+        Further input is discarded until the client closes its side, or for a limited time: closing a socket
+        with unread input resets the connection, and the client may then lose answers.
         """
         ended, self.ended, self._dropping_input = self.ended, True, True
         if ended or self._lost:
             return
         if not self._owner.service.may_close(len(self.open)):
             self._fail_open_requests()
-        self._owner.events.note(LogEventKind.CLOSE, f"client, by us: {why}", detail=detail)
+        self._owner.events.note(LogEventKind.CLOSE, f"client, by this gateway: {why}", detail=detail)
         self._reader.stop()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
         linger_timeout_s = (
             CLIENT_IDLE_TIMEOUT_S if self._congested else LINGER_TIMEOUT_S
-        )  # a slow client is owed what was answered
+        )  # a slow client gets more time to read its answers
         self._linger_timer = self._owner.reactor.callLater(linger_timeout_s, self.close)
         self._owner.linger(self)
 
     def close(self) -> None:
-        """Closes as soon as all has left, and shortly after in any case: nobody takes the rest."""
+        """Closes the connection once all has been sent, or aborts it after `FLUSH_TIMEOUT_S`."""
         if self._linger_timer is not None and self._linger_timer.active():
             self._linger_timer.cancel()
         if not self._lost:
@@ -300,7 +328,7 @@
             )
 
     def read_waiting(self) -> None:
-        """Reads what waits in its socket, before this connection is result for one that rests."""
+        """Reads input that is still in the socket, before the connection is judged to be idle."""
         if not self._dropping_input and not self._lost:
             self.transport.doRead()
 
@@ -309,31 +337,32 @@
             self.end("shutdown")
 
     def pauseProducing(self) -> None:
-        """The transport's buffer is full.
+        """Called when the write buffer of the transport is full.
 
-        Reading goes on, or it would not be noticed that the client has left. What it asks is bounded.
+        Reading continues, as a disconnect would otherwise go unnoticed. `MAX_UNSENT_BYTES` bounds the queries
+        that are accepted meanwhile.
         """
         self._congested = True
         if self._abort_timer is None:
             self._abort_timer = self._owner.reactor.callLater(CLIENT_IDLE_TIMEOUT_S, self._abort_stalled)
 
     def resumeProducing(self) -> None:
-        """The transport's buffer has drained."""
+        """Called when the write buffer of the transport has drained."""
         self._congested, self._unsent = False, 0
         if self._abort_timer is not None:
             self._abort_timer.cancel()
             self._abort_timer = None
 
     def stopProducing(self) -> None:
-        """The transport is closed, which `connectionLost` tells as well."""
+        """Called when the transport is closed; `connectionLost` handles that."""
 
     def _abort_stalled(self) -> None:
         self._abort_timer = None
-        log.warning("client takes no answers, connection aborted", open=len(self.open))
+        log.warning("client does not read its answers, connection aborted", open=len(self.open))
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
-        """Lets go of all that is open: nobody waits for it."""
+        """Abandons all open requests, as nobody waits for their answers."""
         self._lost = True
         for timer in (self._abort_timer, self._linger_timer):
             if timer is not None and timer.active():
@@ -342,7 +371,7 @@
         self._reader.stop()
         self._owner.remove(self)
         if not self.ended:
-            why = f"client, by it: {reason.type.__name__ if reason.type else 'unknown'}"
+            why = f"client, by the client: {reason.type.__name__ if reason.type else 'unknown'}"
             self._owner.events.note(LogEventKind.CLOSE, why, bool(self.open), open=len(self.open))
         abandoned, self.open = list(self.open.values()), {}
         for request in abandoned:
--- a/vanerelay/net/client_listener.py
+++ b/vanerelay/net/client_listener.py
@@ -1,4 +1,4 @@
-"""All client connections: the port they come through, and the descriptors and the time each may take."""
+"""The listener for client connections: it limits their descriptors and ends those that are unused."""
 
 from __future__ import annotations
 
@@ -18,18 +18,23 @@
 from vanerelay.net.rate_limited_log import RateLimitedLog
 
 UNUSED_TIMEOUT_S = 2 * CLIENT_IDLE_TIMEOUT_S
-"""Who keeps a connection for longer without a request has forgotten it."""
+"""A connection without an open request that is unused for this long is ended. Clients close idle connections
+earlier, so one that is kept for longer has been forgotten.
+"""
 FRAME_TIMEOUT_S, SWEEP_INTERVAL_S = 2.0, 0.25
-"""The time for a whole frame, and between two sweeps: a client that sends none is ended within 3 s."""
+"""The time for a complete frame, and between two sweeps. A client that sends none is ended within 3 s."""
 
 log = structlog.get_logger()
 
 
 class ClientListener(Factory):
-    """All client connections, and the port they come through.
+    """The listener for client connections.
 
-    Ordered dicts stand for ordered sets here: the longest unused connection, the oldest of those that linger,
-    and the first whose frame is overdue come first.
+    The ordered dicts serve as ordered sets: the longest unused connection, the connection that has lingered
+    longest and the frame that is due first come first.
+
+    Attributes:
+        protocol_errors: The rate-limited warning about clients that violate the protocol.
     """
 
     noisy = False
@@ -44,7 +49,7 @@
         has_spare_descriptor: Callable[[], bool],
         events: EventLog | None = None,
     ) -> None:
-        """Past `max_connections` one more is kept while there is a spare descriptor."""
+        """Past `max_connections` a further connection is kept only while a descriptor is spare."""
         self.reactor = reactor
         self.clock = clock
         self.service = service
@@ -62,16 +67,16 @@
         reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
 
     def buildProtocol(self, addr: object) -> ClientConnection:
-        """The driver of a connection that was accepted."""
+        """Returns the driver for an accepted connection."""
         return ClientConnection(self)
 
     def listen(self, host: str, port: int, descriptor: int | None = None) -> None:
         """Opens the port.
 
         Args:
-            host: The address to listen at.
-            port: The port number, 0 for any.
-            descriptor: A socket that listens there already, and stays open when we stop.
+            host: The address to listen on.
+            port: The port number; 0 for any free port.
+            descriptor: A socket that is listening already and stays open when this gateway stops listening.
         """
         factory: Any = self
         if descriptor is None:
@@ -88,30 +93,34 @@
         return len(self._connections) + len(self._lingering)
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Whether there is a descriptor for it: the longest idle connection goes before none is left."""
+        """Registers a connection, and ends the longest idle one if the limit is exceeded.
+
+        Returns False if no descriptor can be spared.
+        """
         self._connections[connection] = None
         self.expect_frame(connection, True)
         self._limit_lingering()
         if len(self._connections) <= self._max_connections:
             return True
         self._limit_warning.warn(connections=len(self._connections))
-        # One that came later may be about to send its first request, and goes last (seen as first requests
-        # failed, rd6423a).
+        # A newer connection may be about to send its first request, so it is ended after all others: ending
+        # it earlier made first requests fail.
         new_since = self.reactor.seconds() - SWEEP_INTERVAL_S
         if self._end_silent(new_since):
             return True
         idle = self._longest_idle(new_since)
         if idle is None:
-            # What it has sent already would be lost by an end: only where no descriptor is left.
+            # All connections are in use or new, and ending the new one would lose what it has sent. It is
+            # therefore kept while a descriptor is spare.
             return self._has_spare_descriptor()
-        idle.end("idle, and others want its descriptor")
+        idle.end("idle, descriptor needed for another connection")
         return True
 
     def _end_silent(self, new_since: float) -> bool:
-        """Ends a connection on which no request ever came, if there is one that is not new; whether it did.
+        """Ends a connection that has never sent a frame, unless it is new. Returns True if one was ended.
 
-        It goes before one that has been of use: connections come by the hundred and stay silent. Its socket
-        is read once more, as its first request may wait there.
+        Silent connections are ended before those that have been used, as clients open hundreds that send
+        nothing. The socket is read once more first, as the first request may be waiting there.
         """
         silent = next((other for other in self._frame_due if other.silent), None)
         if silent is None or silent.used_at >= new_since:
@@ -119,7 +128,7 @@
         silent.read_waiting()
         if not silent.silent:
             return False
-        silent.end("silent, and others want its descriptor")
+        silent.end("no request sent, descriptor needed for another connection")
         return True
 
     def _longest_idle(self, new_since: float) -> ClientConnection | None:
@@ -129,57 +138,57 @@
         return None
 
     def accept_failed(self) -> None:
-        """Somebody may wait to be accepted from now on, and send meanwhile."""
+        """Records that clients may from now on wait to be accepted, and send input meanwhile."""
         if self._accept_failed_at is None:
             self._accept_failed_at = self.clock.previous_poll_at
 
     def backlog_emptied(self) -> None:
-        """All that waited were accepted."""
+        """Records that all waiting clients have been accepted."""
         self._accept_failed_at = None
 
     def connected_after(self) -> int:
-        """The last moment at which a client that is accepted now had not come."""
+        """Returns a time before which a client that is accepted now had not connected."""
         failed_at = self._accept_failed_at
         return (
             self.clock.previous_poll_at if failed_at is None else min(failed_at, self.clock.previous_poll_at)
         )
 
     def connections(self) -> list[ClientConnection]:
-        """The connections, the longest unused first."""
+        """Returns the connections, the longest unused first."""
         return list(self._connections)
 
     def linger(self, connection: ClientConnection) -> None:
-        """Our side has ended; it holds its descriptor until the client's own end comes."""
+        """Registers that the write side is closed. The descriptor is held until the client closes too."""
         self._connections.pop(connection, None)
         self._frame_due.pop(connection, None)
         self._lingering[connection] = None
         self._limit_lingering()
 
     def _limit_lingering(self) -> None:
-        """Those that were ended have what the others leave of the share."""
+        """Closes lingering connections while the total exceeds the limit, the oldest first."""
         while self._lingering and self.descriptor_count > self._max_connections:
             self._lingering.popitem(last=False)[0].close()
 
     def mark_used(self, connection: ClientConnection) -> None:
-        """The connection was of use just now."""
+        """Records that the connection was used just now."""
         connection.used_at = self.reactor.seconds()
         if connection in self._connections:
             self._connections.move_to_end(connection)
 
     def expect_frame(self, connection: ClientConnection, expected: bool) -> None:
-        """Whether it owes the rest of a frame, or its first one; said again, the time runs on."""
+        """Starts or stops the timeout for a complete frame; a timeout that runs already is not extended."""
         if not expected:
             self._frame_due.pop(connection, None)
         elif connection not in self._frame_due and connection in self._connections:
             self._frame_due[connection] = self.reactor.seconds() + FRAME_TIMEOUT_S
 
     def _sweep(self) -> None:
-        """Ends those whose frame is overdue, and those that nobody uses any more."""
+        """Ends connections whose frame is overdue, and those that are unused."""
         now = self.reactor.seconds()
         self.reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
         while self._frame_due and next(iter(self._frame_due.values())) <= now:
             connection, _ = self._frame_due.popitem(last=False)
-            connection.end_with_protocol_error("no complete frame came")
+            connection.end_with_protocol_error("no complete frame in time")
         for connection in list(self._connections):
             if now - connection.used_at < UNUSED_TIMEOUT_S:
                 break
@@ -187,22 +196,22 @@
                 connection.end("idle")
 
     def remove(self, connection: ClientConnection) -> None:
-        """The connection is no more."""
+        """Removes a connection that is closed."""
         self._connections.pop(connection, None)
         self._frame_due.pop(connection, None)
         self._lingering.pop(connection, None)
 
     def stop_listening(self) -> None:
-        """Closes the port, once all that wait there are accepted."""
+        """Closes the port, once all waiting clients have been accepted."""
         if self._port is not None:
-            self._port.accept_remaining()  # the close would reset what was not accepted
+            self._port.accept_remaining()  # closing resets connections that were not accepted
             self._port.stopListening()
             self._port = None
 
     def for_each(self, call: Callable[[ClientConnection], None]) -> None:
-        """Calls for every connection; a fault at one is logged and keeps none of the others."""
+        """Calls `call` for every connection. An exception is logged and the others are still called."""
         for connection in list(self._connections):
             try:
                 call(connection)
             except Exception:
-                log.exception("error in a client's connection")
+                log.exception("call for a client connection failed")
--- a/vanerelay/net/deadlines.py
+++ b/vanerelay/net/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadlines of open queries: whatever becomes of a query, it is answered when its deadline has come."""
+"""The deadlines of open queries: every query is answered when its deadline has passed, whatever its state."""
 
 from __future__ import annotations
 
@@ -12,22 +12,24 @@
 from vanerelay.net.held_queries import ClientQuery
 
 MAX_ANSWERED_ENTRIES = 100
-"""Answered queries that may stay in the heap, beyond as many as are open, before they are swept out."""
+"""The heap is compacted if it has more than twice as many entries as there are open queries, plus this
+many.
+"""
 
 
 class Deadlines:
-    """Open queries by their deadlines.
+    """Open queries, ordered by deadline.
 
-    They are checked after every event, not once a pass: seen on sockets, answers given too late by passes of
-    50 to 70 ms, while the timers that had fallen due waited for the pass to end.
+    Deadlines are checked after every event, not once per event-loop pass: during passes of 50 to 70 ms timers
+    that were due waited for the end of the pass, and answers were too late.
     """
 
     def __init__(self, reactor: Any, clock: Clock, on_expired: Callable[[ClientQuery], None]) -> None:
-        """`on_expired` is called for each query whose deadline has come."""
+        """`on_expired` is called for each open query whose deadline has passed."""
         self._reactor = reactor
         self._clock = clock
         self._on_expired = on_expired
-        self._heap: list[tuple[int, int, ClientQuery]] = []  # by deadline, then in the order added
+        self._heap: list[tuple[int, int, ClientQuery]] = []  # ordered by deadline, then by insertion
         self._serials = itertools.count()
         self._due_at: int | None = None
         self._timer: Any = None
@@ -36,14 +38,14 @@
         return len(self._heap)
 
     def add(self, query: ClientQuery) -> None:
-        """Watches the deadline of a query from the next check on."""
+        """Adds a query; its deadline is watched from the next `check` on."""
         heapq.heappush(self._heap, (query.deadline, next(self._serials), query))
 
     def check(self, open_count: int) -> None:
-        """Expires what is overdue, and sets the timer for the next deadline.
+        """Expires the overdue queries, and sets the timer for the next deadline.
 
         Args:
-            open_count: The number of queries that are open.
+            open_count: The number of open queries.
         """
         now = self._clock.now()
         while self._heap and (self._heap[0][2].ended or self._heap[0][0] <= now):
--- a/vanerelay/net/events.py
+++ b/vanerelay/net/events.py
@@ -1,7 +1,7 @@
-"""The event log, from which an incident is read: closes, retries, rejections, changes of state, with why.
+"""The event log: connection closes, retries, rejections and state changes, each with its reason.
 
-All are counted. Lines of their own are limited, as clients and engines can cause them by the thousand; what
-was left out shows in the counts, which are logged now and then and at the end.
+All events are counted. The number of log lines is limited, as clients and engines can cause events by the
+thousand. The counts include events without a line, and are logged periodically and at shutdown.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 import structlog
 
 BURST_LINES = 30
-"""Lines written in a row."""
+"""The number of lines that may be written without a pause."""
 LINES_PER_S = 3.0
-"""Lines a second in the long run."""
+"""The sustained number of lines per second."""
 COUNTS_INTERVAL_S = 10.0
 MAX_REASONS = 100
-"""Reasons that are counted apart; further ones count together, by their kind."""
+"""The number of kinds and reasons that are counted separately; further reasons share one count per kind."""
 OTHER_REASON = "another reason"
 
 log = structlog.get_logger()
 
 
 class LogEventKind(Enum):
-    """What an event is; the value is the name of its log line."""
+    """The kind of an event. The value is the event name of its log line."""
 
     CLOSE = "connection closed"
     RETRY = "retry"
@@ -35,7 +35,11 @@
 
 
 class EventLog:
-    """Counts events by kind and reason, and writes a limited number of lines."""
+    """Counts events by kind and reason, and writes a limited number of log lines.
+
+    Attributes:
+        counts: The number of events by kind and reason.
+    """
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -44,13 +48,13 @@
         self._counts_due_at, self._total_written = reactor.seconds() + COUNTS_INTERVAL_S, 0
 
     def note(self, kind: LogEventKind, why: str, line: bool = True, **values: Any) -> None:
-        """Counts an event, and writes a line unless it is to be counted alone.
+        """Counts an event, and writes a log line if `line` is set and the rate limit permits it.
 
         Args:
-            kind: What it is.
-            why: Its reason, one of a few fixed ones.
-            line: Whether it is worth a line.
-            values: What belongs to this event alone.
+            kind: The kind of the event.
+            why: The reason, one of a small fixed set.
+            line: False to count the event without a line.
+            values: Further fields of the log line.
         """
         known = (kind, why) in self.counts or len(self.counts) < MAX_REASONS
         self.counts[kind, why if known else OTHER_REASON] += 1
@@ -58,6 +62,7 @@
             log.info(kind.value, why=why, **values)
 
     def _take_line(self) -> bool:
+        """Returns True if the rate limit permits another line, and counts that line."""
         now = self._reactor.seconds()
         self._lines_available = min(
             float(BURST_LINES), self._lines_available + (now - self._refilled_at) * LINES_PER_S
@@ -69,13 +74,13 @@
         return True
 
     def sweep(self) -> None:
-        """Writes the counts where they are due and have changed."""
+        """Writes the counts if the interval is over and they have changed."""
         if self._reactor.seconds() >= self._counts_due_at:
             self._counts_due_at = self._reactor.seconds() + COUNTS_INTERVAL_S
             self.write_counts()
 
     def write_counts(self) -> None:
-        """Writes the counts where they have changed."""
+        """Writes the counts if they have changed."""
         total = self.counts.total()
         if total == self._total_written:
             return
--- a/vanerelay/net/frames.py
+++ b/vanerelay/net/frames.py
@@ -1,4 +1,4 @@
-"""The frames of the clients' protocol: a reader that is fed bytes, and the writing of frames."""
+"""The frames of the client protocol: an incremental reader, and encoders."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from vanerelay.net.buffers import BufferPool, ReceiveBuffer
 
 MIN_LENGTH, MAX_LENGTH = 5, 262_144
-"""What the length of a frame may be, which counts the kind, the stream and the payload."""
+"""The limits of a frame's length in bytes, which counts the kind, the stream and the payload."""
 MAX_OPEN_REQUESTS = 32
-"""Requests that may be open on one connection."""
+"""The maximum number of open requests on one connection."""
 _LENGTH_BYTES = 4
 _HEADER = struct.Struct(">IBI")
 
 
 class FrameKind(IntEnum):
-    """What a frame is; the numbers are those on the wire."""
+    """The kind of a frame. The values are those on the wire."""
 
     REQUEST = 2
     ANSWER = 4
@@ -28,7 +28,7 @@
     READINESS_CHECK = 16
     READINESS = 32
     GO_AWAY = 64
-    """The client is to send no new request on this connection."""
+    """The client should send no new request on this connection."""
 
 
 _FROM_CLIENTS = {
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A frame of a client: its kind, its stream, named values, and what follows them."""
+    """A frame from a client: its kind, stream, named fields and body."""
 
     kind: FrameKind
     stream: int
@@ -48,13 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """Bytes that are no frame of a client: after these nothing more can be read."""
+    """Bytes that are not a valid frame. Nothing after them can be decoded."""
 
     why: str
 
 
 class FrameReader:
-    """Fed what a client sent, in any pieces."""
+    """Decodes frames from the bytes that a client sends, however they are split."""
 
     def __init__(self, pool: BufferPool) -> None:
         self._buffer = ReceiveBuffer(pool)
@@ -62,7 +62,7 @@
         self._broken = False
 
     def feed(self, data: bytes) -> Iterator[Frame | Malformed]:
-        """Reads on; gives each frame that is complete now."""
+        """Adds received bytes. Yields each frame that is now complete, or `Malformed` as the last item."""
         if self._broken:
             return
         self._buffer.feed(data)
@@ -90,21 +90,21 @@
 
     @property
     def partial(self) -> bool:
-        """Whether what came last is not complete."""
+        """True if a part of a frame has been received."""
         return len(self._buffer) > 0
 
     def stop(self) -> None:
-        """Reads nothing more."""
+        """Stops decoding and frees the buffer."""
         self._broken = True
         self._buffer.clear()
 
     def _header_error(self, size: int, kind: int, stream: int) -> str | None:
         if not MIN_LENGTH <= size <= MAX_LENGTH:
-            return f"a frame's length is {size}"
+            return f"frame length out of range: {size}"
         if kind not in _FROM_CLIENTS:
-            return f"a frame's type is {kind}"
+            return f"unknown frame type {kind}"
         if kind == FrameKind.REQUEST and stream <= self._last_stream:
-            return f"stream {stream} is not new"
+            return f"stream {stream} is not greater than that of the previous request"
         return None
 
 
@@ -118,25 +118,25 @@
             name_end = position + 1 + frame[position]
             value_end = name_end + 2 + int.from_bytes(frame[name_end : name_end + 2], "big")
             if value_end > len(frame):
-                return Malformed("a field ends past its frame")
+                return Malformed("a field extends past the end of its frame")
             fields[frame[position + 1 : name_end].decode()] = frame[name_end + 2 : value_end].decode()
             position = value_end
     except IndexError:
-        return Malformed("a frame ends within its fields")
+        return Malformed("frame truncated within its fields")
     except UnicodeDecodeError:
-        return Malformed("a field is no text")
+        return Malformed("a field is not valid UTF-8 text")
     return Frame(kind, stream, fields, frame[position:])
 
 
 def encode_frame(kind: FrameKind, stream: int, payload: bytes = b"") -> bytes:
-    """The bytes of a frame."""
+    """Returns the bytes of a frame."""
     return _HEADER.pack(MIN_LENGTH + len(payload), kind, stream) + payload
 
 
 def encode_answer(
     kind: FrameKind, stream: int, status: AnswerStatus, fields: Mapping[str, str], body: bytes = b""
 ) -> bytes:
-    """The bytes of an answer, or of a readiness."""
+    """Returns the bytes of an answer or readiness frame."""
     parts = [bytes((status, len(fields)))]
     for name, value in fields.items():
         parts.append(bytes((len(name),)) + name.encode() + struct.pack(">H", len(value)) + value.encode())
--- a/vanerelay/net/held_queries.py
+++ b/vanerelay/net/held_queries.py
@@ -1,4 +1,4 @@
-"""The queries that this gateway holds: who waits for each, what goes to engines, and their table."""
+"""The queries that this gateway holds: their clients, their state and their table."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 from vanerelay.query_table import HeldQuery, QueryTable
 
 INTERNAL_QUERY_PASS = -1
-"""The pass of the event loop in which a query was read that no client brought."""
+"""The value of `read_in_pass` for queries of this gateway itself, which no client sent."""
 
 
 class AnswerReceiver(Protocol):
-    """Who waits for the answer of a query."""
+    """The receiver of a query's answer."""
 
     def answer(self, stream: int, status: AnswerStatus, fields: dict[str, str], body: bytes) -> None:
-        """Takes the final answer of the query on this stream."""
+        """Receives the final answer of the query on this stream."""
 
 
 class QueryOwner(Protocol):
-    """What a held query hands the wishes of its client and of its constraint to."""
+    """Handles the requests that the client or the constraint of a held query makes."""
 
     def client_left(self, query: ClientQuery) -> None:
-        """The client of the query no longer waits."""
+        """Called when the client of the query no longer waits."""
 
     def restrict_constrained(self, query: ClientQuery, engines: frozenset[int] | None) -> None:
-        """The constraint of the query names the engines that may serve it; None for all."""
+        """Called with the engines that the constraint of the query permits; None for all."""
 
     def reject_constrained(self, query: ClientQuery, retry_after: int) -> None:
-        """The constraint of the query finds no engine that may serve it."""
+        """Called when the constraint of the query permits no engine."""
 
 
 class ClientQuery(HeldQuery):
-    """A query on the sockets: who waits for it, and what goes to an engine.
+    """A query with its client, its statement and its attempts.
 
     Attributes:
-        received_after: A moment at which nothing of the query had come yet; its times count from then.
-        read_in_pass: The pass of the event loop in which it was read.
-        guard_record: What the guard keeps of it; None until it was handed to the decisions.
-        last_end: How the last of its attempts that ended did so; empty before.
-        used_connections: The connections that its attempts went over.
+        received_after: A time before which no byte of the query had arrived; durations are counted from it.
+        read_in_pass: The event-loop pass in which the query was read.
+        guard_record: The invariant guard's record of the query; None until the query is submitted.
+        last_end: How the attempt that ended last did so; empty if none has ended.
+        used_connections: The connections on which attempts of the query were sent.
     """
 
     __slots__ = (
@@ -97,11 +97,11 @@
 
     @property
     def is_internal(self) -> bool:
-        """Whether it is a query of the gateway itself."""
+        """True for a query of this gateway itself."""
         return isinstance(self.client, InternalClient)
 
     def abandon(self) -> None:
-        """Its client no longer waits."""
+        """Ends the query, as its client no longer waits."""
         self.owner.client_left(self)
 
     def restrict_to(self, engines: frozenset[int] | None) -> None:
@@ -114,41 +114,44 @@
 
 
 class OpenQueries:
-    """The table of the queries held, and the limits on how many and how large they may be.
+    """The table of held queries, with limits on the number and the size of open ones.
 
-    A query is open until it is answered. It is held until the last of its attempts has ended as well.
+    A query is open until it is answered, and held until the last of its attempts has ended as well.
+
+    Attributes:
+        open_count: The number of open queries.
     """
 
     def __init__(self, statement_bytes: int) -> None:
-        """`statement_bytes`: how much the statements of all open queries may take together."""
+        """`statement_bytes` limits the total size of the statements of all open queries."""
         self._table: QueryTable[ClientQuery] = QueryTable()
-        self._references = set[str]()  # an engine takes two open queries of one reference for the same
+        self._references = set[str]()  # an engine treats two open queries with one reference as the same
         self._free_bytes = statement_bytes
         self.open_count = 0
 
     @property
     def held_count(self) -> int:
-        """The number of queries for which something may still come."""
+        """The number of held queries."""
         return len(self._table)
 
     def is_open(self, reference: str) -> bool:
-        """Whether a query of this reference is open."""
+        """Returns True if a query with this reference is open."""
         return reference in self._references
 
     def has_capacity(self, size: int, max_open: int) -> bool:
-        """Whether there is capacity for a statement of this size. A `max_open` of 0 means no limit."""
+        """Returns True if a statement of `size` bytes can be held. A `max_open` of 0 means no limit."""
         too_many = max_open != 0 and self.open_count >= max_open
         return not too_many and size <= self._free_bytes
 
     def hold(self, query: ClientQuery) -> None:
-        """Takes a query in, which gives it its index."""
+        """Adds a query and assigns its index."""
         self._table.add(query)
         self.open_count += 1
         self._references.add(query.name)
         self._free_bytes -= len(query.body)
 
     def close(self, query: ClientQuery) -> None:
-        """The query has its answer, or nobody waits for it: no attempt follows."""
+        """Marks a query as answered or abandoned. No further attempt is made."""
         query.ended = True
         if query.guard_record is not None:
             query.guard_record.is_ended = True
@@ -158,30 +161,30 @@
         query.body = b""
 
     def by_index(self, index: int) -> ClientQuery:
-        """The query of an index."""
+        """Returns the query with this index."""
         return self._table.get(index)
 
     def discard_if_done(self, query: ClientQuery) -> None:
-        """Forgets a query for which nothing can come any more."""
+        """Removes a query that has ended and has no attempt left."""
         self._table.remove_if_done(query)
 
 
 class RecentReferences:
-    """The references that clients brought lately.
+    """The references of recent queries.
 
-    Clients bring a new one with each query: one that comes again is no new query, and must not earn retries
-    for others.
+    Clients use a new reference for each query. A repeated reference is not a new query, so it must not add to
+    the retry budget.
     """
 
     MAX_AGE, MAX_COUNT = 30 * SECOND, 20_000
-    """The time and the number after which the older half is forgotten."""
+    """The duration and the number of references after which the older half is discarded."""
 
     def __init__(self, now: int) -> None:
         self._newer_half, self._older_half = set[int](), set[int]()
         self._newer_since = now
 
     def seen_before(self, reference: str, now: int) -> bool:
-        """Whether it has come lately; from now on it has."""
+        """Records a reference. Returns True if it was recorded recently."""
         if now - self._newer_since > self.MAX_AGE or len(self._newer_half) >= self.MAX_COUNT:
             self._newer_half, self._older_half, self._newer_since = set(), self._newer_half, now
         number = int(reference, 16)
@@ -191,25 +194,25 @@
 
 
 class InternalClient:
-    """Who waits for a query of the gateway itself, in the place of a client's connection."""
+    """The receiver of the answer to a query of this gateway itself."""
 
     def __init__(self) -> None:
         self.done = Deferred[AnswerStatus]()
 
     def answer(self, stream: int, status: AnswerStatus, fields: dict[str, str], body: bytes) -> None:
-        """Hands on the status of the answer."""
+        """Fires `done` with the status of the answer."""
         self.done.callback(status)
 
 
 class InternalQuery:
-    """A query of the gateway itself, as the subsystem that submitted it holds it."""
+    """A query of this gateway itself, as the subsystem that submitted it sees it."""
 
     def __init__(self, query: ClientQuery, done: Deferred[AnswerStatus]) -> None:
         self._query = query
         self.done = done
 
     def cancel(self) -> None:
-        """Nobody waits for it any more."""
+        """Ends the query, as its answer is no longer needed."""
         self._query.abandon()
         if not self.done.called:
             self.done.callback(AnswerStatus.REJECTED)
--- a/vanerelay/net/query_answers.py
+++ b/vanerelay/net/query_answers.py
@@ -1,4 +1,4 @@
-"""The answers of queries: each query gets one, and what became of it is logged and reported once."""
+"""The final answers of queries: each query is answered once, and its result is logged and reported once."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class QueryAnswers:
-    """Gives queries their final answers."""
+    """Sends the final answers of queries."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         fields: Mapping[str, str] | None = None,
         body: bytes = b"",
     ) -> None:
-        """Gives a query its answer, unless the guard knows that it has one."""
+        """Answers a query, unless the invariant guard has recorded an answer to it already."""
         if query.guard_record is not None and not self._guard.may_answer(query.guard_record):
             self._events.note(LogEventKind.VIOLATION, Invariant.ANSWER.value, id=query.name)
             return
@@ -48,16 +48,16 @@
         query.client.answer(query.stream, status, dict(fields or {}), body)
 
     def abandon(self, query: ClientQuery) -> None:
-        """Ends a query whose client no longer waits, without an answer."""
+        """Ends a query without an answer, as its client no longer waits."""
         self._report(query, AnswerStatus.COMPLETED, client_waited=False)
         self._close(query)
 
     def report_unheld(self, service_class: str, status: AnswerStatus) -> None:
-        """Reports a query that was answered at once, without being held."""
+        """Reports a query that was answered at once and never held."""
         self._extensions.answered(service_class, 0.0, status, 0, 0)
 
     def note_rejection(self, query: ClientQuery, why: str) -> None:
-        """Logs that a query is rejected or fails."""
+        """Logs that a query is rejected or has failed."""
         waited = (self._clock.now() - query.received_after) * 1000 // SECOND
         self._events.note(
             LogEventKind.REJECTION,
@@ -74,7 +74,7 @@
             guarded(query.constraint.finished)
 
     def _report(self, query: ClientQuery, status: AnswerStatus, client_waited: bool) -> None:
-        """Reports what became of a query to the extensions that want to know it."""
+        """Reports the result of a client's query to the extensions that use such reports."""
         if not self._extensions.counts or query.is_internal:
             return
         name = query.service_class.decode()
--- a/vanerelay/net/query_ends.py
+++ b/vanerelay/net/query_ends.py
@@ -1,4 +1,4 @@
-"""The ends of queries that no attempt brings: the client leaves, or the deadline comes."""
+"""Ends queries for a reason other than an attempt: the client leaves, or the deadline passes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class QueryEnds:
-    """Ends queries whose client no longer waits, or waits in vain."""
+    """Ends queries whose client no longer waits or whose deadline has passed."""
 
     def __init__(
         self, queries: OpenQueries, decisions: Decisions, answers: QueryAnswers, events: EventLog
@@ -21,7 +21,7 @@
         self._events = events
 
     def client_left(self, query: ClientQuery) -> None:
-        """Its client no longer waits; attempts that are out still end."""
+        """Abandons a query whose client no longer waits. Attempts that are running still end."""
         if not query.ended:
             self._events.note(LogEventKind.REJECTION, "client left", False)
             self._answers.abandon(query)
@@ -29,14 +29,17 @@
         self._queries.discard_if_done(query)
 
     def deadline_passed(self, query: ClientQuery) -> None:
-        """Its deadline has come, whatever the decisions made of it."""
+        """Answers a query whose deadline has passed with a failure, whatever was decided for it."""
         self._answers.note_rejection(query, "deadline passed")
         self._answers.answer(query, AnswerStatus.FAILED)
         self._stop_attempts(query)
         self._queries.discard_if_done(query)
 
     def _stop_attempts(self, query: ClientQuery) -> None:
-        """Tells the decisions. What has not begun does not begin, also where nothing can be cancelled."""
+        """Notifies the decision module, and withdraws the attempts.
+
+        An attempt that has not begun does not begin, even if the engine does not support cancels.
+        """
         if query.handle is not None:
             self._decisions.call(query, query.handle.client_left)
         for attempt in query.attempts:
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -1,7 +1,8 @@
-"""The intake of queries: decode, validate, admit or reject, hold, submit to the decisions.
+"""Query intake: decode, validate, admit or reject, hold, and submit to the decision module.
 
-A client's query goes through these steps once, in this order. What rejects it names its reason as a value,
-and one place answers. A query of the gateway itself takes the same way without a client.
+Each query of a client passes through these steps once, in this order. A step that rejects it returns a
+`Rejection`, which is answered in one place. Queries of this gateway itself enter by `submit_internal`,
+without a client.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
 from vanerelay.net.statements import table_group
 
 MAX_TIME_LIMIT_FACTOR = 2
-"""Times the deadline of its service class: the longest time limit that a client can mean."""
+"""A time limit longer than this many times the deadline of the service class is invalid."""
 
 
 class RejectionReason(Enum):
-    """Why a request is answered without being held. The values stand in the event log."""
+    """The reason why a request is answered without being held. The values are written to the event log."""
 
     UNUSABLE = "unusable request"
     NO_CAPACITY = "no capacity"
@@ -51,7 +52,7 @@
 
     Attributes:
         reference: The reference of the request, as far as it could be read.
-        explanation: What its client gets to read; None for nothing.
+        explanation: The text that is sent to the client; None for none.
     """
 
     reason: RejectionReason
@@ -67,12 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """A request that may be held.
+    """A validated request that can be held.
 
     Attributes:
-        service_class: The row of its service class.
-        deadline: When its answer is due.
-        constraint: What a subsystem demands for it, where one does.
+        service_class: The row of its service class in the settings.
+        deadline: The time by which it must be answered.
+        constraint: The constraint that an extension sets for it; None for none.
     """
 
     request: QueryRequest
@@ -82,7 +83,7 @@
 
 
 class QueryIntake:
-    """Takes queries in, from clients and from the gateway itself."""
+    """Accepts queries from clients and from this gateway itself."""
 
     def __init__(
         self,
@@ -112,15 +113,19 @@
     def accept(
         self, client: ClientConnection, frame: frames.Frame, received_after: int
     ) -> ClientQuery | RequestResult:
-        """Takes a client's query in, unless it is answered at once.
+        """Accepts a query from a client.
 
-        What an engine could not use is not passed on: an engine closes a connection on which it cannot read
-        something, with all else that is open there, and its errors would be held against it.
+        A request that an engine could not use is answered here. An engine closes a connection on which it
+        reads invalid input, which ends all other attempts on it, and its errors would count against the
+        engine.
 
         Args:
-            client: Who sent it.
-            frame: The request.
-            received_after: A moment at which nothing of it had come.
+            client: The connection that the request arrived on.
+            frame: The frame of the request.
+            received_after: A time before which no byte of the request had arrived.
+
+        Returns:
+            The open query, or the result if it has been answered already.
         """
         self._decisions.read_clock()
         admitted = self._admit(frame, received_after)
@@ -149,7 +154,7 @@
         memory: float,
         max_duration: int,
     ) -> InternalQuery | None:
-        """Takes in a query of the gateway itself, to one engine; None where it cannot be taken."""
+        """Submits a query of this gateway itself to one engine. Returns None if it cannot be admitted now."""
         now = self._decisions.read_clock()
         settings = self._settings.current
         row = settings.rows.get(service_class)
@@ -196,13 +201,13 @@
         self._ends.client_left(query)
 
     def restrict_constrained(self, query: ClientQuery, engines: frozenset[int] | None) -> None:
-        """See `QueryOwner.restrict_constrained`: the query goes to the decisions, if they have it not yet."""
+        """See `QueryOwner.restrict_constrained`. Submits the query if that has not happened yet."""
         if query.ended or query.arrival is None:
             return
         query.arrival.eligible_engines = engines
         if query.handle is not None:
             return
-        # Other settings may have come into force while it waited.
+        # The settings may have changed while the query waited for its constraint.
         service_class = self._settings.current.rows.get(query.service_class.decode())
         if service_class is None:
             self._answers.note_rejection(query, "service class removed")
@@ -224,7 +229,7 @@
         self._queries.discard_if_done(query)
 
     def _admit(self, frame: frames.Frame, received_after: int) -> AdmittedRequest | Rejection:
-        """Decodes and validates a request, and looks whether there is capacity for it."""
+        """Decodes and validates a request, and checks the capacity for it."""
         request = request_codec.parse(frame)
         service_class = None if request is None else self._find_service_class(request)
         if request is None or service_class is None:
@@ -232,7 +237,8 @@
             return Rejection(RejectionReason.UNUSABLE, reference)
         if not self._has_capacity(len(request.body)):
             return Rejection(RejectionReason.NO_CAPACITY, request.reference)
-        # The client counts from when it sent. That is not known: the earliest moment known stands for it.
+        # The client counts the time limit from when it sent the request. That time is not known, so the
+        # earliest possible arrival is used instead.
         deadline = received_after + request.time_limit
         constraint = self._constrain(request, service_class, deadline)
         if isinstance(constraint, str):
@@ -240,7 +246,7 @@
         return AdmittedRequest(request, service_class, deadline, constraint)
 
     def _find_service_class(self, request: QueryRequest) -> int | None:
-        """The row of the service class that the request belongs to; None where an engine could not use it."""
+        """Returns the row of the request's service class, or None if an engine could not use the request."""
         settings = self._settings.current
         row = settings.rows.get(request.service_class)
         if row is None:
@@ -251,14 +257,14 @@
         return row if usable else None
 
     def _has_capacity(self, size: int) -> bool:
-        """Whether there is capacity for one more query with so many bytes of statement."""
+        """Returns True if there is capacity for one more query with a statement of `size` bytes."""
         max_open = self._settings.current.max_open
         return self._decisions.current is not None and self._queries.has_capacity(size, max_open)
 
     def _constrain(
         self, request: QueryRequest, service_class: int, deadline: int
     ) -> QueryConstraint | str | None:
-        """The constraint of a query; an explanation where it can't be served as it asks."""
+        """Returns the constraint of a query, None for none, or an explanation if it cannot be satisfied."""
         if not self._extensions.has_constraints:
             return None
         objective = self._settings.current.service_classes[service_class].latency_objective
@@ -272,7 +278,7 @@
         return self._extensions.constrain(info)
 
     def _reject(self, client: ClientConnection, frame: frames.Frame, rejection: Rejection) -> RequestResult:
-        """Answers a request that is not held: the one place that does."""
+        """Answers a request that is not held. All rejections on arrival are sent from here."""
         status = rejection.status
         self._answers.report_unheld(request_codec.service_class(frame.fields), status)
         if rejection.reason is not RejectionReason.UNSATISFIABLE:
@@ -297,7 +303,7 @@
         self._deadlines.add(query)
 
     def _make_arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
-        """The query as the decisions get it."""
+        """Returns the query in the form that the decision module takes."""
         request = admitted.request
         return QueryArrival(
             index=query.index,
--- a/vanerelay/net/rate_limited_log.py
+++ b/vanerelay/net/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Warnings that any client can cause: one in a while, with the number of those left out."""
+"""Rate-limited warnings, for conditions that any client can cause."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import structlog
 
 INTERVAL_S = 10.0
-"""The time between two warnings of one kind."""
+"""The minimum time between two warnings of one kind."""
 
 log = structlog.get_logger()
 
 
 class RateLimitedLog:
-    """A warning of one kind, however often there is cause for it."""
+    """Writes warnings of one kind, at most one per `INTERVAL_S`."""
 
     def __init__(self, reactor: Any, event: str) -> None:
         self._reactor = reactor
@@ -22,7 +22,10 @@
         self._suppressed = 0
 
     def warn(self, **values: Any) -> None:
-        """Writes the warning with these values, or counts it as left out."""
+        """Writes the warning with these values, or suppresses it.
+
+        The next warning that is written reports the number of suppressed ones as `left_out`.
+        """
         now = self._reactor.seconds()
         if now < self._next_allowed_at:
             self._suppressed += 1
--- a/vanerelay/net/request_codec.py
+++ b/vanerelay/net/request_codec.py
@@ -1,4 +1,7 @@
-"""The named values of clients' requests and of rejections, whose names on the wire stand here alone."""
+"""Decodes the named fields of client requests and encodes those of rejections.
+
+No other module knows the names of these fields on the wire.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +15,29 @@
 REFERENCE_PATTERN = re.compile("[0-9a-fA-F]{16}")
 NUMBER_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
 KEY_PATTERN = re.compile(r"[0-9a-zA-Z_.:/+-]{1,128}")
-"""An idempotency key or order key: it stands in a list of fields, between commas and signs of equality."""
+"""An idempotency key or order key. Keys are sent in a list of fields, so commas and equals signs are not
+allowed.
+"""
 NUMBER_LIMIT = 1e8
-"""No work is as long in milliseconds, no memory as large in MB."""
+"""Upper bound of durations in milliseconds and of memory in MB; larger numbers are invalid."""
 TICKS_PER_MS = 10
 MAX_LOGGED_REFERENCE_LENGTH = 16
+"""The characters of an unchecked reference that a log line takes."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueryRequest:
-    """A query as its client asks for it. Times in ticks, memory in MB, 0 where nothing is given.
+    """A query as its client sent it.
+
+    Times are in ticks and memory is in MB; 0 if the client gave no value.
 
     Attributes:
         time_limit: How long the client waits for the answer.
-        idempotency_key: By it engines recognise a repeat.
-        order_key: Queries of an ordered class that share it run one after the other.
-        body: The statement as it goes to the engine; `statement` is the same as text.
+        estimated_cost: The work that the client expects.
+        idempotency_key: The key by which engines recognise a repeated execution.
+        order_key: Queries of an ordered class with the same key run one after the other.
+        body: The statement as it is sent to the engine.
+        statement: The statement as text.
     """
 
     reference: str
@@ -43,7 +53,7 @@
 
 
 def parse(frame: frames.Frame) -> QueryRequest | None:
-    """The request of a frame; None where something is missing or can't be used."""
+    """Returns the request in a frame, or None if a field is missing or invalid."""
     fields = frame.fields
     time_limit, cost, memory = (parse_number(fields, name) for name in ("allow", "effort", "space"))
     statement = _decode_utf8(frame.body)
@@ -69,27 +79,27 @@
 
 
 def service_class(fields: Mapping[str, str]) -> str:
-    """The service class that a request names, usable or not."""
+    """Returns the service class that a request names, valid or not."""
     return fields.get("service", "")
 
 
 def reference_for_log(fields: Mapping[str, str]) -> str:
-    """The reference of a request, usable or not, as far as a log line takes it."""
+    """Returns the reference of a request, valid or not, shortened for log lines."""
     return fields.get("ref", "")[:MAX_LOGGED_REFERENCE_LENGTH]
 
 
 def retry_after_fields(retry_after: int) -> dict[str, str]:
-    """The named values of a rejection: after how many ticks the client may come again; none for 0."""
+    """Returns the fields of a rejection that asks for a wait of `retry_after` ticks; none for 0."""
     return {"cooldown": str(retry_after // TICKS_PER_MS)} if retry_after > 0 else {}
 
 
 def explanation_fields(explanation: str | None) -> dict[str, str]:
-    """The named values of a failure that explains itself to its client; none for None."""
+    """Returns the fields of a failure with an explanation for the client; none for None."""
     return {} if explanation is None else {"why": explanation}
 
 
 def parse_number(fields: Mapping[str, str], name: str) -> float | None:
-    """A figure as given, 0 where it is not; None where it cannot be used."""
+    """Returns the number in a field, 0 if it is absent (`allow` is required), or None if it is invalid."""
     text = fields.get(name, "" if name == "allow" else "0")
     value = float(text) if NUMBER_PATTERN.fullmatch(text) else NUMBER_LIMIT
     return value if value < NUMBER_LIMIT else None
--- a/vanerelay/net/statements.py
+++ b/vanerelay/net/statements.py
@@ -1,4 +1,7 @@
-"""The table group of a statement: a small lexer that finds the schemas of the tables read or written."""
+"""Finds the table group of a statement with a small lexer.
+
+The table group is the number at the end of the schema names of the tables that are read or written.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +9,16 @@
 
 from vanerelay.net.buffers import BLOCK_BYTES
 
-# What is skipped goes with the token behind it: a match for each took a quarter of a gateway's CPU.
+# White space, comments and strings are part of the match of the token after them: a match for each of them
+# took a quarter of the CPU time of a gateway.
 _TOKEN_PATTERN = re.compile(
     r"""(?:\s+|--[^\n]*|/\*.*?(?:\*/|\Z)|'(?:[^']|'')*(?:'|\Z))*+"""
     r"""(?:("(?:[^"]|"")*(?:"|\Z))|([^\W\d]\w*)|(\d\w*|[=<>+%|&!;:?]+|.)|\Z)""",
     re.DOTALL,
 )
 _WRITE_PATTERN = re.compile(rb"\b(?:into|update|table|overwrite|truncate)\b", re.IGNORECASE)
-_GROUP_SUFFIX = re.compile(r"_([0-9]{1,15})\Z")  # no more digits than a figure on the wire may have
-# Words after which a table is schema_numbers; a comma goes on with the list after the first two kinds.
+_GROUP_SUFFIX = re.compile(r"_([0-9]{1,15})\Z")  # as many digits as a number on the wire may have
+# Keywords before a table name. After those of the first set, a comma continues the list of tables.
 _LIST_KEYWORDS, _SINGLE_KEYWORDS = (
     {"from", "using"},
     {"join", "into", "update", "table", "overwrite", "truncate"},
@@ -42,14 +46,14 @@
     {"extract", "trim", "substring", "overlay", "position"},
     _LIST_KEYWORDS | {"join", ","},
 )
-# All else means nothing unless a table is expected.
+# All other tokens are skipped unless a table name is expected.
 _KEYWORDS = _LIST_KEYWORDS | _SINGLE_KEYWORDS | _END_KEYWORDS
 _PUNCTUATION = {"(", ")", ","}
 _FILLER_KEYWORDS = {"only", "lateral", "if", "not", "exists", "table"}
 
 
 def _tokens(statement: str) -> list[tuple[str, str]]:
-    """Kind and text of each: a word, a name in quotes, or else."""
+    """Returns the kind and the text of each token: `word`, `name` (a quoted name), or `` for all else."""
     return [
         ("word", word)
         if word
@@ -62,17 +66,18 @@
 
 
 def schema_numbers(statement: str) -> tuple[list[int], list[int]]:
-    """The numbers of the schemas of all tables that are written, and of those read."""
+    """Returns the schema numbers of all tables that the statement writes, and of those that it reads."""
     scanner = _TableScanner(_tokens(statement))
     scanner.run()
     return scanner.written, scanner.read
 
 
 class _TableScanner:
-    """Goes through the tokens of a statement once, and notes the tables that it names.
+    """Scans the tokens of a statement once and records the tables that it names.
 
     Attributes:
-        written: The numbers of the schemas of tables that are written; `read` likewise.
+        written: The schema numbers of the tables that are written.
+        read: The schema numbers of the tables that are read.
     """
 
     def __init__(self, tokens: list[tuple[str, str]]) -> None:
@@ -80,14 +85,14 @@
         self._tokens = tokens
         self._table_expected = False
         self._writing = False
-        # By open bracket: whether a list of tables goes on, and whether the bracket is that of a function.
-        # Kept as brackets open, not looked for at each FROM: that took minutes for the longest frame there
-        # may be.
+        # For each open bracket: whether a list of tables continues, and whether the bracket belongs to a
+        # function. This is tracked as brackets open, as searching backwards from each FROM took minutes for a
+        # frame of the maximum length.
         self._in_table_list = [False]
         self._in_function = [False]
 
     def run(self) -> None:
-        """Goes through all tokens."""
+        """Scans all tokens."""
         tokens, at = self._tokens, 0
         while at < len(tokens):
             kind, text = tokens[at]
@@ -105,7 +110,8 @@
                 at += 1
 
     def _expect_table(self, word: str) -> None:
-        # EXTRACT(x FROM y), TRIM(x FROM y) and SUBSTRING(x FROM y) name a column here, no table.
+        # In EXTRACT(x FROM y), TRIM(x FROM y) and SUBSTRING(x FROM y), FROM is followed by a column, not a
+        # table.
         names_column = word == "from" and self._in_function[-1]
         if not (word == "table" and self._table_expected):
             self._writing = word in _WRITE_KEYWORDS
@@ -113,7 +119,7 @@
         self._in_table_list[-1] = word in _LIST_KEYWORDS and not names_column
 
     def _record_table(self, at: int) -> int:
-        """Notes the table that is schema_numbers here; returns where the tokens go on."""
+        """Records the table named at this token. Returns the position after its name."""
         names, following = _dotted_name(self._tokens, at)
         if len(names) > 1:
             (self.written if self._writing else self.read).extend(_schema_number(names[-2]))
@@ -142,25 +148,27 @@
 
 
 def table_groups(statement: str) -> list[int]:
-    """The numbers of the schemas of all tables that a statement names, those written first, each once."""
+    """Returns the schema numbers of all tables in a statement without repetition, the written ones first."""
     written, read = schema_numbers(statement)
     return list(dict.fromkeys(written + read))
 
 
 def may_write(statement: bytes) -> bool:
-    """Whether a statement may write; one that only looks so counts as well."""
+    """Returns True if the beginning of a statement contains a keyword of a write, even in another meaning."""
     return _WRITE_PATTERN.search(statement, 0, BLOCK_BYTES) is not None
 
 
 def table_group(statement: str) -> int:
-    """The table group of a statement: the first that is written, else the first read; 0 for none.
+    """Returns the table group of a statement: the first that is written, else the first that is read, else 0.
 
-    It stands near the beginning; the longest statements would take half a second to go through.
+    Only the first `BLOCK_BYTES` characters are scanned: the table stands near the beginning, and the longest
+    statements would take half a second.
     """
     return next(iter(table_groups(statement[:BLOCK_BYTES])), 0)
 
 
 def _dotted_name(tokens: list[tuple[str, str]], at: int) -> tuple[list[str], int]:
+    """Returns the parts of the dotted name at this token, and the position after it."""
     names = [tokens[at][1]]
     while at + 2 < len(tokens) and tokens[at + 1][1] == "." and tokens[at + 2][0] in ("word", "name"):
         at += 2
@@ -169,5 +177,6 @@
 
 
 def _schema_number(schema: str) -> list[int]:
+    """Returns the number at the end of a schema name as a list of one, or an empty list."""
     match = _GROUP_SUFFIX.search(schema)
     return [] if match is None else [int(match.group(1))]
