--- a/vanerelay/net/accepting_port.py
+++ b/vanerelay/net/accepting_port.py
@@ -68,7 +68,7 @@
         """Accepts all waiting connections. Retries soon if the system is short of resources."""
         error = self._accept_pending()
         if error in EXHAUSTION_ERRNOS and self._accept_timer is None:
-            self.stopReading()  # type: ignore[no-untyped-call]  # it would stay readable
+            self.stopReading()  # type: ignore[no-untyped-call]  # the port would stay readable
             self._accept_timer = self.reactor.callLater(ACCEPT_RETRY_INTERVAL_S, self._retry_accept)
 
     def accept_remaining(self) -> None:
--- a/vanerelay/net/buffers.py
+++ b/vanerelay/net/buffers.py
@@ -51,10 +51,8 @@
     def __init__(self, pool: BufferPool) -> None:
         self._pool = pool
         self._blocks = list[bytearray]()
-        self._stored_start = self._stored_end = (
-            0  # of the stored bytes, counted from the first byte of the first block
-        )
-        self._unstored, self._unstored_start = b"", 0  # the last feed, and how much of it was read
+        self._stored_start = self._stored_end = 0  # offsets from the first byte of the first block
+        self._unstored, self._unstored_start = b"", 0  # the last feed, and how much of it has been read
 
     def __len__(self) -> int:
         return self._stored_end - self._stored_start + len(self._unstored) - self._unstored_start
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -310,9 +310,8 @@
         self._reader.stop()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
-        linger_timeout_s = (
-            CLIENT_IDLE_TIMEOUT_S if self._congested else LINGER_TIMEOUT_S
-        )  # a slow client gets more time to read its answers
+        # A slow client gets more time to read its answers.
+        linger_timeout_s = CLIENT_IDLE_TIMEOUT_S if self._congested else LINGER_TIMEOUT_S
         self._linger_timer = self._owner.reactor.callLater(linger_timeout_s, self.close)
         self._owner.linger(self)
 
--- a/vanerelay/net/statements.py
+++ b/vanerelay/net/statements.py
@@ -42,6 +42,7 @@
     "qualify",
     "when",
 }
+# Functions that have FROM between their arguments, and the tokens after which a bracket opens a subquery.
 _FROM_FUNCTIONS, _BEFORE_SUBQUERY = (
     {"extract", "trim", "substring", "overlay", "position"},
     _LIST_KEYWORDS | {"join", ","},
@@ -53,7 +54,7 @@
 
 
 def _tokens(statement: str) -> list[tuple[str, str]]:
-    """Returns the kind and the text of each token: `word`, `name` (a quoted name), or `` for all else."""
+    """Returns the kind and the text of each token: `word`, `name` (a quoted name), or empty for all else."""
     return [
         ("word", word)
         if word
