--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -1,4 +1,7 @@
-"""The drivers of engines and clients, and the service, on transports and a clock that the tests move."""
+"""Tests of the protocol drivers for engines and clients, and of the gateway service.
+
+They run on in-memory transports and a clock that the tests advance.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,7 @@
 
 
 class FakeTransport(StringTransport):
-    """A transport whose bytes leave, and whose end comes, only when the test says so."""
+    """A transport that sends its bytes and closes only when the test says so."""
 
     aborted = False
 
@@ -48,7 +51,7 @@
     setTcpKeepAlive = setTcpNoDelay
     bufferSize = 65536
 
-    writes = 0  # times that what was handed over was to leave at once
+    writes = 0  # calls of doWrite, which sends immediately
 
     def doWrite(self):
         self.writes += 1
@@ -60,24 +63,25 @@
         self.aborted = True
 
     def loseWriteConnection(self):
-        self.disconnecting = True  # as far as its other end is concerned
+        self.disconnecting = True  # the peer sees the end of the stream
 
     def registerProducer(self, producer, streaming):
         super().registerProducer(producer, streaming)
 
     def flush(self):
+        """Pretends that all bytes were sent."""
         self.clear()
         self.producer.resumeProducing()
 
 
 class EngineHarness:
-    """One engine at one address, and what became of its attempts."""
+    """An engine pool with one engine, which records how attempts end."""
 
-    def __init__(self, most=32, may_cancel=True, may_copy=True, connections=3, others=2):
+    def __init__(self, max_open=32, may_cancel=True, may_copy=True, connections=3, other_engines=2):
         self.reactor, self.ends, self.used = MemoryReactorClock(), [], []
-        settings = ConnectionSettings(most, may_cancel, may_copy, 0.25, 30.0, 0.6)
+        settings = ConnectionSettings(max_open, may_cancel, may_copy, 0.25, 30.0, 0.6)
         self.engines = EnginePool(self.reactor, BufferPool(), settings, connections, lambda call: call())
-        for number in range(1 + others):  # so many have a part in the connections
+        for number in range(1 + other_engines):  # the connections are divided among all engines
             self.engines.listed(number, f"127.0.0.1:{9 + number}", 0, False)
 
     def send(self, name, time_out=5.0, used=None):
@@ -87,31 +91,35 @@
         return attempt
 
     def connect(self, number=0):
+        """Completes a pending connect and returns its transport.
+
+        `receive` and `lose_connection` then act on this connection.
+        """
         protocol = self.reactor.tcpClients[number][2].buildProtocol(None)
-        wire = FakeTransport()
-        protocol.makeConnection(wire)
-        self.lose_connection = lambda why=ConnectionLost: protocol.connectionLost(Failure(why()))
+        transport = FakeTransport()
+        protocol.makeConnection(transport)
+        self.lose_connection = lambda error=ConnectionLost: protocol.connectionLost(Failure(error()))
         self.receive = protocol.dataReceived
-        return wire
+        return transport
 
-    def fail_connecting(self, why):
-        self.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(why()))
+    def fail_connecting(self, error):
+        self.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(error()))
 
 
 @pytest.mark.parametrize(
-    ("why", "cause"),
+    ("error", "cause"),
     [
         (ConnectionRefusedError, EndCause.CONNECTION_REFUSED),
         (TimeoutError, EndCause.CONNECT_TIMEOUT),
         (OSError, EndCause.CONNECTION_REFUSED),
     ],
 )
-def test_no_connection_proves_that_nothing_ran(why, cause):
+def test_failed_connect_ends_all_waiting_attempts_as_not_connected(error, cause):
     harness = EngineHarness()
     harness.send("a")
     harness.send("b")
-    assert len(harness.reactor.tcpClients) == 1  # both wait for one
-    harness.fail_connecting(why)
+    assert len(harness.reactor.tcpClients) == 1  # both attempts wait for one connection
+    harness.fail_connecting(error)
     assert harness.ends == [
         ("a", cause, AttemptStage.NOT_CONNECTED),
         ("b", cause, AttemptStage.NOT_CONNECTED),
@@ -120,41 +128,45 @@
 
 
 @pytest.mark.parametrize(
-    ("left", "why", "stages"),
+    ("flushed", "error", "stages"),
     [
         (True, ConnectionLost, [AttemptStage.WRITTEN, AttemptStage.WRITTEN]),
         (True, ConnectionDone, [AttemptStage.WRITTEN, AttemptStage.WRITTEN]),
         (False, ConnectionLost, [AttemptStage.WRITTEN, AttemptStage.PARTLY_WRITTEN]),
     ],
 )
-def test_a_lost_connection_reports_what_was_written_completely(left, why, stages):
-    """The last command handed over has not left whole before the transport says that all has."""
+def test_lost_connection_reports_which_commands_were_written_completely(flushed, error, stages):
+    """The last command written counts as sent completely only after the transport has reported that all was
+    sent.
+    """
     harness = EngineHarness()
     harness.send("a")
     harness.send("b")
-    wire = harness.connect()
-    if left:
-        wire.flush()
-    harness.lose_connection(why)
+    transport = harness.connect()
+    if flushed:
+        transport.flush()
+    harness.lose_connection(error)
     assert harness.ends == [(n, EndCause.CONNECTION_LOST, s) for n, s in zip("ab", stages, strict=True)]
 
 
-def test_an_attempt_leaves_at_once_and_not_at_the_end_of_a_long_pass():
-    """Until then its client may have left, and the time that it tells be over."""
+def test_attempt_is_written_to_the_socket_at_once():
+    """Attempts waited for the end of a long event-loop pass.
+
+    Meanwhile the client could leave, and the time limit that the command carries could pass.
+    """
     harness = EngineHarness()
     harness.send("a")
-    wire = harness.connect()
-    assert wire.writes == 1
+    transport = harness.connect()
+    assert transport.writes == 1
     harness.send("b")
-    assert wire.writes == 2
-    harness.reactor.advance(
-        6.0
-    )  # given up: an end that waits for its cancel to leave comes by the pass alone
-    assert wire.writes == 2 and harness.ends == []
+    assert transport.writes == 2
+    # Both attempts time out. Their cancels are left to the event loop, and they end once these are sent.
+    harness.reactor.advance(6.0)
+    assert transport.writes == 2 and harness.ends == []
 
 
-def test_an_attempt_with_a_cancel_behind_it_may_be_written_completely():
-    """Only the last command handed over is known not to have: here that is the cancel."""
+def test_attempt_followed_by_a_cancel_counts_as_written_when_the_connection_is_lost():
+    """Only the last command is known not to have been sent completely, and here that is the cancel."""
     harness = EngineHarness()
     harness.send("a", 1.0)
     harness.send("b", 5.0)
@@ -168,8 +180,11 @@
 
 
 @pytest.mark.parametrize(("time_out", "cause"), [(0.1, EndCause.NOT_SENT), (0.2, EndCause.TIMEOUT)])
-def test_a_time_out_before_the_connection_is_up_sends_nothing(time_out, cause):
-    """One with little time left says nothing of the engine: seen as sound engines held for lost."""
+def test_attempt_that_times_out_while_connecting_is_never_sent(time_out, cause):
+    """A short timeout says nothing about the engine, so it ends as not sent.
+
+    Healthy engines were marked as lost when attempts with little time left timed out while connecting.
+    """
     harness = EngineHarness()
     harness.send("a", time_out)
     harness.reactor.advance(time_out)
@@ -177,180 +192,198 @@
     assert harness.connect().value() == b""
 
 
-def test_a_cancel_has_left_before_the_end_is_reported():
-    """Else the next attempt of the query could reach another engine before the cancel reached this one."""
+def test_timed_out_attempt_ends_only_after_its_cancel_was_sent():
+    """Otherwise the next attempt of the query could reach another engine before the cancel reaches this
+    one.
+    """
     harness = EngineHarness()
     harness.send("a", 1.0)
-    wire = harness.connect()
-    wire.flush()
+    transport = harness.connect()
+    transport.flush()
     harness.reactor.advance(1.0)
-    assert harness.ends == [] and wire.value() == command(b"cancel", b"a")
-    wire.flush()
+    assert harness.ends == [] and transport.value() == command(b"cancel", b"a")
+    transport.flush()
     assert harness.ends == [("a", EndCause.TIMEOUT, AttemptStage.WRITTEN)]
 
 
 @pytest.mark.parametrize(("may_cancel", "may_copy"), [(True, False), (False, False), (False, True)])
-def test_an_attempt_answered_with_an_unknown_word_is_abandoned_before_its_end_is_reported(
-    may_cancel, may_copy
-):
+def test_attempt_with_an_unknown_status_ends_only_after_its_connection_is_lost(may_cancel, may_copy):
     harness = EngineHarness(may_cancel=may_cancel, may_copy=may_copy)
     harness.send("a")
-    wire = harness.connect()
-    wire.flush()
+    transport = harness.connect()
+    transport.flush()
     harness.receive(command(b"a", b"WHAT", b"-", b""))
-    assert harness.ends == [] and wire.aborted
+    assert harness.ends == [] and transport.aborted
     harness.lose_connection()
     assert harness.ends == [("a", EndCause.MALFORMED, AttemptStage.WRITTEN)]
 
 
-def test_a_cancel_that_cannot_leave_ends_its_connection():
+def test_connection_is_aborted_when_a_cancel_cannot_be_sent():
     harness = EngineHarness()
     harness.send("a", 1.0)
-    wire = harness.connect()
+    transport = harness.connect()
     harness.reactor.advance(1.0)
-    assert not wire.aborted
+    assert not transport.aborted
     harness.reactor.advance(0.3)
-    assert wire.aborted and harness.ends == []
+    assert transport.aborted and harness.ends == []
     harness.lose_connection()
     assert harness.ends == [("a", EndCause.TIMEOUT, AttemptStage.WRITTEN)]
 
 
-def test_without_cancels_and_hedged_requests_an_attempt_has_a_connection_alone_and_its_end_abandons_it():
-    """Seen on sockets: an attempt that timed out stayed out at its engine, and the next was hedged."""
+def test_attempt_has_a_connection_of_its_own_without_cancels_and_hedged_requests():
+    """Closing the connection is then the only way to end an attempt.
+
+    An attempt that had timed out kept running at its engine, so that the next one ran beside it.
+    """
     harness = EngineHarness(may_cancel=False, may_copy=False)
     harness.send("a", 1.0)
     harness.send("b")
     assert len(harness.reactor.tcpClients) == 2
-    wire = harness.connect(0)
-    wire.flush()
+    transport = harness.connect(0)
+    transport.flush()
     harness.reactor.advance(1.0)
-    assert wire.aborted and harness.ends == []
+    assert transport.aborted and harness.ends == []
     harness.lose_connection()
     assert harness.ends == [("a", EndCause.TIMEOUT, AttemptStage.WRITTEN)]
     harness.connect(1)
     harness.receive(command(b"b", b"OK", b"total=1", b"a\tb\tc\n"))
     harness.send("c")
-    assert len(harness.reactor.tcpClients) == 2  # a connection is used again, one attempt at a time
+    assert len(harness.reactor.tcpClients) == 2  # the connection is reused, with one attempt at a time
 
 
-def test_a_retry_takes_another_connection():
+def test_retry_uses_another_connection():
     harness, used = EngineHarness(), []
     harness.send("a", 1.0, used)
-    wire = harness.connect()
+    transport = harness.connect()
     harness.reactor.advance(1.0)
-    wire.flush()
+    transport.flush()
     harness.send("a", 1.0, used)
-    assert len(harness.reactor.tcpClients) == 2 and wire.value() == b""
+    assert len(harness.reactor.tcpClients) == 2 and transport.value() == b""
     harness.receive(command(b"a", b"OK", b"total=1", b"a\tb\tc\n"))
-    assert [name for name, *_ in harness.ends] == ["a"]  # the late answer ended no attempt
+    assert [name for name, *_ in harness.ends] == ["a"]  # the late answer belongs to no open attempt
 
 
 @pytest.mark.parametrize(
-    ("most", "connections", "calls", "again"), [(32, 4, 2, 2), (2, 2, 2, 2), (32, 1, 1, 1), (1, 3, 3, 3)]
+    ("max_open", "connections", "connects", "connects_after_answer"),
+    [(32, 4, 2, 2), (2, 2, 2, 2), (32, 1, 1, 1), (1, 3, 3, 3)],
 )
-def test_there_are_as_many_connections_as_attempts_on_each(most, connections, calls, again):
-    """What befalls a connection befalls all that is open on it; one for each took twice the CPU."""
-    harness = EngineHarness(most, connections=connections, others=0)
+def test_pool_balances_connections_and_attempts_per_connection(
+    max_open, connections, connects, connects_after_answer
+):
+    """The number of connections and the number of attempts on each grow together.
+
+    The loss of a connection affects all attempts on it, and one connection for each attempt took twice the
+    CPU time.
+    """
+    harness = EngineHarness(max_open, connections=connections, others=0)
     for name in "abc":
         harness.send(name)
-    assert len(harness.reactor.tcpClients) == calls
+    assert len(harness.reactor.tcpClients) == connects
     harness.connect(0)
     harness.receive(command(b"a", b"OK", b"total=1", b"a\tb\tc\n"))
     harness.send("d")
-    assert len(harness.reactor.tcpClients) == again and [n for n, *_ in harness.ends] == ["a"]
+    assert len(harness.reactor.tcpClients) == connects_after_answer and [n for n, *_ in harness.ends] == ["a"]
 
 
 @pytest.mark.parametrize(
-    ("came", "stage"),
+    ("received", "stage"),
     [
         (b"*4\r\n$1\r\na", AttemptStage.WRITTEN),
         (command(b"a", b"OK", b"total=2", b"a\tb\tc\n"), AttemptStage.PARTIAL_ANSWER),
     ],
 )
-def test_an_answer_that_stops_short_ends_its_connection_soon(came, stage):
-    """It held its queries to their deadlines, and the connection took new ones that shared their fate."""
+def test_connection_is_aborted_when_an_answer_stays_incomplete(received, stage):
+    """An incomplete answer blocked the connection.
+
+    Its queries waited until their deadlines, and new attempts on the connection were blocked as well.
+    """
     harness = EngineHarness()
     harness.send("a")
     harness.send("b")
-    wire = harness.connect()
-    wire.flush()
-    harness.receive(came)
+    transport = harness.connect()
+    transport.flush()
+    harness.receive(received)
     harness.reactor.advance(0.5)
-    assert not wire.aborted
+    assert not transport.aborted
     harness.reactor.advance(0.2)
-    assert wire.aborted and harness.ends == []
+    assert transport.aborted and harness.ends == []
     harness.lose_connection()
     assert harness.ends == [("a", EndCause.MALFORMED, stage), ("b", EndCause.MALFORMED, AttemptStage.WRITTEN)]
     harness.send("c")
     assert len(harness.reactor.tcpClients) == 2
 
 
-@pytest.mark.parametrize("heard", [False, True])
-def test_where_nothing_came_for_a_whole_time_out_nothing_new_goes(heard):
-    """A connection can be of no further use and stay open. One that brought others is not to blame."""
+@pytest.mark.parametrize("other_answer", [False, True])
+def test_connection_without_input_during_a_timeout_takes_no_new_attempt(other_answer):
+    """A connection can stay open although the engine no longer answers on it.
+
+    A connection on which other answers arrived is still used.
+    """
     harness = EngineHarness()
     harness.send("a", 1.0)
     harness.send("b", 9.0)
-    wire = harness.connect()
-    wire.flush()
+    transport = harness.connect()
+    transport.flush()
     harness.reactor.advance(0.5)
-    if heard:
+    if other_answer:
         harness.receive(command(b"z", b"ERR", b"-", b""))
     harness.reactor.advance(0.5)
-    wire.flush()
+    transport.flush()
     harness.send("c", used=[])
-    assert [end[0] for end in harness.ends] == ["a"] and not wire.disconnecting
-    assert (b"serve\r\n$1\r\nc" in wire.value()) == heard
+    assert [end[0] for end in harness.ends] == ["a"] and not transport.disconnecting
+    assert (b"serve\r\n$1\r\nc" in transport.value()) == other_answer
     harness.receive(command(b"b", b"ERR", b"-", b""))
-    assert wire.disconnecting != heard
+    assert transport.disconnecting != other_answer
 
 
-def test_past_the_descriptors_nothing_is_sent_and_no_engine_is_blamed():
-    harness = EngineHarness(most=1, connections=1, others=0)
+def test_attempt_ends_as_not_sent_when_the_connection_limit_is_reached():
+    harness = EngineHarness(max_open=1, connections=1, others=0)
     harness.send("a")
     harness.send("b")
     harness.reactor.advance(0)
     assert harness.ends == [("b", EndCause.NOT_SENT, AttemptStage.NOT_CONNECTED)]
 
 
-@pytest.mark.parametrize(("idle", "calls"), [(29.0, 1), (29.8, 2)])
-def test_a_connection_that_the_engine_is_about_to_close_takes_no_attempt(idle, calls):
-    """Without the sweep: one that comes late must not let an attempt cross the engine's close."""
+@pytest.mark.parametrize(("idle", "connects"), [(29.0, 1), (29.8, 2)])
+def test_connection_close_to_the_idle_timeout_of_the_engine_takes_no_attempt(idle, connects):
+    """Without a sweep: if the sweep is late, no attempt may be sent while the engine closes the
+    connection.
+    """
     harness = EngineHarness()
     harness.send("a")
     harness.connect()
     harness.receive(command(b"a", b"OK", b"total=1", b"a\tb\tc\n"))
     harness.reactor.advance(idle)
     harness.send("b")
-    assert len(harness.reactor.tcpClients) == calls
+    assert len(harness.reactor.tcpClients) == connects
 
 
-def test_an_idle_connection_is_closed_before_the_engine_does():
+def test_idle_connection_is_closed_before_the_idle_timeout_of_the_engine():
     harness = EngineHarness()
     harness.send("a")
-    wire = harness.connect()
+    transport = harness.connect()
     harness.receive(command(b"a", b"OK", b"total=1", b"a\tb\tc\n"))
     harness.engines.sweep()
-    assert not wire.disconnecting
+    assert not transport.disconnecting
     harness.reactor.advance(29.8)
     harness.engines.sweep()
-    assert wire.disconnecting and harness.engines.connections() == 0
+    assert transport.disconnecting and harness.engines.connections() == 0
 
 
 @pytest.mark.parametrize(("address", "started"), [("127.0.0.1:9", 5), ("127.0.0.1:99", 0)])
-def test_a_new_life_of_an_engine_loses_what_is_out_on_the_old(address, started):
+def test_restarted_or_moved_engine_ends_attempts_on_its_old_connections(address, started):
     harness = EngineHarness()
     harness.send("a")
-    wire = harness.connect()
-    wire.flush()
+    transport = harness.connect()
+    transport.flush()
     harness.engines.listed(0, address, started, False)
-    assert wire.aborted and harness.ends == [("a", EndCause.CONNECTION_LOST, AttemptStage.WRITTEN)]
+    assert transport.aborted and harness.ends == [("a", EndCause.CONNECTION_LOST, AttemptStage.WRITTEN)]
     harness.send("b")
     host, port = harness.reactor.tcpClients[1][:2]
     assert f"{host}:{port}" == address
 
 
-def test_an_engine_that_left_the_list_is_forgotten_once_its_last_answer_is_in():
+def test_unlisted_engine_is_removed_after_its_last_answer():
     harness = EngineHarness()
     harness.send("a")
     harness.connect()
@@ -364,13 +397,13 @@
     assert harness.ends[1:] == [("b", EndCause.CONNECTION_REFUSED, AttemptStage.NOT_CONNECTED)]
 
 
-# Clients and the service.
+# Clients and the gateway service.
 
 
 class ServiceHarness:
-    """A service with one engine and one client, on clocks that the test moves."""
+    """A gateway service with one engine pool and one client, on clocks that the test advances."""
 
-    def __init__(self, room=10_000, **limits):
+    def __init__(self, statement_bytes=10_000, **limits):
         self.reactor, self.time = MemoryReactorClock(), 1000.0
         self.clock = Clock(lambda: self.time)
         raw_settings = {**SETTINGS, "limits": {**SETTINGS["limits"], **limits}}
@@ -378,113 +411,127 @@
         connect_s = raw_settings["limits"]["dialTimeoutUs"] / 1e6
         settings = ConnectionSettings(32, cancel, True, connect_s, 30.0, 0.6)
         self.engines = EnginePool(self.reactor, BufferPool(), settings, 100, self.clock.after_recent_poll)
-        self.service = GatewayService(self.reactor, self.clock, raw_settings, self.engines, None, room)
+        self.service = GatewayService(
+            self.reactor, self.clock, raw_settings, self.engines, None, statement_bytes
+        )
         self.service.apply_settings(7, raw_settings)
-        self.spare = False
+        self.has_spare_descriptor = False
         self.clients = ClientListener(
-            self.reactor, self.clock, self.service, BufferPool(), 3, lambda: self.spare
+            self.reactor, self.clock, self.service, BufferPool(), 3, lambda: self.has_spare_descriptor
         )
-        self.client, self.wire = self.connect_client()
+        self.client, self.transport = self.connect_client()
         self.next_pass()
 
     def connect_client(self):
-        protocol, wire = self.clients.buildProtocol(None), FakeTransport()
-        protocol.makeConnection(wire)
-        return protocol, wire
+        """Connects a client. Returns its connection and its transport."""
+        protocol, transport = self.clients.buildProtocol(None), FakeTransport()
+        protocol.makeConnection(transport)
+        return protocol, transport
 
     def next_pass(self):
-        """A pass of the event loop that finds nothing, and the next one."""
+        """Simulates an event-loop pass without input, and begins the next one."""
         self.clock.previous_poll_at = self.clock.now()
         self.clock.loop_passes += 2
 
-    def send_query(self, stream, body=b"S", **other):
-        told = {"service": "look", "ref": f"{stream:016x}", "allow": "5000", "project": "acme", **other}
-        payload = bytes((len(told),)) + b"".join(
-            bytes((len(n),)) + n.encode() + len(v).to_bytes(2, "big") + v.encode() for n, v in told.items()
+    def send_query(self, stream, body=b"S", **other_fields):
+        """Sends a query from the current client, with `other_fields` in addition to the usual ones."""
+        fields = {
+            "service": "look",
+            "ref": f"{stream:016x}",
+            "allow": "5000",
+            "project": "acme",
+            **other_fields,
+        }
+        payload = bytes((len(fields),)) + b"".join(
+            bytes((len(n),)) + n.encode() + len(v).to_bytes(2, "big") + v.encode() for n, v in fields.items()
         )
         self.client.dataReceived(frames.encode_frame(FrameKind.REQUEST, stream, payload + body))
 
-    def advance(self, span):
-        for _ in range(round(span * 100)):
+    def advance(self, duration):
+        for _ in range(round(duration * 100)):
             self.time += 0.01
             self.reactor.advance(0.01)
 
     def answers(self):
-        """Stream and code of each answer so far."""
-        data, got = self.wire.value(), []
+        """Returns the stream and the status code of each answer so far."""
+        data, answers = self.transport.value(), []
         while data:
             size = int.from_bytes(data[:4], "big") + 4
-            got.append((int.from_bytes(data[5:9], "big"), data[9]))
+            answers.append((int.from_bytes(data[5:9], "big"), data[9]))
             data = data[size:]
-        return got
+        return answers
 
 
-def test_a_held_query_is_answered_before_its_deadline():
+def test_held_query_is_rejected_before_its_deadline():
     harness = ServiceHarness()
     harness.send_query(1)
     harness.advance(4.99)
     assert harness.answers() == [(1, AnswerStatus.REJECTED)] and harness.service.queries.open_count == 0
 
 
-def test_the_time_limit_counts_from_the_last_look_at_the_sockets():
-    """A process that stood still for longer than a client waits must not start on its query."""
+def test_time_limit_counts_from_the_previous_poll_of_the_sockets():
+    """A gateway that was suspended for longer than the time limit must not start the query."""
     harness = ServiceHarness()
     harness.time += 6.0
     harness.send_query(1)
     assert harness.answers() == [(1, AnswerStatus.REJECTED)]
 
 
-def test_what_a_full_read_left_behind_had_come_as_early():
+def test_input_left_by_a_full_read_counts_as_received_with_that_read():
     harness = ServiceHarness()
     head = frames.encode_frame(FrameKind.REQUEST, 1, b"\0" + b"x" * 70_000)
     harness.client.dataReceived(head[:65536])
     harness.time += 6.0
-    harness.next_pass()  # the next pass of the loop; the rest was there all the while
+    harness.next_pass()  # the next pass; the rest was in the socket all the time
     harness.client.dataReceived(head[65536:])
     harness.send_query(2)
     assert harness.answers()[0] == (1, AnswerStatus.FAILED)
     harness.advance(0.1)
-    assert harness.service.queries.open_count == 1  # the second came after that look
+    assert harness.service.queries.open_count == 1  # the second query arrived after that poll
 
 
-def test_what_a_new_client_sent_before_it_was_accepted_had_come_as_early():
-    """Seen on sockets: a pass of 70 ms made the deadlines on a new connection late by it."""
+def test_input_of_a_new_client_counts_as_received_before_it_was_accepted():
+    """The client may have sent it before its connection was accepted.
+
+    A pass of 70 ms delayed the deadlines on a new connection by as much.
+    """
     harness = ServiceHarness()
     harness.clock.loop_passes += 1
-    harness.client, harness.wire = harness.connect_client()  # accepted in a pass that ended late
+    harness.client, harness.transport = harness.connect_client()  # accepted in a long pass
     harness.time += 6.0
     harness.clock.previous_poll_at, harness.clock.loop_passes = (
         harness.clock.now(),
         harness.clock.loop_passes + 1,
     )
-    harness.send_query(1)  # read in the pass after that: it may have been there since before it was accepted
+    # The query is read in the next pass, so it may have been sent before the client was accepted.
+    harness.send_query(1)
     assert harness.answers() == [(1, AnswerStatus.REJECTED)]
     harness.next_pass()
     harness.send_query(2)
     assert harness.service.queries.open_count == 1
 
 
-def test_an_overdue_query_is_answered_within_a_pass_that_lasts():
-    """Seen on sockets: timers wait for the end of a pass, and answers came too late by long ones."""
+def test_overdue_query_is_answered_during_a_long_event_loop_pass():
+    """Timers wait for the end of the pass, so answers were too late by the length of long passes."""
     harness = ServiceHarness()
     harness.send_query(1, allow="300")
     harness.send_query(2, allow="5000")
-    harness.time += 0.4  # the pass lasts: no timer runs
+    harness.time += 0.4  # during a long pass no timer fires
     assert harness.answers() == []
     harness.send_query(3)
     assert harness.answers() == [(1, AnswerStatus.FAILED)]
 
 
-def test_answers_are_sent_at_once(monkeypatch):
+def test_answer_is_written_to_the_socket_at_once(monkeypatch):
     harness, sent = ServiceHarness(), []
     monkeypatch.setattr(
-        harness.wire, "doWrite", lambda: sent.append(len(harness.wire.value())), raising=False
+        harness.transport, "doWrite", lambda: sent.append(len(harness.transport.value())), raising=False
     )
     harness.send_query(1, service="none")
-    assert sent == [len(harness.wire.value())] and harness.answers() == [(1, AnswerStatus.FAILED)]
+    assert sent == [len(harness.transport.value())] and harness.answers() == [(1, AnswerStatus.FAILED)]
 
 
-def test_deadlines_of_answered_queries_do_not_pile_up():
+def test_deadlines_of_answered_queries_are_removed():
     harness = ServiceHarness()
     for stream in range(1, 1001):
         harness.send_query(stream)
@@ -492,14 +539,16 @@
     assert harness.service.queries.open_count == 0 and len(harness.service.deadlines) <= 103
 
 
-def test_queries_leave_no_cycles_to_collect():
-    """The program runs without automatic collections: what a query leaves must go by itself."""
+def test_queries_leave_no_reference_cycles():
+    """The program runs without automatic garbage collection, so queries must be freed by reference
+    counting.
+    """
     harness = ServiceHarness()
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
     harness.service.listed(EngineListChange(1, True, [member]))
     harness.send_query(1)
-    protocol, wire = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
-    protocol.makeConnection(wire)
+    protocol, transport = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
+    protocol.makeConnection(transport)
     protocol.dataReceived(command(b"%016x" % 1, b"OK", b"total=1,elapsed=5,rss=9", b"a\tb\tc\n"))
     gc.collect()
     for stream in range(2, 302):
@@ -510,18 +559,18 @@
 
 
 @pytest.mark.parametrize("broken", ["take", "beat", "ended"])
-def test_a_fault_in_the_module_is_answered_and_the_rest_goes_on(broken, monkeypatch):
+def test_exception_in_the_decisions_ends_one_query_and_later_ones_are_answered(broken, monkeypatch):
     harness = ServiceHarness()
     gateway = harness.service.gateway
 
-    def fault(*_):
+    def fail(*_):
         raise RuntimeError("a fault")
 
     if broken == "take":
-        monkeypatch.setattr(gateway, "submit", fault)
+        monkeypatch.setattr(gateway, "submit", fail)
         harness.send_query(1)
     elif broken == "beat":
-        monkeypatch.setattr(gateway, "_review", fault)
+        monkeypatch.setattr(gateway, "_review", fail)
         harness.send_query(1)
         harness.advance(4.9)
         assert harness.answers() == []
@@ -531,9 +580,9 @@
         member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
         harness.service.listed(EngineListChange(1, True, [member]))
         harness.send_query(1, service="load")
-        monkeypatch.setattr(gateway._feedback, "engine_responded", fault)
-        protocol, wire = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
-        protocol.makeConnection(wire)
+        monkeypatch.setattr(gateway._feedback, "engine_responded", fail)
+        protocol, transport = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
+        protocol.makeConnection(transport)
         protocol.dataReceived(command(b"%016x" % 1, b"ERR", b"-", b""))
     assert harness.answers() in ([(1, AnswerStatus.FAILED)], [(1, AnswerStatus.REJECTED)])
     assert harness.service.queries.open_count == 0 and harness.service.queries.held_count == 0
@@ -543,8 +592,8 @@
     assert [stream for stream, _ in harness.answers()] == [1, 2]
 
 
-def test_statements_held_are_bounded_by_the_memory_limit():
-    harness = ServiceHarness(room=1000)
+def test_query_is_rejected_when_the_statement_memory_is_used_up():
+    harness = ServiceHarness(statement_bytes=1000)
     harness.send_query(1, b"x" * 600)
     harness.send_query(2, b"x" * 600)
     assert harness.answers() == [(2, AnswerStatus.REJECTED)]
@@ -553,7 +602,7 @@
     assert harness.answers() == [(2, AnswerStatus.REJECTED)] and harness.service.queries.open_count == 1
 
 
-def test_an_attempt_past_the_limit_or_of_an_ended_query_is_not_sent():
+def test_attempt_is_not_sent_past_the_attempt_limit_or_for_an_ended_query():
     harness = ServiceHarness()
     harness.send_query(1)
     request = harness.client.open[1]
@@ -568,11 +617,14 @@
     assert isinstance(request, ClientQuery) and harness.answers() == []
 
 
-@pytest.mark.parametrize(("silent_for", "given_up"), [(3.9, False), (4.1, True)])
-def test_a_client_that_takes_no_answers_is_bounded_and_given_up(silent_for, given_up):
-    """It is read on, as its leaving was not noticed before; past a bound what it asks is rejected."""
+@pytest.mark.parametrize(("duration", "aborted"), [(3.9, False), (4.1, True)])
+def test_client_that_does_not_read_is_rejected_and_then_disconnected(duration, aborted):
+    """Reading from the client continues, as its disconnect went unnoticed otherwise.
+
+    Once its unsent answers exceed the limit, its queries are rejected.
+    """
     harness = ServiceHarness()
-    harness.client.pauseProducing()  # the transport's word that its buffer is over its size
+    harness.client.pauseProducing()  # the transport reports that its write buffer is full
     harness.send_query(1)
     harness.client.dataReceived(frames.encode_frame(FrameKind.CANCEL, 1))
     assert harness.service.queries.open_count == 0 and harness.answers() == []
@@ -580,39 +632,42 @@
         harness.client.answer(0, AnswerStatus.COMPLETED, {}, b"x" * 48_000)
     harness.send_query(2)
     assert harness.answers()[-1] == (2, AnswerStatus.REJECTED) and harness.service.queries.open_count == 0
-    harness.reactor.advance(silent_for)
-    assert harness.wire.aborted == given_up
+    harness.reactor.advance(duration)
+    assert harness.transport.aborted == aborted
     harness.client.resumeProducing()
     harness.send_query(3)
     assert harness.service.queries.open_count == 1
 
 
-def test_the_longest_idle_client_goes_when_the_share_is_full():
-    harness = ServiceHarness()  # three at most, one is there
+def test_longest_idle_client_is_ended_when_the_connection_limit_is_reached():
+    harness = ServiceHarness()  # at most three clients, one of which is connected
     _, second = harness.connect_client()
     harness.connect_client()
     harness.send_query(1)
     harness.advance(0.3)
     _, fourth = harness.connect_client()
-    assert second.disconnecting and not harness.wire.disconnecting and not fourth.disconnecting
+    assert second.disconnecting and not harness.transport.disconnecting and not fourth.disconnecting
+
 
+@pytest.mark.parametrize("has_spare", [False, True])
+def test_client_past_the_limit_is_kept_only_with_a_spare_descriptor_when_all_are_busy(has_spare):
+    """A closing connection counts until its end is read.
 
-@pytest.mark.parametrize("spare", [False, True])
-def test_with_all_clients_busy_one_more_is_kept_only_while_a_descriptor_is_spare(spare):
-    """One that closes is counted until its end is read: the next must not be lost to that."""
+    The next client must not be lost because of that.
+    """
     harness = ServiceHarness()
-    harness.spare = spare
+    harness.has_spare_descriptor = has_spare
     for name in (7, 8):
-        harness.client, _wire = harness.connect_client()
+        harness.client, _transport = harness.connect_client()
         harness.send_query(1, ref=f"{name:016x}")
     harness.client = next(iter(harness.clients._connections))
     harness.send_query(1)
-    _, late = harness.connect_client()
-    assert late.disconnecting != spare and harness.service.queries.open_count == 3
+    _, last = harness.connect_client()
+    assert last.disconnecting != has_spare and harness.service.queries.open_count == 3
 
 
 @pytest.mark.parametrize(
-    ("begun", "span", "ended"),
+    ("sent", "duration", "ended"),
     [
         (b"", 1.7, False),
         (b"", 2.3, True),
@@ -623,76 +678,96 @@
         (b"ready", 8.3, True),
     ],
 )
-def test_a_client_that_sends_no_complete_frame_or_nothing_any_more_is_ended(begun, span, ended):
-    """Silent connections, and some that had asked once, held their descriptors for good."""
+def test_client_without_a_complete_frame_or_further_requests_is_ended(sent, duration, ended):
+    """Connections that sent nothing, or nothing more after a request, held their descriptors forever."""
     harness = ServiceHarness()
-    client, wire = harness.connect_client()
-    if begun == b"ready":
+    client, transport = harness.connect_client()
+    if sent == b"ready":
         client.dataReceived(frames.encode_frame(FrameKind.READINESS_CHECK, 0, b"\0"))
-    elif begun != b"drip":
-        client.dataReceived(begun)
-    for number in range(round(span / 0.1)):
-        if begun == b"drip":
+    elif sent != b"drip":
+        client.dataReceived(sent)
+    for number in range(round(duration / 0.1)):
+        if sent == b"drip":
             client.dataReceived(frames.encode_frame(FrameKind.REQUEST, 1, b"\0" * 100)[number : number + 1])
         harness.advance(0.1)
-    assert wire.disconnecting == ended and (client in harness.clients._connections) != ended
+    assert transport.disconnecting == ended and (client in harness.clients._connections) != ended
 
 
-@pytest.mark.parametrize(("much", "span"), [(False, 1.0), (True, 4.0)])
-def test_a_connection_whose_client_neither_takes_nor_ends_anything_is_aborted(much, span):
-    """It stayed for good: with a little left to send the transport never came to its close. Where much is
-    left, its client may be slow, and is owed what was answered."""
+@pytest.mark.parametrize(("congested", "timeout"), [(False, 1.0), (True, 4.0)])
+def test_ended_connection_is_aborted_when_its_client_neither_reads_nor_closes(congested, timeout):
+    """Such a connection stayed open forever, as the transport does not close while bytes are unsent.
+
+    If much is unsent, the client may be slow and gets more time to read its answers.
+    """
     harness = ServiceHarness()
-    if much:
+    if congested:
         harness.client.pauseProducing()
     harness.client.end_with_protocol_error("a test")
-    assert harness.wire.disconnecting and not harness.wire.aborted and harness.clients.descriptor_count == 1
-    harness.advance(span - 0.05)
-    assert not harness.wire.aborted
+    assert (
+        harness.transport.disconnecting
+        and not harness.transport.aborted
+        and harness.clients.descriptor_count == 1
+    )
+    harness.advance(timeout - 0.05)
+    assert not harness.transport.aborted
     harness.advance(0.2)
-    assert harness.wire.aborted
+    assert harness.transport.aborted
 
 
-def test_ended_connections_have_what_the_others_leave_of_the_share():
-    harness = ServiceHarness()  # three at most
+def test_lingering_connections_are_closed_when_new_clients_need_their_descriptors():
+    harness = ServiceHarness()  # at most three clients
     ended = [harness.client, harness.connect_client()[0], harness.connect_client()[0]]
     for client in ended:
         client.end_with_protocol_error("a test")
     assert harness.clients.descriptor_count == 3
-    kept = [harness.connect_client()[0] for _ in range(3)]
-    assert harness.clients.descriptor_count == 3 and not any(client.ended for client in kept)
+    new = [harness.connect_client()[0] for _ in range(3)]
+    assert harness.clients.descriptor_count == 3 and not any(client.ended for client in new)
 
 
-def test_one_that_was_of_use_is_kept_before_those_that_never_sent_anything():
+def test_silent_client_is_ended_before_one_that_has_sent_a_frame():
     harness = ServiceHarness()
     harness.client.dataReceived(frames.encode_frame(FrameKind.READINESS_CHECK, 0, b"\0"))
-    silent, quiet = harness.connect_client()
-    late, loud = harness.connect_client()
+    _, silent_transport = harness.connect_client()
+    unread_client, unread_transport = harness.connect_client()
     harness.advance(0.3)
-    loud.doRead = lambda: late.dataReceived(
+    # The first frame of this client is still unread in its socket.
+    unread_transport.doRead = lambda: unread_client.dataReceived(
         frames.encode_frame(FrameKind.READINESS_CHECK, 0, b"\0")
-    )  # waits in its socket
+    )
     harness.connect_client()
-    assert quiet.disconnecting and not loud.disconnecting and not harness.wire.disconnecting
+    assert (
+        silent_transport.disconnecting
+        and not unread_transport.disconnecting
+        and not harness.transport.disconnecting
+    )
     harness.connect_client()
-    assert not loud.disconnecting  # looked at before it was taken for a silent one
+    assert not unread_transport.disconnecting  # its socket was read before it was judged silent
 
 
-def test_one_that_has_just_come_is_not_taken_for_a_silent_one():
-    """Seen on sockets, with a share held by those that had asked once: its first request failed."""
+def test_new_client_is_not_ended_as_silent():
+    """Clients that had sent a request earlier held all descriptors.
+
+    The new connection was then ended before its first request was read.
+    """
     harness = ServiceHarness()
     harness.client.dataReceived(frames.encode_frame(FrameKind.READINESS_CHECK, 0, b"\0"))
     harness.connect_client()[0].dataReceived(frames.encode_frame(FrameKind.READINESS_CHECK, 0, b"\0"))
-    fresh, first = harness.connect_client()
-    _, second = harness.connect_client()
-    assert harness.wire.disconnecting and not first.disconnecting and not second.disconnecting
-    harness.client = fresh
+    new_client, first_transport = harness.connect_client()
+    _, second_transport = harness.connect_client()
+    assert (
+        harness.transport.disconnecting
+        and not first_transport.disconnecting
+        and not second_transport.disconnecting
+    )
+    harness.client = new_client
     harness.send_query(1)
     assert harness.service.queries.open_count == 1
 
 
-def test_engines_that_are_gone_leave_nothing_behind():
-    """Ids are new without end, and addresses are used again, on a long day."""
+def test_removed_engines_leave_no_state():
+    """Engine ids are always new and addresses are reused, so state that is not removed accumulates over a
+    long run.
+    """
     harness = ServiceHarness()
 
     def change(number, whole=False, **states):
@@ -722,66 +797,70 @@
     assert len(harness.service.gateway._engines._engines) == 1 and not harness.service.engine_list.gone
 
 
-def test_a_warning_that_anybody_can_cause_is_sparing(capsys):
+def test_rate_limited_warning_reports_the_number_suppressed(capsys):
     reactor = MemoryReactorClock()
     warning = RateLimitedLog(reactor, "too often")
     for _ in range(100):
         warning.warn(why="x")
         reactor.advance(0.15)
-    said = capsys.readouterr().out.splitlines()
-    assert len(said) == 2 and "left_out=6" in said[1]
+    lines = capsys.readouterr().out.splitlines()
+    assert len(lines) == 2 and "left_out=6" in lines[1]
 
 
 @pytest.mark.parametrize(
     ("peer", "size", "sent"), [(1, 256, ("127.0.0.3", 7)), (None, 10, ("127.0.0.9", 7)), (1, 257, None)]
 )
-def test_datagrams_go_to_one_peer_or_all_and_none_is_too_long(peer, size, sent):
-    peers, out = PeerGossip("127.0.0.1:7", ["127.0.0.2:7", "127.0.0.3:7"], "127.0.0.9:7"), []
+def test_gossip_sends_datagrams_to_one_peer_or_all_within_the_size_limit(peer, size, sent):
+    peers, written = PeerGossip("127.0.0.1:7", ["127.0.0.2:7", "127.0.0.3:7"], "127.0.0.9:7"), []
     peers.send(peer, b"before it is open")
-    peers.transport = type("Datagrams", (), {"write": staticmethod(lambda data, to: out.append((data, to)))})
+    peers.transport = type(
+        "Datagrams", (), {"write": staticmethod(lambda data, to: written.append((data, to)))}
+    )
     peers.send(peer, b"x" * size)
-    heard, sending = [], peers.transport.write
+    received_sizes, working_write = [], peers.transport.write
 
-    def fails(*_):
+    def raise_error(*_):
         raise OSError("no buffer space")
 
-    peers.transport.write = fails
-    peers.send(peer, b"x" * size)  # lost, and nobody meets a fault
-    peers.transport.write = sending
-    peers.received = lambda number, data: heard.append((number, len(data)))
+    peers.transport.write = raise_error
+    peers.send(peer, b"x" * size)  # lost, without an exception
+    peers.transport.write = working_write
+    peers.received = lambda number, data: received_sizes.append((number, len(data)))
     for host, port in (("127.0.0.3", 7), ("127.0.0.3", 8), ("127.0.0.4", 7)):
         peers.datagramReceived(b"\xff" * 2000, (host, port))
-    assert heard == [(1, 256)]  # by its address; who else speaks counts for nothing
-    assert out == ([(b"x" * size, sent)] if sent else [])
+    assert received_sizes == [(1, 256)]  # identified by its address; other senders are ignored
+    assert written == ([(b"x" * size, sent)] if sent else [])
+
 
+def test_draining_connection_rejects_late_queries_and_ends_when_all_are_answered():
+    """A query that arrives after the cutoff is rejected at once.
 
-def test_a_draining_connection_takes_what_comes_in_time_and_ends_when_all_is_answered():
-    """What comes after the time in which queries may come is rejected at once: the kill may come before its
-    answer, and it would be lost."""
+    The process may be killed before it is answered, and the query would be lost.
+    """
     harness = ServiceHarness()
     harness.send_query(1)
     harness.client.send_go_away()
     harness.client.send_go_away()
     harness.send_query(2)
     harness.client.end_when_answered()
-    assert harness.service.queries.open_count == 2 and not harness.wire.disconnecting
+    assert harness.service.queries.open_count == 2 and not harness.transport.disconnecting
     harness.send_query(3)
     assert harness.answers()[1:] == [(3, AnswerStatus.REJECTED)] and harness.service.queries.open_count == 2
     harness.advance(5.1)
-    assert harness.wire.disconnecting and harness.service.queries.open_count == 0
+    assert harness.transport.disconnecting and harness.service.queries.open_count == 0
     assert [stream for stream, _ in harness.answers() if stream] == [3, 1, 2]
 
 
-def test_what_had_come_before_the_last_moment_of_a_drain_is_taken():
-    """After a pass that stood still it lies unread while the timer that ends resting connections is due."""
+def test_draining_connection_accepts_a_query_that_arrived_before_the_cutoff():
+    """After a long pass the query is still unread when the timer that ends idle connections fires."""
     harness = ServiceHarness()
-    harness.wire.doRead = lambda: harness.send_query(1)
+    harness.transport.doRead = lambda: harness.send_query(1)
     harness.client.end_when_answered()
-    assert harness.service.queries.open_count == 1 and not harness.wire.disconnecting
+    assert harness.service.queries.open_count == 1 and not harness.transport.disconnecting
 
 
 class FailingOnShutdown(Extension):
-    """A subsystem that fails whatever it is told."""
+    """An extension that raises when draining, stopping and reloading settings."""
 
     def draining(self):
         raise RuntimeError("no drain")
@@ -790,7 +869,7 @@
 
 
 class FailingOnQueries(Extension):
-    """A subsystem that fails at all that happens to queries and to the list."""
+    """An extension that raises at every event of queries and of the engine list."""
 
     def engines_changed(self, change):
         raise RuntimeError("no list")
@@ -809,37 +888,39 @@
         raise RuntimeError("no end")
 
 
-def test_a_subsystem_that_fails_at_queries_costs_no_query_that_it_does_not_lead():
+def test_failing_extension_fails_a_query_only_if_its_constrain_raises():
     harness = ServiceHarness()
     harness.service.join([FailingOnQueries()])
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
     harness.service.listed(EngineListChange(1, True, [member]))
     harness.send_query(1)
-    assert harness.answers() == [(1, AnswerStatus.FAILED)]  # whether it may be harness, nobody could say
+    assert harness.answers() == [(1, AnswerStatus.FAILED)]  # which engines may run it is unknown
     harness.send_query(2, service="load")
-    protocol, wire = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
-    protocol.makeConnection(wire)
+    protocol, transport = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
+    protocol.makeConnection(transport)
     protocol.dataReceived(command(b"%016x" % 2, b"OK", b"total=1", b"a\tb\tc\n"))
     assert harness.answers()[1:] == [(2, AnswerStatus.COMPLETED)] and harness.service.queries.open_count == 0
     assert not harness.service.gateway._attempts
 
 
-def test_a_change_of_the_list_that_fails_does_not_take_the_next_along():
-    """Its number counts as held: what came with it was never told again."""
-    seen = []
+def test_engine_list_changes_after_a_failed_one_are_still_applied():
+    """The number of the failed change counted as applied, so changes sent with it were never sent again."""
+    applied = []
 
-    def changed(change):
-        seen.append(change.number)
+    def apply_change(change):
+        applied.append(change.number)
         if change.number == 1:
             raise KeyError("e")
 
     reactor = MemoryReactorClock()
-    roster = DiscoveryClient(reactor, BufferPool(), "127.0.0.1:1", {}, {}, 0.25, random.Random(1), changed)
+    discovery = DiscoveryClient(
+        reactor, BufferPool(), "127.0.0.1:1", {}, {}, 0.25, random.Random(1), apply_change
+    )
     row = {"id": "e", "host_port": "127.0.0.1:9", "phase": "SERVING"}
     events = [{"n": n, "members": {"complete": n == 1, "members": [row]}} for n in (1, 2, 3)]
     with pytest.raises(KeyError):
-        roster.apply({"n": 3, "events": events})
-    assert seen == [1, 2, 3]
+        discovery.apply({"n": 3, "events": events})
+    assert applied == [1, 2, 3]
 
 
 class FakeReactor(MemoryReactorClock):
@@ -849,59 +930,66 @@
 
 @pytest.fixture
 def program():
-    """The program on a reactor that the test moves, with a subsystem that fails."""
+    """A server on a reactor that the test advances, with an extension that fails."""
     row = {"id": "e", "host_port": "127.0.0.1:9", "phase": "SERVING"}
     events = [{"n": 1, "members": {"revision": 1, "complete": True, "members": [row]}}]
-    told = {"limits": {}, "feed": "127.0.0.1:1", "settings": SETTINGS, "known": {"n": 1, "events": events}}
+    configuration = {
+        "limits": {},
+        "feed": "127.0.0.1:1",
+        "settings": SETTINGS,
+        "known": {"n": 1, "events": events},
+    }
     reactor = FakeReactor()
-    made = Server(
+    server = Server(
         reactor,
         Clock(reactor.seconds),
-        Configuration(told),
+        Configuration(configuration),
         "127.0.0.1:0",
         join=lambda host: [FailingOnShutdown()],
     )
-    yield made, told
+    yield server, configuration
     gc.enable()
     gc.unfreeze()
 
 
-def test_a_subsystem_that_fails_does_not_keep_the_program_from_ending_in_order(program):
-    made, _ = program
-    made.run()
-    (drain, *_), *_ = made.reactor.triggers["before"]["shutdown"]
+def test_failing_extension_does_not_prevent_an_orderly_shutdown(program):
+    server, _ = program
+    server.run()
+    (drain, *_), *_ = server.reactor.triggers["before"]["shutdown"]
     ended = []
     drain().addCallback(ended.append)
-    assert ended == [] and not made.service.ready()
-    made.reactor.pump([0.1] * 10)
+    assert ended == [] and not server.service.ready()
+    server.reactor.pump([0.1] * 10)
     assert ended == [None]
 
 
-def test_a_new_configuration_that_a_subsystem_fails_at_changes_nothing(program, tmp_path):
-    made, told = program
-    (tmp_path / "config.json").write_text(json.dumps({**told, "settings": {**SETTINGS, "tickUs": 7000}}))
-    made.reload(str(tmp_path / "config.json"))
-    assert made.settings == SETTINGS
+def test_settings_stay_unchanged_when_an_extension_fails_on_reload(program, tmp_path):
+    server, configuration = program
+    (tmp_path / "config.json").write_text(
+        json.dumps({**configuration, "settings": {**SETTINGS, "tickUs": 7000}})
+    )
+    server.reload(str(tmp_path / "config.json"))
+    assert server.settings == SETTINGS
 
 
-def test_a_sweep_that_fails_is_not_the_last(program, monkeypatch):
-    made, _ = program
-    swept = []
+def test_sweep_runs_again_after_an_exception(program, monkeypatch):
+    server, _ = program
+    sweeps = []
 
     def sweep():
-        swept.append(1)
+        sweeps.append(1)
         raise KeyError("gone")
 
-    monkeypatch.setattr(made.service, "sweep", sweep)
+    monkeypatch.setattr(server.service, "sweep", sweep)
     with pytest.raises(KeyError):
-        made.run()
+        server.run()
     with pytest.raises(KeyError):
-        made.reactor.advance(1.0)
-    assert len(swept) == 2
+        server.reactor.advance(1.0)
+    assert len(sweeps) == 2
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "said"),
+    ("arguments", "code", "output"),
     [
         (["version"], 0, "vanerelay 0."),
         (["check", "missing.json"], 2, "missing.json"),
@@ -911,10 +999,10 @@
         (["--help"], 0, "serve"),
     ],
 )
-def test_the_command_line(words, code, said, tmp_path, monkeypatch):
+def test_command_line_exit_code_and_output(arguments, code, output, tmp_path, monkeypatch):
     monkeypatch.chdir(tmp_path)
     row = {"id": "e", "host_port": "127.0.0.1:9", "phase": "SERVING"}
-    told = {
+    configuration = {
         "limits": {},
         "feed": "127.0.0.1:1",
         "settings": SETTINGS,
@@ -923,19 +1011,19 @@
             "events": [{"n": 1, "members": {"revision": 1, "complete": True, "members": [row]}}],
         },
     }
-    (tmp_path / "good.json").write_text(json.dumps(told))
+    (tmp_path / "good.json").write_text(json.dumps(configuration))
     (tmp_path / "empty.json").write_text("{}")
-    result = CliRunner().invoke(main, words)
-    assert result.exit_code == code and said in result.output
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == code and output in result.output
 
 
-def test_reports_and_bills_reach_the_module_in_its_units():
+def test_load_report_is_converted_by_the_settings():
     harness = ServiceHarness()
-    told = "queue:3;x0:0.4;inflight:7;x1:x;new:1"
+    reported = "queue:3;x0:0.4;inflight:7;x1:x;new:1"
     from vanerelay import settings
     from vanerelay.net import load_reports
 
     report = settings.load_report(
-        harness.service.settings.current.report_names, load_reports.parse_load(told)
+        harness.service.settings.current.report_names, load_reports.parse_load(reported)
     )
     assert (report.queued, report.memory_granted, report.running, report.disks_busy) == (3.0, 0.4, 7.0, None)
--- a/vanerelay/net/deadlines.py
+++ b/vanerelay/net/deadlines.py
@@ -12,9 +12,7 @@
 from vanerelay.net.held_queries import ClientQuery
 
 MAX_ANSWERED_ENTRIES = 100
-"""The heap is compacted if it has more than twice as many entries as there are open queries, plus this
-many.
-"""
+"""The answered queries that may stay in the heap, beyond the number of open ones, before it is compacted."""
 
 
 class Deadlines:
