--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -136,9 +136,7 @@
     ],
 )
 def test_lost_connection_reports_which_commands_were_written_completely(flushed, error, stages):
-    """The last command written counts as sent completely only after the transport has reported that all was
-    sent.
-    """
+    """The last command counts as sent only after the transport has reported that all bytes were sent."""
     harness = EngineHarness()
     harness.send("a")
     harness.send("b")
@@ -193,9 +191,7 @@
 
 
 def test_timed_out_attempt_ends_only_after_its_cancel_was_sent():
-    """Otherwise the next attempt of the query could reach another engine before the cancel reaches this
-    one.
-    """
+    """Otherwise the next attempt could reach another engine before the cancel reaches this one."""
     harness = EngineHarness()
     harness.send("a", 1.0)
     transport = harness.connect()
@@ -275,7 +271,7 @@
     The loss of a connection affects all attempts on it, and one connection for each attempt took twice the
     CPU time.
     """
-    harness = EngineHarness(max_open, connections=connections, others=0)
+    harness = EngineHarness(max_open, connections=connections, other_engines=0)
     for name in "abc":
         harness.send(name)
     assert len(harness.reactor.tcpClients) == connects
@@ -337,7 +333,7 @@
 
 
 def test_attempt_ends_as_not_sent_when_the_connection_limit_is_reached():
-    harness = EngineHarness(max_open=1, connections=1, others=0)
+    harness = EngineHarness(max_open=1, connections=1, other_engines=0)
     harness.send("a")
     harness.send("b")
     harness.reactor.advance(0)
@@ -346,9 +342,7 @@
 
 @pytest.mark.parametrize(("idle", "connects"), [(29.0, 1), (29.8, 2)])
 def test_connection_close_to_the_idle_timeout_of_the_engine_takes_no_attempt(idle, connects):
-    """Without a sweep: if the sweep is late, no attempt may be sent while the engine closes the
-    connection.
-    """
+    """No sweep runs: a late sweep must not let an attempt cross the engine's close of the connection."""
     harness = EngineHarness()
     harness.send("a")
     harness.connect()
@@ -540,9 +534,7 @@
 
 
 def test_queries_leave_no_reference_cycles():
-    """The program runs without automatic garbage collection, so queries must be freed by reference
-    counting.
-    """
+    """Automatic garbage collection is off, so queries must be freed by reference counting."""
     harness = ServiceHarness()
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
     harness.service.listed(EngineListChange(1, True, [member]))
@@ -765,9 +757,7 @@
 
 
 def test_removed_engines_leave_no_state():
-    """Engine ids are always new and addresses are reused, so state that is not removed accumulates over a
-    long run.
-    """
+    """Engine ids are never reused, addresses are: state that is not removed accumulates over a long run."""
     harness = ServiceHarness()
 
     def change(number, whole=False, **states):
--- a/vanerelay/net/statements.py
+++ b/vanerelay/net/statements.py
@@ -94,21 +94,21 @@
 
     def run(self) -> None:
         """Scans all tokens."""
-        tokens, at = self._tokens, 0
-        while at < len(tokens):
-            kind, text = tokens[at]
+        tokens, position = self._tokens, 0
+        while position < len(tokens):
+            kind, text = tokens[position]
             word = text.lower() if kind == "word" else ""
             if not self._table_expected and word not in _KEYWORDS and text not in _PUNCTUATION:
-                at += 1
+                position += 1
             elif word in _LIST_KEYWORDS or word in _SINGLE_KEYWORDS:
                 self._expect_table(word)
-                at += 1
+                position += 1
             elif self._table_expected and _may_name_table(kind, word):
-                at = self._record_table(at)
+                position = self._record_table(position)
             else:
-                before = tokens[at - 1][1].lower() if at else ""
+                before = tokens[position - 1][1].lower() if position else ""
                 self._handle_other(text, word, before)
-                at += 1
+                position += 1
 
     def _expect_table(self, word: str) -> None:
         # In EXTRACT(x FROM y), TRIM(x FROM y) and SUBSTRING(x FROM y), FROM is followed by a column, not a
@@ -119,9 +119,9 @@
         self._table_expected = not names_column
         self._in_table_list[-1] = word in _LIST_KEYWORDS and not names_column
 
-    def _record_table(self, at: int) -> int:
+    def _record_table(self, position: int) -> int:
         """Records the table named at this token. Returns the position after its name."""
-        names, following = _dotted_name(self._tokens, at)
+        names, following = _dotted_name(self._tokens, position)
         if len(names) > 1:
             (self.written if self._writing else self.read).extend(_schema_number(names[-2]))
         self._table_expected = False
@@ -168,13 +168,17 @@
     return next(iter(table_groups(statement[:BLOCK_BYTES])), 0)
 
 
-def _dotted_name(tokens: list[tuple[str, str]], at: int) -> tuple[list[str], int]:
+def _dotted_name(tokens: list[tuple[str, str]], position: int) -> tuple[list[str], int]:
     """Returns the parts of the dotted name at this token, and the position after it."""
-    names = [tokens[at][1]]
-    while at + 2 < len(tokens) and tokens[at + 1][1] == "." and tokens[at + 2][0] in ("word", "name"):
-        at += 2
-        names.append(tokens[at][1])
-    return names, at + 1
+    names = [tokens[position][1]]
+    while (
+        position + 2 < len(tokens)
+        and tokens[position + 1][1] == "."
+        and tokens[position + 2][0] in ("word", "name")
+    ):
+        position += 2
+        names.append(tokens[position][1])
+    return names, position + 1
 
 
 def _schema_number(schema: str) -> list[int]:
