--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -12,7 +12,7 @@
 from vanerelay.engine_list import EngineListChange
 from vanerelay.interface import NEVER_RAN, EngineState, Outcome, ProgressKind
 from vanerelay.net import discovery_codec, frames, resp_codec
-from vanerelay.net.buffers import BLOCK, Gather, Pool
+from vanerelay.net.buffers import BLOCK_BYTES, BufferPool, ReceiveBuffer
 from vanerelay.net.frames import FrameKind
 from vanerelay.net.statements import table_group, table_groups
 
@@ -27,28 +27,28 @@
 # Buffers.
 
 
-@pytest.mark.parametrize("size", [1, 5, 1000, BLOCK - 1, BLOCK, BLOCK + 1, 3 * BLOCK])
+@pytest.mark.parametrize("size", [1, 5, 1000, BLOCK_BYTES - 1, BLOCK_BYTES, BLOCK_BYTES + 1, 3 * BLOCK_BYTES])
 def test_gather_returns_the_bytes_as_fed_and_releases_its_blocks(size):
-    pool, data = Pool(), bytes(range(256)) * (4 * BLOCK // 256) + b"end"
-    gather, out = Gather(pool), b""
+    pool, data = BufferPool(), bytes(range(256)) * (4 * BLOCK_BYTES // 256) + b"end"
+    gather, out = ReceiveBuffer(pool), b""
     for piece in pieces(data, size):
         gather.feed(piece)
         while len(gather) >= 700:
             out += gather.read(700)
-        gather.keep()
+        gather.store_unread()
     assert out + gather.read(len(gather)) == data
-    gather.drop()
-    assert pool.taken == 0
+    gather.clear()
+    assert pool.in_use == 0
 
 
 def test_dropped_gather_returns_its_blocks_to_the_pool():
-    pool = Pool(max_idle=1)
-    gather = Gather(pool)
-    gather.feed(bytes(3 * BLOCK))
-    gather.keep()
-    assert pool.taken == 3 and gather.peek(3 * BLOCK + 1) is None
-    gather.drop()
-    assert (pool.taken, len(gather)) == (0, 0)
+    pool = BufferPool(max_idle=1)
+    gather = ReceiveBuffer(pool)
+    gather.feed(bytes(3 * BLOCK_BYTES))
+    gather.store_unread()
+    assert pool.in_use == 3 and gather.peek(3 * BLOCK_BYTES + 1) is None
+    gather.clear()
+    assert (pool.in_use, len(gather)) == (0, 0)
 
 
 # Clients.
@@ -61,16 +61,16 @@
 
 
 def request(stream, body=b"SELECT 1", **fields):
-    return frames.frame(FrameKind.REQUEST, stream, request_payload(stream, body, **fields)[0])
+    return frames.encode_frame(FrameKind.REQUEST, stream, request_payload(stream, body, **fields)[0])
 
 
 @SIZES
 def test_frames_are_parsed_alike_for_any_size_of_input_pieces(size):
-    reader, long_body = frames.FrameReader(Pool()), b"x" * (3 * BLOCK)
+    reader, long_body = frames.FrameReader(BufferPool()), b"x" * (3 * BLOCK_BYTES)
     data = (
         request(1, ref="a1", allow="1500")
-        + frames.frame(FrameKind.CANCEL, 1)
-        + frames.frame(FrameKind.READINESS_CHECK, 0, b"\0")
+        + frames.encode_frame(FrameKind.CANCEL, 1)
+        + frames.encode_frame(FrameKind.READINESS_CHECK, 0, b"\0")
         + request(9, long_body)
     )
     if size:  # small pieces, except for the long body
@@ -90,37 +90,37 @@
     (b"\0\0\0\4\2\0\0\0\1", "length"),
     (b"\0\4\0\1\2\0\0\0\1", "length"),
     (b"\xff" * 9, "length"),
-    (frames.frame(4, 1, b"\0\0"), "type"),
-    (frames.frame(0, 1), "type"),
-    (frames.frame(2, 0, b"\0"), "stream 0"),
+    (frames.encode_frame(4, 1, b"\0\0"), "type"),
+    (frames.encode_frame(0, 1), "type"),
+    (frames.encode_frame(2, 0, b"\0"), "stream 0"),
     (request(5) + request(5), "stream 5"),
     (request(5) + request(4), "stream 4"),
-    (frames.frame(2, 1), "fields"),
-    (frames.frame(2, 1, b"\1"), "fields"),
-    (frames.frame(2, 1, b"\1\3ab"), "field"),
-    (frames.frame(2, 1, b"\1\1a\0\5xy"), "past"),
-    (frames.frame(2, 1, b"\2\1a\0\1x"), "fields"),
-    (frames.frame(2, 1, b"\1\1\xff\0\1x"), "text"),
+    (frames.encode_frame(2, 1), "fields"),
+    (frames.encode_frame(2, 1, b"\1"), "fields"),
+    (frames.encode_frame(2, 1, b"\1\3ab"), "field"),
+    (frames.encode_frame(2, 1, b"\1\1a\0\5xy"), "past"),
+    (frames.encode_frame(2, 1, b"\2\1a\0\1x"), "fields"),
+    (frames.encode_frame(2, 1, b"\1\1\xff\0\1x"), "text"),
 ]
 
 
 @SIZES
 @pytest.mark.parametrize(("data", "why"), INVALID_FRAMES)
 def test_malformed_frame_ends_the_parsing(data, why, size):
-    pool = Pool()
+    pool = BufferPool()
     reader = frames.FrameReader(pool)
     got = [f for piece in pieces(data + request(50), size) for f in reader.feed(piece)]
     assert isinstance(got[-1], frames.Malformed) and why in got[-1].why
-    assert all(isinstance(frame, frames.Frame) for frame in got[:-1]) and pool.taken == 0
+    assert all(isinstance(frame, frames.Frame) for frame in got[:-1]) and pool.in_use == 0
 
 
 def test_incomplete_frame_is_not_returned():
-    reader = frames.FrameReader(Pool())
+    reader = frames.FrameReader(BufferPool())
     assert list(reader.feed(request(1)[:-1])) == [] and len(list(reader.feed(b"1"))) == 1
 
 
 def test_answer_frame_is_encoded_as_specified():
-    assert frames.answer(FrameKind.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
+    assert frames.encode_answer(FrameKind.ANSWER, 7, 1, {"cooldown": "250"}, b"b") == (
         b"\0\0\0\x16\4\0\0\0\7\1\1\x08cooldown\0\x03250b"
     )
 
@@ -133,14 +133,14 @@
 
 
 def open_exchange(max_open=4, may_cancel=True):
-    exchange = resp_codec.Exchange(Pool(), max_open, may_cancel)
+    exchange = resp_codec.Exchange(BufferPool(), max_open, may_cancel)
     exchange.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"SELECT 1", 96, 0))
     exchange.output.clear()
     return exchange
 
 
 def test_query_command_is_encoded_as_specified():
-    exchange = resp_codec.Exchange(Pool(), 4, True)
+    exchange = resp_codec.Exchange(BufferPool(), 4, True)
     exchange.send_query(b"q", resp_codec.QueryCommand(b"report", 1500, b"S", 0, 0))
     exchange.send_query(b"r", resp_codec.QueryCommand(b"report", 1500, b"S", 96, 0))
     assert (
@@ -399,7 +399,7 @@
     ],
 )
 def test_discovery_answer_is_parsed_or_rejected(data, result, size):
-    reader, got = discovery_codec.ReplyReader(Pool()), None
+    reader, got = discovery_codec.ReplyReader(BufferPool()), None
     for piece in pieces(data, size):
         got = got or reader.feed(piece)
     assert got == result if isinstance(result, discovery_codec.Reply) else isinstance(got, result)
@@ -416,7 +416,7 @@
     ],
 )
 def test_closed_connection_completes_or_invalidates_a_discovery_answer(data, result):
-    reader = discovery_codec.ReplyReader(Pool())
+    reader = discovery_codec.ReplyReader(BufferPool())
     assert reader.feed(data) is None
     got = reader.connection_closed()
     assert got == result if isinstance(result, discovery_codec.Reply) else isinstance(got, result)
@@ -546,7 +546,7 @@
     assert table_groups(part * (frames.MAX_LENGTH // len(part))) in ([], [1])
 
 
-@pytest.mark.parametrize(("before", "after", "group"), [("", "1," * 100_000, 1), (" " * BLOCK, "", 0)])
+@pytest.mark.parametrize(("before", "after", "group"), [("", "1," * 100_000, 1), (" " * BLOCK_BYTES, "", 0)])
 def test_only_the_beginning_of_a_long_statement_is_scanned(before, after, group):
     """Guards against a full scan, which took half a second; clients can send such statements at any rate."""
     assert table_group(f"SELECT *{before} FROM a_1.t WHERE x IN ({after}1)") == group
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -1,4 +1,7 @@
-"""One client's connection: the driver that reads frames, hands on requests and writes answers."""
+"""The protocol driver of one client connection.
+
+It reads frames, passes requests to the service and writes the answers.
+"""
 
 from __future__ import annotations
 
@@ -16,19 +19,23 @@
 from vanerelay.clock import Clock
 from vanerelay.interface import AnswerStatus
 from vanerelay.net import frames
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.events import EventLog, LogEventKind
 from vanerelay.net.frames import FrameKind
 from vanerelay.net.rate_limited_log import RateLimitedLog
 
-IDLE_S = 4.0
-"""Clients close connections that are idle for this long; one that takes no bytes for as long is aborted."""
-LINGER_S = 1.0
-"""How long what a client sends after our end is read and dropped, until its own end comes."""
-FLUSH_S = 0.1
-"""The time for what has not left when a connection is closed."""
+CLIENT_IDLE_TIMEOUT_S = 4.0
+"""Clients close a connection that has been idle for this long. A client that reads nothing for as long is
+disconnected.
+"""
+LINGER_TIMEOUT_S = 1.0
+"""The time for which further input is discarded after the write side is closed, unless the client closes
+first.
+"""
+FLUSH_TIMEOUT_S = 0.1
+"""The time allowed for unsent bytes to leave before a connection that is being closed is aborted."""
 MAX_UNSENT_BYTES = 262_144
-"""Bytes of answers that a client does not take, past which its further queries are rejected."""
+"""The unsent bytes of answers past which further queries of a client that does not read are rejected."""
 
 CONNECTION_DONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 
@@ -36,72 +43,88 @@
 
 
 class RequestResult(Enum):
-    """What became of a request that is not open now."""
+    """The result of a request that needs no further answer."""
 
     ANSWERED = "answered"
     UNUSABLE = "answered, and no engine could use it"
+    """Answered with an error, as no engine could have executed the request."""
 
 
 class OpenRequest(Interface):
-    """A request as this driver sees it."""
+    """A request that has not been answered, as the connection driver uses it."""
 
-    def left(self) -> None:
-        """Its client no longer waits."""
+    def abandon(self) -> None:
+        """Ends the request, as its client no longer waits for the answer."""
 
 
 class QueryService(Interface):
-    """What the driver asks of the service."""
+    """The part of the gateway service that the connection driver uses."""
 
     def request(
         self, client: ClientConnection, frame: frames.Frame, received_after: int
     ) -> OpenRequest | RequestResult:
-        """Takes a request, of which nothing had come before `received_after`."""
+        """Handles the request in a frame.
+
+        Args:
+            client: The connection that the request arrived on.
+            frame: The frame of the request.
+            received_after: A time before which no byte of the request had arrived.
+
+        Returns:
+            The open request, or the result if it has been answered already.
+        """
 
     def ready(self) -> bool:
-        """Whether queries can be taken."""
+        """Returns True if queries can be accepted."""
 
     def may_close(self, unanswered: int) -> bool:
-        """Whether a connection with so many requests unanswered may be closed."""
+        """Returns True if a connection with this number of unanswered requests may be closed."""
 
 
 class ConnectionOwner(Interface):
-    """What a connection needs of the one that has them all."""
+    """The part of the listener that a client connection uses."""
 
     reactor: Any
     clock: Clock
     service: QueryService
-    pool: Pool
+    pool: BufferPool
     events: EventLog
     protocol_errors: RateLimitedLog
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Takes a new connection; whether it has a descriptor."""
+        """Registers a new connection. Returns False if no descriptor can be spared for it."""
 
-    def accepted_after(self) -> int:
-        """The last moment at which a client that is accepted now had not come."""
+    def connected_after(self) -> int:
+        """Returns a time before which a client that is accepted now had not connected."""
 
     def mark_used(self, connection: ClientConnection) -> None:
-        """The connection was of use just now."""
+        """Records that the connection was used just now."""
 
     def expect_frame(self, connection: ClientConnection, expected: bool) -> None:
-        """Whether the client owes the rest of a frame, or its first one; said again, the time runs on."""
+        """Starts or stops the timeout for the next complete frame.
+
+        Args:
+            connection: The connection.
+            expected: True if the client has to send its first frame or the rest of a frame. A timeout that
+                runs already is not extended.
+        """
 
     def linger(self, connection: ClientConnection) -> None:
-        """Our side has ended; the connection holds its descriptor until the client's end comes."""
+        """Registers that the write side is closed. The descriptor is held until the client closes too."""
 
-    def forget(self, connection: ClientConnection) -> None:
-        """The connection is no more."""
+    def remove(self, connection: ClientConnection) -> None:
+        """Removes a connection that is closed."""
 
 
 @implementer(IPushProducer)
 class ClientConnection(Protocol):
-    """One client's connection.
+    """One client connection.
 
     Attributes:
-        open: The requests open on it, by their stream.
-        used_at: When it was of use last, in seconds of the reactor.
-        silent: Whether no whole frame has come yet.
-        ended: Whether our side has ended it.
+        open: The open requests, by stream.
+        used_at: The last use, in seconds of the reactor.
+        silent: True until the first complete frame has arrived.
+        ended: True once this gateway has ended the connection.
     """
 
     transport: Any
@@ -113,65 +136,74 @@
         self.used_at = owner.reactor.seconds()
         self.silent = True
         self.ended = False
-        # What is read up to this pass may have come by that moment, which is earlier than the last look.
-        self._received_after = 0
-        self._until_pass = -1
-        self._last_frame_sent = False
-        self._closing = False  # ends once nothing is open
+        # Input that is read up to this event-loop pass had not arrived before this time, which is earlier
+        # than the previous poll of the sockets.
+        self._earlier_received_after = 0
+        self._earlier_until_pass = -1
+        self._go_away_sent = False
+        self._closing_when_answered = False  # ends once no request is open
         self._dropping_input = False
         self._lost = False
-        self._abort_timer: Any = None  # runs while the client takes no bytes
+        self._abort_timer: Any = None  # runs while the client reads nothing
         self._linger_timer: Any = None
-        self._congested = False  # the transport holds much that has not left
-        self._unsent = 0  # bytes written since then
-        self._unusable_requests = 0  # in a row
+        self._congested = False  # the write buffer of the transport is full
+        self._unsent = 0  # bytes written since the write buffer became full
+        self._unusable_requests = 0  # consecutive
 
     def connectionMade(self) -> None:
-        """Asks for a place among the connections, or ends."""
+        """Registers with the listener, or ends the connection if no descriptor can be spared."""
         self.transport.setTcpNoDelay(True)
-        # What the client sent before it was accepted was there while nobody looked at its socket.
-        self._may_be_older(self._owner.accepted_after())
-        # The transport says when its buffer is over its size; nothing more is read until it has drained.
+        # The client may have sent input before it was accepted, when its socket was not yet polled.
+        self._set_received_after(self._owner.connected_after())
+        # The transport calls pauseProducing when its write buffer is full, and resumeProducing when it has
+        # drained.
         self.transport.registerProducer(self, True)
         if not self._owner.admit(self):
-            self.end("no descriptor is left")
+            self.end("no descriptor left for a new connection")
 
     def dataReceived(self, data: bytes) -> None:
-        """Reads frames, and hands on the requests among them."""
+        """Decodes frames and handles the requests in them."""
         received_after = self.received_after()
         if len(data) >= self.transport.bufferSize:
-            self.left_behind()
+            self.read_limit_reached()
         self._read(data, received_after)
         self._expect_frame()
 
-    def left_behind(self) -> None:
-        """A look that took as much as it may has left more behind, that had come as early."""
-        self._may_be_older(self.received_after())
+    def read_limit_reached(self) -> None:
+        """Records that a read stopped at its size limit.
+
+        Input that is still in the socket arrived as early as the input that was read.
+        """
+        self._set_received_after(self.received_after())
 
     def _expect_frame(self) -> None:
-        waits = self.silent or self._reader.partial
-        self._owner.expect_frame(self, waits and not self._dropping_input)
+        frame_expected = self.silent or self._reader.partial
+        self._owner.expect_frame(self, frame_expected and not self._dropping_input)
 
-    def _may_be_older(self, received_after: int) -> None:
-        self._received_after = received_after
-        self._until_pass = self._owner.clock.loop_passes + 1
+    def _set_received_after(self, received_after: int) -> None:
+        self._earlier_received_after = received_after
+        self._earlier_until_pass = self._owner.clock.loop_passes + 1
 
     def received_after(self) -> int:
-        """The last moment at which what is read now had not come."""
+        """Returns a time before which the input that is read now had not arrived."""
         clock = self._owner.clock
-        return self._received_after if clock.loop_passes <= self._until_pass else clock.previous_poll_at
+        return (
+            self._earlier_received_after
+            if clock.loop_passes <= self._earlier_until_pass
+            else clock.previous_poll_at
+        )
 
     def _read(self, data: bytes, received_after: int) -> None:
         for frame in () if self._dropping_input else self._reader.feed(data):
             if isinstance(frame, frames.Malformed):
-                self.refuse(frame.why)
+                self.end_with_protocol_error(frame.why)
                 return
-            self._owner.expect_frame(self, False)  # what is expected from now on is another frame
+            self._owner.expect_frame(self, False)  # from now on the timeout is for the next frame
             self.silent = False
             try:
                 self._handle(frame, received_after)
             except Exception:
-                log.exception("error in a client's frame")
+                log.exception("handling a client's frame failed")
                 if frame.kind == FrameKind.REQUEST:
                     self.answer(frame.stream, AnswerStatus.FAILED, {}, b"")
 
@@ -179,163 +211,167 @@
         self._owner.mark_used(self)
         if frame.kind == FrameKind.READINESS_CHECK:
             code = AnswerStatus.COMPLETED if self._owner.service.ready() else AnswerStatus.REJECTED
-            self._write(frames.answer(FrameKind.READINESS, frame.stream, code, {}))
+            self._write(frames.encode_answer(FrameKind.READINESS, frame.stream, code, {}))
         elif frame.kind == FrameKind.CANCEL:
             request = self.open.pop(frame.stream, None)
             if request is not None:
-                request.left()
+                request.abandon()
             self._end_if_answered()
-        elif self._closing or self._congested and self._unsent > MAX_UNSENT_BYTES:
-            self._write(frames.answer(FrameKind.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
+        elif self._closing_when_answered or self._congested and self._unsent > MAX_UNSENT_BYTES:
+            self._write(frames.encode_answer(FrameKind.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
         elif len(self.open) >= frames.MAX_OPEN_REQUESTS:
-            self._write(frames.answer(FrameKind.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
-            self.refuse("more requests open than there may be")
+            self._write(frames.encode_answer(FrameKind.ANSWER, frame.stream, AnswerStatus.REJECTED, {}))
+            self.end_with_protocol_error("more open requests than allowed on a connection")
         else:
             self._request(frame, received_after)
 
     def _request(self, frame: frames.Frame, received_after: int) -> None:
-        taken = self._owner.service.request(self, frame, received_after)
-        if not isinstance(taken, RequestResult):
-            self.open[frame.stream] = taken
-        unusable = taken is RequestResult.UNUSABLE
+        result = self._owner.service.request(self, frame, received_after)
+        if not isinstance(result, RequestResult):
+            self.open[frame.stream] = result
+        unusable = result is RequestResult.UNUSABLE
         self._unusable_requests = self._unusable_requests + 1 if unusable else 0
         if self._unusable_requests >= frames.MAX_OPEN_REQUESTS:
-            self.refuse("one request after another that nobody can use")
+            self.end_with_protocol_error("too many unusable requests in a row")
 
-    def refuse(self, why: str) -> None:
-        """Ends the connection of a client that does not keep to the protocol.
+    def end_with_protocol_error(self, why: str) -> None:
+        """Ends the connection of a client that violates the protocol.
 
-        It gets a failure for itself and for each query open, for which nothing is done any more. What else it
-        sends cannot be told apart, and is not read.
+        The client gets a failure on stream 0 and one for each open query, all of which are abandoned. Further
+        input is discarded, as frame boundaries are no longer known.
         """
         if self._dropping_input:
             return
         self._dropping_input = True
         self._owner.protocol_errors.warn(why=why)
-        self._fail_open()
-        self._write(frames.answer(FrameKind.ANSWER, 0, AnswerStatus.FAILED, {}))
+        self._fail_open_requests()
+        self._write(frames.encode_answer(FrameKind.ANSWER, 0, AnswerStatus.FAILED, {}))
         self.end("protocol error", why)
 
-    def _fail_open(self) -> None:
-        """The final answer of each query that is open here, for which nothing is done any more."""
+    def _fail_open_requests(self) -> None:
+        """Answers every open query with a failure and abandons it."""
         opened, self.open = self.open, {}
         for stream, request in opened.items():
-            self._write(frames.answer(FrameKind.ANSWER, stream, AnswerStatus.FAILED, {}))
-            self._leave(request)
+            self._write(frames.encode_answer(FrameKind.ANSWER, stream, AnswerStatus.FAILED, {}))
+            self._abandon(request)
 
-    def _leave(self, request: OpenRequest) -> None:
+    def _abandon(self, request: OpenRequest) -> None:
         try:
-            request.left()
+            request.abandon()
         except Exception:
-            log.exception("error when a client left")
+            log.exception("abandoning a client's request failed")
 
     def _write(self, data: bytes) -> None:
-        """Hands bytes over and has them sent now.
+        """Writes bytes and sends them immediately.
 
-        Twisted alone would wait for the end of its pass, which is long when much has come at once. What could
-        not be sent, or the connection's end, it finds itself.
+        Twisted alone would send them at the end of the event-loop pass, which is long when much input has
+        arrived at once. Twisted itself handles what could not be sent, and a connection that has closed.
         """
         self._unsent = self._unsent + len(data) if self._congested else 0
         self.transport.write(data)
         self.transport.doWrite()
 
     def answer(self, stream: int, status: AnswerStatus, fields: dict[str, str], body: bytes) -> None:
-        """Writes the one answer of a request; nothing where its client is gone."""
+        """Writes the single answer of a request, unless its connection is closed."""
         self.open.pop(stream, None)
         if not self._lost:
-            self._write(frames.answer(FrameKind.ANSWER, stream, status, fields, body))
+            self._write(frames.encode_answer(FrameKind.ANSWER, stream, status, fields, body))
             self._owner.mark_used(self)
             self._end_if_answered()
 
-    def stop_requests(self) -> None:
-        """Asks for no new request on this connection."""
-        if not self._last_frame_sent and not self._lost:
-            self._last_frame_sent = True
-            self._write(frames.frame(FrameKind.GO_AWAY, 0))
+    def send_go_away(self) -> None:
+        """Tells the client to send no new request on this connection."""
+        if not self._go_away_sent and not self._lost:
+            self._go_away_sent = True
+            self._write(frames.encode_frame(FrameKind.GO_AWAY, 0))
 
     def end_when_answered(self) -> None:
-        """Ends once nothing is open.
+        """Ends the connection once no request is open.
 
-        What had come until now is taken. What comes later is rejected at once, as little time may be left to
-        answer it.
+        Requests that have arrived by now are handled. Later ones are rejected at once, as there may be too
+        little time left to answer them.
         """
         self.read_waiting()
-        self._closing = True
+        self._closing_when_answered = True
         self._end_if_answered()
 
     def end(self, why: str, detail: str = "") -> None:
-        """Ends our side once all has left.
+        """Closes the write side once all answers have been sent.
 
-        What the client still sends is read and dropped until its own end comes, for a while: a close over
-        unread bytes is a reset, which takes answers along.
+        Further input is discarded until the client closes its side, or for a limited time: closing a socket
+        with unread input resets the connection, and the client may then lose answers.
         """
         ended, self.ended, self._dropping_input = self.ended, True, True
         if ended or self._lost:
             return
         if not self._owner.service.may_close(len(self.open)):
-            self._fail_open()
-        self._owner.events.note(LogEventKind.CLOSE, f"client, by us: {why}", detail=detail)
-        self._reader.drop()
+            self._fail_open_requests()
+        self._owner.events.note(LogEventKind.CLOSE, f"client, by this gateway: {why}", detail=detail)
+        self._reader.stop()
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
-        linger_s = IDLE_S if self._congested else LINGER_S  # a slow client is owed what was answered
-        self._linger_timer = self._owner.reactor.callLater(linger_s, self.close)
+        # A slow client gets more time to read its answers.
+        linger_timeout_s = CLIENT_IDLE_TIMEOUT_S if self._congested else LINGER_TIMEOUT_S
+        self._linger_timer = self._owner.reactor.callLater(linger_timeout_s, self.close)
         self._owner.linger(self)
 
     def close(self) -> None:
-        """Closes as soon as all has left, and shortly after in any case: nobody takes the rest."""
+        """Closes the connection once all has been sent, or aborts it after `FLUSH_TIMEOUT_S`."""
         if self._linger_timer is not None and self._linger_timer.active():
             self._linger_timer.cancel()
         if not self._lost:
             self.transport.loseConnection()
         if not self._lost:
-            self._linger_timer = self._owner.reactor.callLater(FLUSH_S, self.transport.abortConnection)
+            self._linger_timer = self._owner.reactor.callLater(
+                FLUSH_TIMEOUT_S, self.transport.abortConnection
+            )
 
     def read_waiting(self) -> None:
-        """Reads what waits in its socket, before this connection is taken for one that rests."""
+        """Reads input that is still in the socket, before the connection is judged to be idle."""
         if not self._dropping_input and not self._lost:
             self.transport.doRead()
 
     def _end_if_answered(self) -> None:
-        if self._closing and not self.open:
+        if self._closing_when_answered and not self.open:
             self.end("shutdown")
 
     def pauseProducing(self) -> None:
-        """The transport's buffer is full.
+        """Called when the write buffer of the transport is full.
 
-        Reading goes on, or it would not be noticed that the client has left. What it asks is bounded.
+        Reading continues, as a disconnect would otherwise go unnoticed. `MAX_UNSENT_BYTES` bounds the queries
+        that are accepted meanwhile.
         """
         self._congested = True
         if self._abort_timer is None:
-            self._abort_timer = self._owner.reactor.callLater(IDLE_S, self._give_up)
+            self._abort_timer = self._owner.reactor.callLater(CLIENT_IDLE_TIMEOUT_S, self._abort_stalled)
 
     def resumeProducing(self) -> None:
-        """The transport's buffer has drained."""
+        """Called when the write buffer of the transport has drained."""
         self._congested, self._unsent = False, 0
         if self._abort_timer is not None:
             self._abort_timer.cancel()
             self._abort_timer = None
 
     def stopProducing(self) -> None:
-        """The transport is closed, which `connectionLost` tells as well."""
+        """Called when the transport is closed; `connectionLost` handles that."""
 
-    def _give_up(self) -> None:
+    def _abort_stalled(self) -> None:
         self._abort_timer = None
-        log.warning("client takes no answers, connection aborted", open=len(self.open))
+        log.warning("client does not read its answers, connection aborted", open=len(self.open))
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
-        """Lets go of all that is open: nobody waits for it."""
+        """Abandons all open requests, as nobody waits for their answers."""
         self._lost = True
         for timer in (self._abort_timer, self._linger_timer):
             if timer is not None and timer.active():
                 timer.cancel()
         self._abort_timer = self._linger_timer = None
-        self._reader.drop()
-        self._owner.forget(self)
+        self._reader.stop()
+        self._owner.remove(self)
         if not self.ended:
-            why = f"client, by it: {reason.type.__name__ if reason.type else 'unknown'}"
+            why = f"client, by the client: {reason.type.__name__ if reason.type else 'unknown'}"
             self._owner.events.note(LogEventKind.CLOSE, why, bool(self.open), open=len(self.open))
         abandoned, self.open = list(self.open.values()), {}
         for request in abandoned:
-            self._leave(request)
+            self._abandon(request)
