--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -19,7 +19,7 @@
     RetryBudgetTerms,
 )
 from vanerelay.invariants import BUCKET_WIDTH, MIN_ANSWERS, GuardTerms, Invariant, InvariantGuard
-from vanerelay.net.events import BURST, MAX_REASONS, EventLog, LogEventKind
+from vanerelay.net.events import BURST_LINES, MAX_REASONS, EventLog, LogEventKind
 
 NOW = 1000 * SECOND
 DEADLINE = NOW + 20 * SECOND
@@ -233,15 +233,15 @@
             return 5.0
 
     events = EventLog(StoppedClock())
-    for number in range(10 * BURST):
+    for number in range(10 * BURST_LINES):
         events.note(LogEventKind.RETRY, "reset", id=f"{number:016x}")
     events.write_counts()
-    assert events.counts[LogEventKind.RETRY, "reset"] == 10 * BURST
-    assert capsys.readouterr().out.count(LogEventKind.RETRY.value) <= BURST + 1
+    assert events.counts[LogEventKind.RETRY, "reset"] == 10 * BURST_LINES
+    assert capsys.readouterr().out.count(LogEventKind.RETRY.value) <= BURST_LINES + 1
     for number in range(10 * MAX_REASONS):
         events.note(LogEventKind.CLOSE, f"a frame's length is {number}")
     assert len(events.counts) <= MAX_REASONS + len(LogEventKind)
-    assert events.counts.total() == 10 * BURST + 10 * MAX_REASONS
+    assert events.counts.total() == 10 * BURST_LINES + 10 * MAX_REASONS
 
 
 def test_protocol_errors_of_clients_are_counted_under_one_close_reason(started):
@@ -255,8 +255,8 @@
     assert gateway.process.wait(30) == 0
     lines = [json.loads(line) for line in gateway.log.read_text().splitlines()]
     counts = [line for line in lines if line["event"] == "events so far"][-1]
-    close_reasons = [name for name in counts if "client, by us" in name]
-    assert close_reasons == ["connection closed: client, by us: protocol error"]
+    close_reasons = [name for name in counts if "client, by this gateway" in name]
+    assert close_reasons == ["connection closed: client, by this gateway: protocol error"]
 
 
 def test_retries_rejections_closes_and_state_changes_are_logged_with_their_reasons(started):
@@ -270,12 +270,15 @@
     client.send(b"\0\0\0\0")
     gateway.feed.wait_for_poll(gateway.feed.publish(member(one, "s-1", "DRAINING")))
     until(lambda: "up to draining" in gateway.log.read_text(), "the change of state")
-    until(lambda: "client, by us" in gateway.log.read_text(), "the close")
+    until(lambda: "client, by this gateway" in gateway.log.read_text(), "the close")
     lines = [json.loads(line) for line in gateway.log.read_text().splitlines() if line.startswith("{")]
     retry = next(line for line in lines if line["event"] == LogEventKind.RETRY.value)
     assert bytes.fromhex(retry["id"]).lstrip(b"\0") == b"a1" and retry["why"] == "error, written whole"
     rejections = [line for line in lines if line["event"] == LogEventKind.REJECTION.value]
     assert [line["why"] for line in rejections] == ["rejected by the decisions", "failed by the decisions"]
-    assert any(line["event"] == LogEventKind.CLOSE.value and "client, by us" in line["why"] for line in lines)
+    assert any(
+        line["event"] == LogEventKind.CLOSE.value and "client, by this gateway" in line["why"]
+        for line in lines
+    )
     state_change = next(line for line in lines if line["event"] == LogEventKind.STATE.value)
     assert state_change["engine"] == "s-1" and state_change["why"] == "engine up to draining"
--- a/vanerelay/net/discovery_codec.py
+++ b/vanerelay/net/discovery_codec.py
@@ -11,7 +11,7 @@
 
 from vanerelay.engine_list import EngineListChange, ListedEngine
 from vanerelay.interface import EngineState
-from vanerelay.net.buffers import Gather, Pool, number
+from vanerelay.net.buffers import BufferPool, ReceiveBuffer, parse_number
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 """Maximum size of an answer's body; engine lists are much shorter."""
@@ -78,8 +78,8 @@
 class ReplyReader:
     """Parses one HTTP answer from bytes that arrive in pieces of any size."""
 
-    def __init__(self, pool: Pool) -> None:
-        self._buffer = Gather(pool)
+    def __init__(self, pool: BufferPool) -> None:
+        self._buffer = ReceiveBuffer(pool)
         self._part = _Part.STATUS
         self._status = 0
         self._headers = dict[str, str]()
@@ -92,9 +92,9 @@
         """Parses more input; returns the answer once it is complete or found invalid, None before."""
         self._buffer.feed(data)
         result = self._read()
-        self._buffer.keep()
+        self._buffer.store_unread()
         if result is not None:
-            self._buffer.drop()
+            self._buffer.clear()
         return result
 
     def connection_closed(self) -> Reply | Unreadable:
@@ -105,7 +105,7 @@
 
     def drop(self) -> None:
         """Releases the buffers; nothing more is read."""
-        self._buffer.drop()
+        self._buffer.clear()
 
     def _read(self) -> Reply | Unreadable | None:
         while True:
@@ -118,7 +118,7 @@
                     return self._complete()
                 self._part = _Part.CHUNK_END
                 continue
-            line = self._buffer.line(_MAX_LINE_BYTES)
+            line = self._buffer.read_line(_MAX_LINE_BYTES)
             if line is None:
                 return (
                     Unreadable("line of an answer is too long")
@@ -155,7 +155,7 @@
 
     def _read_status(self, line: str) -> Unreadable | None:
         parts = line.split(" ", 2)
-        status = number(parts[1], _MAX_STATUS) if len(parts) > 1 else None
+        status = parse_number(parts[1], _MAX_STATUS) if len(parts) > 1 else None
         if status is None or not parts[0].startswith("HTTP/1."):
             return Unreadable("malformed status line")
         self._status = status
@@ -193,7 +193,7 @@
                 return self._complete()
             self._part = _Part.BODY_TO_END
         else:
-            size = number(length, MAX_BODY_BYTES)
+            size = parse_number(length, MAX_BODY_BYTES)
             if size is None:
                 return Unreadable("content-length is not a number or too large")
             self._remaining, self._part = size, _Part.BODY_OF_LENGTH
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -1,7 +1,8 @@
-"""The intake of queries: decode, validate, admit or reject, hold, submit to the decisions.
+"""Query intake: decode, validate, admit or reject, hold, and submit to the decision module.
 
-A client's query goes through these steps once, in this order. What rejects it names its reason as a value,
-and one place answers. A query of the gateway itself takes the same way without a client.
+Each query of a client passes through these steps once, in this order. A step that rejects it returns a
+`Rejection`, which is answered in one place. Queries of this gateway itself enter by `submit_internal`,
+without a client.
 """
 
 from __future__ import annotations
@@ -33,12 +34,12 @@
 from vanerelay.net.service_settings import SettingsInForce
 from vanerelay.net.statements import table_group
 
-LONGEST_WAIT = 2
-"""Times the deadline of its service class: the longest time limit that a client can mean."""
+MAX_TIME_LIMIT_FACTOR = 2
+"""A time limit longer than this many times the deadline of the service class is invalid."""
 
 
 class RejectionReason(Enum):
-    """Why a request is answered without being held. The values stand in the event log."""
+    """The reason why a request is answered without being held. The values are written to the event log."""
 
     UNUSABLE = "unusable request"
     NO_CAPACITY = "no capacity"
@@ -51,7 +52,7 @@
 
     Attributes:
         reference: The reference of the request, as far as it could be read.
-        explanation: What its client gets to read; None for nothing.
+        explanation: The text that is sent to the client; None for none.
     """
 
     reason: RejectionReason
@@ -67,12 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """A request that may be held.
+    """A validated request that can be held.
 
     Attributes:
-        service_class: The row of its service class.
-        deadline: When its answer is due.
-        constraint: What a subsystem demands for it, where one does.
+        service_class: The row of its service class in the settings.
+        deadline: The time by which it must be answered.
+        constraint: The constraint that an extension sets for it; None for none.
     """
 
     request: QueryRequest
@@ -82,7 +83,7 @@
 
 
 class QueryIntake:
-    """Takes queries in, from clients and from the gateway itself."""
+    """Accepts queries from clients and from this gateway itself."""
 
     def __init__(
         self,
@@ -107,27 +108,31 @@
         self._ends = ends
         self._extensions = extensions
         self._events = events
-        self._recent = RecentReferences(clock.now())
+        self._recent_references = RecentReferences(clock.now())
 
     def accept(
         self, client: ClientConnection, frame: frames.Frame, received_after: int
     ) -> ClientQuery | RequestResult:
-        """Takes a client's query in, unless it is answered at once.
+        """Accepts a query from a client.
 
-        What an engine could not use is not passed on: an engine closes a connection on which it cannot read
-        something, with all else that is open there, and its errors would be held against it.
+        A request that an engine could not use is answered here. An engine closes a connection on which it
+        reads invalid input, which ends all other attempts on it, and its errors would count against the
+        engine.
 
         Args:
-            client: Who sent it.
-            frame: The request.
-            received_after: A moment at which nothing of it had come.
+            client: The connection that the request arrived on.
+            frame: The frame of the request.
+            received_after: A time before which no byte of the request had arrived.
+
+        Returns:
+            The open query, or the result if it has been answered already.
         """
         self._decisions.read_clock()
         admitted = self._admit(frame, received_after)
         if isinstance(admitted, Rejection):
             return self._reject(client, frame, admitted)
         query = self._hold_for_client(client, frame.stream, admitted, received_after)
-        query.arrival = self._arrival(query, admitted)
+        query.arrival = self._make_arrival(query, admitted)
         earns_retries = not query.arrival.earns_no_retries
         query.guard_record = self._guard.query_submitted(
             self._decisions.now, admitted.service_class, admitted.deadline, earns_retries
@@ -136,7 +141,7 @@
             self._decisions.submit(query)
         else:
             self._decisions.call(query, query.constraint.start, query)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
         self._deadlines.check(self._queries.open_count)
         return RequestResult.ANSWERED if query.ended else query
 
@@ -149,7 +154,7 @@
         memory: float,
         max_duration: int,
     ) -> InternalQuery | None:
-        """Takes in a query of the gateway itself, to one engine; None where it cannot be taken."""
+        """Submits a query of this gateway itself to one engine. Returns None if it cannot be admitted now."""
         now = self._decisions.read_clock()
         settings = self._settings.current
         row = settings.rows.get(service_class)
@@ -187,7 +192,7 @@
         )
         query.guard_record = self._guard.query_submitted(now, row, query.deadline, False)
         self._decisions.submit(query)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
         self._deadlines.check(self._queries.open_count)
         return InternalQuery(query, client.done)
 
@@ -196,13 +201,13 @@
         self._ends.client_left(query)
 
     def restrict_constrained(self, query: ClientQuery, engines: frozenset[int] | None) -> None:
-        """See `QueryOwner.restrict_constrained`: the query goes to the decisions, if they have it not yet."""
+        """See `QueryOwner.restrict_constrained`. Submits the query if that has not happened yet."""
         if query.ended or query.arrival is None:
             return
         query.arrival.eligible_engines = engines
         if query.handle is not None:
             return
-        # Other settings may have come into force while it waited.
+        # The settings may have changed while the query waited for its constraint.
         service_class = self._settings.current.rows.get(query.service_class.decode())
         if service_class is None:
             self._answers.note_rejection(query, "service class removed")
@@ -210,7 +215,7 @@
         else:
             query.arrival.service_class = service_class
             self._decisions.submit(query)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
         self._deadlines.check(self._queries.open_count)
 
     def reject_constrained(self, query: ClientQuery, retry_after: int) -> None:
@@ -218,47 +223,48 @@
         if not query.ended and query.handle is None:
             self._answers.note_rejection(query, "rejected by its constraint")
             retry_after = min(retry_after, self._settings.current.max_retry_after)
-            shown = retry_after if retry_after >= request_codec.TICKS_PER_MS else 0
-            fields = request_codec.retry_after_fields(shown)
+            reported_retry_after = retry_after if retry_after >= request_codec.TICKS_PER_MS else 0
+            fields = request_codec.retry_after_fields(reported_retry_after)
             self._answers.answer(query, AnswerStatus.REJECTED, fields)
-        self._queries.settle(query)
+        self._queries.discard_if_done(query)
 
     def _admit(self, frame: frames.Frame, received_after: int) -> AdmittedRequest | Rejection:
-        """Decodes and validates a request, and looks whether there is capacity for it."""
+        """Decodes and validates a request, and checks the capacity for it."""
         request = request_codec.parse(frame)
-        service_class = None if request is None else self._usable_for(request)
+        service_class = None if request is None else self._find_service_class(request)
         if request is None or service_class is None:
             reference = request_codec.reference_for_log(frame.fields)
             return Rejection(RejectionReason.UNUSABLE, reference)
         if not self._has_capacity(len(request.body)):
             return Rejection(RejectionReason.NO_CAPACITY, request.reference)
-        # The client counts from when it sent. That is not known: the earliest moment known stands for it.
+        # The client counts the time limit from when it sent the request. That time is not known, so the
+        # earliest possible arrival is used instead.
         deadline = received_after + request.time_limit
         constraint = self._constrain(request, service_class, deadline)
         if isinstance(constraint, str):
             return Rejection(RejectionReason.UNSATISFIABLE, request.reference, constraint)
         return AdmittedRequest(request, service_class, deadline, constraint)
 
-    def _usable_for(self, request: QueryRequest) -> int | None:
-        """The row of the service class that the request belongs to; None where an engine could not use it."""
+    def _find_service_class(self, request: QueryRequest) -> int | None:
+        """Returns the row of the request's service class, or None if an engine could not use the request."""
         settings = self._settings.current
         row = settings.rows.get(request.service_class)
         if row is None:
             return None
         known_tenant = not settings.tenants or request.tenant in settings.tenants
-        in_range = request.time_limit <= LONGEST_WAIT * settings.service_classes[row].deadline
+        in_range = request.time_limit <= MAX_TIME_LIMIT_FACTOR * settings.service_classes[row].deadline
         usable = known_tenant and in_range and not self._queries.is_open(request.reference)
         return row if usable else None
 
     def _has_capacity(self, size: int) -> bool:
-        """Whether there is capacity for one more query with so many bytes of statement."""
+        """Returns True if there is capacity for one more query with a statement of `size` bytes."""
         max_open = self._settings.current.max_open
         return self._decisions.current is not None and self._queries.has_capacity(size, max_open)
 
     def _constrain(
         self, request: QueryRequest, service_class: int, deadline: int
     ) -> QueryConstraint | str | None:
-        """The constraint of a query; an explanation where it can't be served as it asks."""
+        """Returns the constraint of a query, None for none, or an explanation if it cannot be satisfied."""
         if not self._extensions.has_constraints:
             return None
         objective = self._settings.current.service_classes[service_class].latency_objective
@@ -272,7 +278,7 @@
         return self._extensions.constrain(info)
 
     def _reject(self, client: ClientConnection, frame: frames.Frame, rejection: Rejection) -> RequestResult:
-        """Answers a request that is not held: the one place that does."""
+        """Answers a request that is not held. All rejections on arrival are sent from here."""
         status = rejection.status
         self._answers.report_unheld(request_codec.service_class(frame.fields), status)
         if rejection.reason is not RejectionReason.UNSATISFIABLE:
@@ -296,8 +302,8 @@
         self._queries.hold(query)
         self._deadlines.add(query)
 
-    def _arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
-        """The query as the decisions get it."""
+    def _make_arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
+        """Returns the query in the form that the decision module takes."""
         request = admitted.request
         return QueryArrival(
             index=query.index,
@@ -309,5 +315,5 @@
             estimated_memory=request.estimated_memory,
             is_retry=False,
             table_group=table_group(request.statement),
-            earns_no_retries=self._recent.seen_before(request.reference, self._decisions.now),
+            earns_no_retries=self._recent_references.seen_before(request.reference, self._decisions.now),
         )
--- a/vanerelay/net/resp_codec.py
+++ b/vanerelay/net/resp_codec.py
@@ -8,7 +8,7 @@
 
 from vanerelay.attempt_outcome import AttemptEnd, AttemptStage, EndCause
 from vanerelay.interface import ProgressKind
-from vanerelay.net.buffers import Gather, Pool, number
+from vanerelay.net.buffers import BufferPool, ReceiveBuffer, parse_number
 
 MAX_RESULT_BYTES, MAX_PAGE_BYTES = 48_000, 6_000
 _MAX_LINE_BYTES = 32
@@ -37,8 +37,8 @@
 class RespReader:
     """Parses arrays of bulk strings from bytes that arrive in pieces of any size."""
 
-    def __init__(self, pool: Pool) -> None:
-        self._buffer = Gather(pool)
+    def __init__(self, pool: BufferPool) -> None:
+        self._buffer = ReceiveBuffer(pool)
         self._parts_expected = 0  # of the current array; 0 between two arrays
         self._parts = list[bytes]()
         self._size = -1  # of the current string; -1 before its header was read
@@ -67,12 +67,12 @@
         except _InvalidRespError:
             self.stop()
             yield None
-        self._buffer.keep()
+        self._buffer.store_unread()
 
     def stop(self) -> None:
         """Ignores all further input and releases the buffers."""
         self.broken = True
-        self._buffer.drop()
+        self._buffer.clear()
 
     def _read_next(self) -> bool:
         """Reads the next header or string; returns False if it is incomplete."""
@@ -96,7 +96,7 @@
         return True
 
     def _read_header(self, type_byte: bytes, limit: int) -> int | None:
-        line = self._buffer.line(_MAX_LINE_BYTES)
+        line = self._buffer.read_line(_MAX_LINE_BYTES)
         if line is None:
             # Invalid input without an end of line is detected from its first bytes, without waiting for more.
             start = self._buffer.peek(min(len(self._buffer), _MAX_LINE_BYTES)) or type_byte
@@ -104,7 +104,7 @@
             if len(start) >= _MAX_LINE_BYTES or start[:1] != type_byte or digits and not digits.isdigit():
                 raise _InvalidRespError
             return None
-        count = number(line[1:].decode("latin-1"), limit)
+        count = parse_number(line[1:].decode("latin-1"), limit)
         if line[:1] != type_byte or count is None:
             raise _InvalidRespError
         return count
@@ -226,7 +226,7 @@
         output: The commands to write, in order.
     """
 
-    def __init__(self, pool: Pool, max_open: int, may_cancel: bool) -> None:
+    def __init__(self, pool: BufferPool, max_open: int, may_cancel: bool) -> None:
         self._reader = RespReader(pool)
         self._max_open = max_open
         self._may_cancel = may_cancel
@@ -361,7 +361,7 @@
         if answer_type == b"OK":
             return self._add_first_page(ident, values, body)
         if answer_type == b"ROWS" and pages is not None:
-            index = number(values.get("index", ""), MAX_RESULT_BYTES)
+            index = parse_number(values.get("index", ""), MAX_RESULT_BYTES)
             if index is None or not pages.add(index, body):
                 return BAD_PAGE
             return self._end_if_complete(ident, pages)
@@ -375,7 +375,7 @@
 
     def _add_first_page(self, ident: bytes, values: dict[str, str], body: bytes) -> AttemptEnd | str | None:
         """Adds the first page, which has the fields, and requests the other pages."""
-        total = number(values.get("total", ""), MAX_RESULT_BYTES)
+        total = parse_number(values.get("total", ""), MAX_RESULT_BYTES)
         if not total:
             return "missing or invalid number of pages"
         pages = self.open[ident]
