--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,11 +11,11 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from tests.faults import Faults
-from tests.helpers import member, stand_still, until
-from tests.test_crossings import cancels, closes, joined, returns, settle
-from tests.test_drivers import Fleet, Served
+from tests.helpers import member, pause_process, until
+from tests.test_crossings import cancel_query, close_connection, connect_client, send_result, wait_until_read
+from tests.test_drivers import EngineHarness, ServiceHarness
 from vanerelay.attempt_outcome import AttemptStage, EndCause
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.client_listener import ClientListener
 
 
@@ -29,19 +29,19 @@
 
     mending = threading.Thread(target=mend, daemon=True)
     mending.start()
-    node = started(member(started.engine(returns)), faults=faults)
+    node = started(member(started.engine(send_result)), faults=faults)
     mending.join()
-    client = joined(node)
+    client = connect_client(node)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0)
 
 
-@pytest.mark.parametrize("leaves", [cancels, closes])
+@pytest.mark.parametrize("leaves", [cancel_query, close_connection])
 def test_a_client_that_left_is_noticed_though_reads_are_short(started, tmp_path, leaves):
     """Its query was read in pieces, and began before the rest, which told that it had left."""
-    faults, engine = Faults(tmp_path / "faults"), started.engine(returns)
+    faults, engine = Faults(tmp_path / "faults"), started.engine(send_result)
     node = started(member(engine), faults=faults)
-    client, other = joined(node), joined(node)
+    client, other = connect_client(node), connect_client(node)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0)  # there is a connection to the engine, over which all goes at once
 
@@ -50,19 +50,19 @@
         leaves(client)
         faults.set(short=1.0)
 
-    stand_still(node, meanwhile, 0.1)
-    settle(other)
+    pause_process(node, meanwhile, 0.1)
+    wait_until_read(other)
     faults.set(short=0.0)
     other.ask(2, "b2")
     assert other.answer()[:2] == (2, 0) and engine.served() == ["b1", "b2"]
 
 
-@pytest.mark.parametrize("leaves", [cancels, closes])
+@pytest.mark.parametrize("leaves", [cancel_query, close_connection])
 def test_a_client_that_left_before_it_could_be_accepted_gets_no_attempt(started, tmp_path, leaves):
     """Its query was read long after it had come, and began before the rest was read."""
-    faults, engine = Faults(tmp_path / "faults"), started.engine(returns)
+    faults, engine = Faults(tmp_path / "faults"), started.engine(send_result)
     node = started(member(engine), faults=faults)
-    other = joined(node)
+    other = connect_client(node)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0)
     faults.set(accept=1.0)
@@ -71,9 +71,9 @@
     over = time.monotonic() + 0.2
     until(lambda: time.monotonic() > over, "some time")
     leaves(client)
-    settle(other)
+    wait_until_read(other)
     faults.set(accept=0.0)
-    joined(node)  # accepted after it, and heard
+    connect_client(node)  # accepted after it, and heard
     other.ask(2, "b2")
     assert other.answer()[:2] == (2, 0) and engine.served() == ["b1", "b2"]
 
@@ -103,8 +103,10 @@
 )
 def test_who_waits_when_the_port_closes_is_accepted_though_accept_fails(faults):
     """The first failure ended the look, and the close reset all that still waited."""
-    served = Served()
-    clients = ClientListener(MemoryReactorClock(), served.clock, served.service, Pool(), 100, lambda: True)
+    served = ServiceHarness()
+    clients = ClientListener(
+        MemoryReactorClock(), served.clock, served.service, BufferPool(), 100, lambda: True
+    )
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
@@ -118,22 +120,22 @@
 
 def test_without_a_descriptor_a_client_waits_and_is_not_shut():
     """Its request may have come already: shut unread it would be lost."""
-    served, reactor = Served(), MemoryReactorClock()
-    clients = ClientListener(reactor, served.clock, served.service, Pool(), 100, lambda: True)
+    served, reactor = ServiceHarness(), MemoryReactorClock()
+    clients = ClientListener(reactor, served.clock, served.service, BufferPool(), 100, lambda: True)
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
     with socket.create_connection((address.host, address.port)):
-        served.look()
-        came, port.socket = served.clock.looked, Failing(port.socket, [errno.EMFILE, errno.ENFILE])
+        served.next_pass()
+        came, port.socket = served.clock.previous_poll_at, Failing(port.socket, [errno.EMFILE, errno.ENFILE])
         port.doRead()
         assert clients.descriptor_count == 0 and port not in reactor.getReaders()
         while not clients.descriptor_count:
             served.advance(0.2)
-            served.look()
+            served.next_pass()
             reactor.advance(0.2)
         assert port in reactor.getReaders() and clients.descriptor_count == 1
-        client = next(iter(clients.all()))
+        client = next(iter(clients.connections()))
         assert (
             client.received_after() == came
         )  # when its first request may have come: its time runs from then
@@ -142,13 +144,13 @@
 
 def test_an_attempt_whose_answer_was_unreadable_ends_once():
     """Its time-out came before the end of its connection, and met a fault."""
-    fleet = Fleet()
+    fleet = EngineHarness()
     attempt = fleet.send("a", time_out=0.5)
     wire = fleet.connect()
-    wire.leave()
-    fleet.say(b"what is this\r\n" * 3)
+    wire.flush()
+    fleet.receive(b"what is this\r\n" * 3)
     fleet.reactor.advance(1.0)
     attempt.give_up(EndCause.CANCELLED)
     assert fleet.ends == [] and wire.aborted
-    fleet.lose()
+    fleet.lose_connection()
     assert fleet.ends == [("a", EndCause.MALFORMED, AttemptStage.WRITTEN)]
--- a/vanerelay/net/events.py
+++ b/vanerelay/net/events.py
@@ -1,7 +1,7 @@
-"""The event log, from which an incident is read: closes, retries, rejections, changes of state, with why.
+"""The event log: connection closes, retries, rejections and state changes, each with its reason.
 
-All are counted. Lines of their own are limited, as clients and engines can cause them by the thousand; what
-was left out shows in the counts, which are logged now and then and at the end.
+All events are counted. The number of log lines is limited, as clients and engines can cause events by the
+thousand. The counts include events without a line, and are logged periodically and at shutdown.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 import structlog
 
-BURST = 30
-"""Lines written in a row."""
+BURST_LINES = 30
+"""The number of lines that may be written without a pause."""
 LINES_PER_S = 3.0
-"""Lines a second in the long run."""
+"""The sustained number of lines per second."""
 COUNTS_INTERVAL_S = 10.0
 MAX_REASONS = 100
-"""Reasons that are counted apart; further ones count together, by their kind."""
+"""The number of kinds and reasons that are counted separately; further reasons share one count per kind."""
 OTHER_REASON = "another reason"
 
 log = structlog.get_logger()
 
 
 class LogEventKind(Enum):
-    """What an event is; the value is the name of its log line."""
+    """The kind of an event. The value is the event name of its log line."""
 
     CLOSE = "connection closed"
     RETRY = "retry"
@@ -35,47 +35,54 @@
 
 
 class EventLog:
-    """Counts events by kind and reason, and writes a limited number of lines."""
+    """Counts events by kind and reason, and writes a limited number of log lines.
+
+    Attributes:
+        counts: The number of events by kind and reason.
+    """
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         self.counts = Counter[tuple[LogEventKind, str]]()
-        self._lines, self._filled_at = float(BURST), reactor.seconds()
-        self._counts_due, self._counted = reactor.seconds() + COUNTS_INTERVAL_S, 0
+        self._lines_available, self._refilled_at = float(BURST_LINES), reactor.seconds()
+        self._counts_due_at, self._total_written = reactor.seconds() + COUNTS_INTERVAL_S, 0
 
     def note(self, kind: LogEventKind, why: str, line: bool = True, **values: Any) -> None:
-        """Counts an event, and writes a line unless it is to be counted alone.
+        """Counts an event, and writes a log line if `line` is set and the rate limit permits it.
 
         Args:
-            kind: What it is.
-            why: Its reason, one of a few fixed ones.
-            line: Whether it is worth a line.
-            values: What belongs to this event alone.
+            kind: The kind of the event.
+            why: The reason, one of a small fixed set.
+            line: False to count the event without a line.
+            values: Further fields of the log line.
         """
         known = (kind, why) in self.counts or len(self.counts) < MAX_REASONS
         self.counts[kind, why if known else OTHER_REASON] += 1
-        if line and self._may_write():
+        if line and self._take_line():
             log.info(kind.value, why=why, **values)
 
-    def _may_write(self) -> bool:
+    def _take_line(self) -> bool:
+        """Returns True if the rate limit permits another line, and counts that line."""
         now = self._reactor.seconds()
-        self._lines = min(float(BURST), self._lines + (now - self._filled_at) * LINES_PER_S)
-        self._filled_at = now
-        if self._lines < 1.0:
+        self._lines_available = min(
+            float(BURST_LINES), self._lines_available + (now - self._refilled_at) * LINES_PER_S
+        )
+        self._refilled_at = now
+        if self._lines_available < 1.0:
             return False
-        self._lines -= 1.0
+        self._lines_available -= 1.0
         return True
 
     def sweep(self) -> None:
-        """Writes the counts where they are due and have changed."""
-        if self._reactor.seconds() >= self._counts_due:
-            self._counts_due = self._reactor.seconds() + COUNTS_INTERVAL_S
+        """Writes the counts if the interval is over and they have changed."""
+        if self._reactor.seconds() >= self._counts_due_at:
+            self._counts_due_at = self._reactor.seconds() + COUNTS_INTERVAL_S
             self.write_counts()
 
     def write_counts(self) -> None:
-        """Writes the counts where they have changed."""
+        """Writes the counts if they have changed."""
         total = self.counts.total()
-        if total == self._counted:
+        if total == self._total_written:
             return
-        self._counted = total
+        self._total_written = total
         log.info("events so far", **{f"{kind.value}: {why}": n for (kind, why), n in self.counts.items()})
--- a/vanerelay/net/frames.py
+++ b/vanerelay/net/frames.py
@@ -1,4 +1,4 @@
-"""The frames of the clients' protocol: a reader that is fed bytes, and the writing of frames."""
+"""The frames of the client protocol: an incremental reader, and encoders."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from enum import IntEnum
 
 from vanerelay.interface import AnswerStatus
-from vanerelay.net.buffers import Gather, Pool
+from vanerelay.net.buffers import BufferPool, ReceiveBuffer
 
 MIN_LENGTH, MAX_LENGTH = 5, 262_144
-"""What the length of a frame may be, which counts the kind, the stream and the payload."""
+"""The limits of a frame's length in bytes, which counts the kind, the stream and the payload."""
 MAX_OPEN_REQUESTS = 32
-"""Requests that may be open on one connection."""
+"""The maximum number of open requests on one connection."""
 _LENGTH_BYTES = 4
 _HEADER = struct.Struct(">IBI")
 
 
 class FrameKind(IntEnum):
-    """What a frame is; the numbers are those on the wire."""
+    """The kind of a frame. The values are those on the wire."""
 
     REQUEST = 2
     ANSWER = 4
@@ -28,7 +28,7 @@
     READINESS_CHECK = 16
     READINESS = 32
     GO_AWAY = 64
-    """The client is to send no new request on this connection."""
+    """The client should send no new request on this connection."""
 
 
 _FROM_CLIENTS = {
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A frame of a client: its kind, its stream, named values, and what follows them."""
+    """A frame from a client: its kind, stream, named fields and body."""
 
     kind: FrameKind
     stream: int
@@ -48,63 +48,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """Bytes that are no frame of a client: after these nothing more can be read."""
+    """Bytes that are not a valid frame. Nothing after them can be decoded."""
 
     why: str
 
 
 class FrameReader:
-    """Fed what a client sent, in any pieces."""
+    """Decodes frames from the bytes that a client sends, however they are split."""
 
-    def __init__(self, pool: Pool) -> None:
-        self._held = Gather(pool)
+    def __init__(self, pool: BufferPool) -> None:
+        self._buffer = ReceiveBuffer(pool)
         self._last_stream = 0
         self._broken = False
 
     def feed(self, data: bytes) -> Iterator[Frame | Malformed]:
-        """Reads on; gives each frame that is complete now."""
+        """Adds received bytes. Yields each frame that is now complete, or `Malformed` as the last item."""
         if self._broken:
             return
-        self._held.feed(data)
+        self._buffer.feed(data)
         while not self._broken:
-            header = self._held.peek(_HEADER.size)
+            header = self._buffer.peek(_HEADER.size)
             if header is None:
                 break
             size, kind, stream = _HEADER.unpack(header)
-            wrong = self._wrong(size, kind, stream)
-            if wrong is None and len(self._held) < _LENGTH_BYTES + size:
+            error = self._header_error(size, kind, stream)
+            if error is None and len(self._buffer) < _LENGTH_BYTES + size:
                 break
-            if wrong is None:
-                frame = self._held.read(_LENGTH_BYTES + size) or b""
+            if error is None:
+                frame = self._buffer.read(_LENGTH_BYTES + size) or b""
                 parsed = _parse(_FROM_CLIENTS[kind], stream, frame)
                 if isinstance(parsed, Frame):
                     if parsed.kind is FrameKind.REQUEST:
                         self._last_stream = stream
                     yield parsed
                     continue
-                wrong = parsed.why
+                error = parsed.why
             self._broken = True
-            self._held.drop()
-            yield Malformed(wrong)
-        self._held.keep()
+            self._buffer.clear()
+            yield Malformed(error)
+        self._buffer.store_unread()
 
     @property
     def partial(self) -> bool:
-        """Whether what came last is not complete."""
-        return len(self._held) > 0
+        """True while only a part of a frame has been received."""
+        return len(self._buffer) > 0
 
-    def drop(self) -> None:
-        """Reads nothing more."""
+    def stop(self) -> None:
+        """Stops decoding and frees the buffer."""
         self._broken = True
-        self._held.drop()
+        self._buffer.clear()
 
-    def _wrong(self, size: int, kind: int, stream: int) -> str | None:
+    def _header_error(self, size: int, kind: int, stream: int) -> str | None:
         if not MIN_LENGTH <= size <= MAX_LENGTH:
-            return f"a frame's length is {size}"
+            return f"frame length out of range: {size}"
         if kind not in _FROM_CLIENTS:
-            return f"a frame's type is {kind}"
+            return f"unknown frame type {kind}"
         if kind == FrameKind.REQUEST and stream <= self._last_stream:
-            return f"stream {stream} is not new"
+            return f"stream {stream} is not greater than that of the previous request"
         return None
 
 
@@ -112,33 +112,33 @@
     if kind is FrameKind.CANCEL:
         return Frame(kind, stream, {}, b"")
     fields: dict[str, str] = {}
-    at = _HEADER.size + 1
+    position = _HEADER.size + 1
     try:
         for _ in range(frame[_HEADER.size]):
-            name_end = at + 1 + frame[at]
+            name_end = position + 1 + frame[position]
             value_end = name_end + 2 + int.from_bytes(frame[name_end : name_end + 2], "big")
             if value_end > len(frame):
-                return Malformed("a field ends past its frame")
-            fields[frame[at + 1 : name_end].decode()] = frame[name_end + 2 : value_end].decode()
-            at = value_end
+                return Malformed("a field extends past the end of its frame")
+            fields[frame[position + 1 : name_end].decode()] = frame[name_end + 2 : value_end].decode()
+            position = value_end
     except IndexError:
-        return Malformed("a frame ends within its fields")
+        return Malformed("frame truncated within its fields")
     except UnicodeDecodeError:
-        return Malformed("a field is no text")
-    return Frame(kind, stream, fields, frame[at:])
+        return Malformed("a field is not valid UTF-8 text")
+    return Frame(kind, stream, fields, frame[position:])
 
 
-def frame(kind: FrameKind, stream: int, payload: bytes = b"") -> bytes:
-    """The bytes of a frame."""
+def encode_frame(kind: FrameKind, stream: int, payload: bytes = b"") -> bytes:
+    """Returns the bytes of a frame."""
     return _HEADER.pack(MIN_LENGTH + len(payload), kind, stream) + payload
 
 
-def answer(
+def encode_answer(
     kind: FrameKind, stream: int, status: AnswerStatus, fields: Mapping[str, str], body: bytes = b""
 ) -> bytes:
-    """The bytes of an answer, or of a readiness."""
+    """Returns the bytes of an answer or readiness frame."""
     parts = [bytes((status, len(fields)))]
     for name, value in fields.items():
         parts.append(bytes((len(name),)) + name.encode() + struct.pack(">H", len(value)) + value.encode())
     parts.append(body)
-    return frame(kind, stream, b"".join(parts))
+    return encode_frame(kind, stream, b"".join(parts))
