--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -152,9 +152,11 @@
     for second in range(BASELINE_S):
         analysis.add_baseline_slice(generator.second(**conditions(second)))
     for second in range(BASELINE_S, 4 * MAX_STAGE_S):
-        now, new = second * SECOND, machine.new
+        now, new = second * SECOND, machine.new_gateways
         seen = generator.second(new, loss, **conditions(second))
-        analysis.add_stage_slice(now, seen, new, machine.comparable(), no_old_left=not machine.comparable())
+        analysis.add_stage_slice(
+            now, seen, new, machine.comparison_gateways(), no_old_left=not machine.comparison_gateways()
+        )
         lost += (loss.late + loss.failed) * len(new) / GATEWAYS
         for _ in range(GATEWAYS):  # orders arrive at once here
             heard = {name: GatewayStatus(frozenset({wants}), True) for name, wants in machine.ordered.items()}
@@ -180,7 +182,7 @@
     if step.action is Action.BEGIN_STAGE:
         return Event(EventKind.STAGE, now, stage=machine.stage + 1)
     if step.action is Action.ASSESS:
-        return machine.assessed(now, analysis.verdict(machine.new), step.reason)
+        return machine.assessment_event(now, analysis.verdict(machine.new_gateways), step.reason)
     return Event(EventKind.ENDED, now, target=step.target) if step.action is Action.END else None
 
 
--- a/tests/rollout_samples.py
+++ b/tests/rollout_samples.py
@@ -11,5 +11,5 @@
     (Stage("one", gateways=1), Stage("all", fraction=1.0)),
     AvailabilityLimits(2, 1),
     max_stage_time=100 * SECOND,
-    max_away_time=20 * SECOND,
+    max_confirmation_time=20 * SECOND,
 )
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -14,18 +14,18 @@
     return SampleGenerator(seed, 6, 30, classes={"look": 1.0})
 
 
-def stage(seed, slices=300, before=60, watched=lambda n: {}, loss=Loss()):  # noqa: B008
+def run_stage(seed, slices=300, before=60, conditions=lambda n: {}, loss=Loss()):  # noqa: B008
     """How a stage over two of six gateways ends, and after how many slices."""
     gateways, analysis = (
         generator_of(seed),
         CanaryAnalysis({"look": Guard(0.01, 0.05)}, AnalysisTerms(settle_time=0)),
     )
     for number in range(before):
-        analysis.add_baseline_slice(gateways.second(**watched(number - before)))
+        analysis.add_baseline_slice(gateways.second(**conditions(number - before)))
     analysis.begin_stage(0)
     new, old = gateways.names[:2], gateways.names[2:]
     for number in range(1, slices):
-        analysis.add_stage_slice(number * SECOND, gateways.second(new, loss, **watched(number)), new, old)
+        analysis.add_stage_slice(number * SECOND, gateways.second(new, loss, **conditions(number)), new, old)
         verdict = analysis.verdict(new)
         if verdict.assessment is not Assessment.WAIT:
             return verdict, number
@@ -38,7 +38,7 @@
 )
 def test_a_loss_is_found_in_time(loss, within):
     for seed in range(5):
-        verdict, after = stage(seed, loss=loss)
+        verdict, after = run_stage(seed, loss=loss)
         assert verdict.assessment is Assessment.WORSE and after <= within, (seed, verdict, after)
 
 
@@ -51,9 +51,9 @@
     ],
     ids=["calm", "a burst", "a bad engine for all"],
 )
-def test_a_change_without_effect_passes_and_what_hits_both_sides_is_blamed_on_neither(watched):
-    words = [stage(seed, watched=watched)[0].assessment for seed in range(20)]
-    assert Assessment.WORSE not in words and words.count(Assessment.FINE) >= 16
+def test_a_change_without_effect_passes_and_what_hits_both_sides_is_blamed_on_neither(conditions):
+    assessments = [run_stage(seed, conditions=conditions)[0].assessment for seed in range(20)]
+    assert Assessment.WORSE not in assessments and assessments.count(Assessment.FINE) >= 16
 
 
 def test_too_little_evidence_never_passes():
@@ -74,7 +74,7 @@
         (Loss(late=0.3), {"unreachable_engines": 3}, Assessment.WAIT, "reach"),
     ],
 )
-def test_processes_and_links(loss, other, assessment, says):
+def test_processes_and_links(loss, other, assessment, expected_reason):
     gateways, analysis = generator_of(2), CanaryAnalysis({"look": Guard()}, AnalysisTerms(settle_time=2))
     new, old = gateways.names[:2], gateways.names[2:]
     analysis.add_baseline_slice(gateways.second())
@@ -83,7 +83,9 @@
     for number in range(3, 40):
         analysis.add_stage_slice(number, gateways.second(new, loss, **other), new, old)
     verdict = analysis.verdict(new)
-    assert verdict.assessment is assessment and any(says in reason for reason in verdict.reasons), verdict
+    assert verdict.assessment is assessment and any(
+        expected_reason in reason for reason in verdict.reasons
+    ), verdict
 
 
 def test_a_release_that_crowds_the_others_out_is_found():
@@ -95,11 +97,11 @@
     analysis.begin_stage(0)
     new, old = gateways.names[:2], gateways.names[2:]
     for number in range(1, 60):
-        seen = {
+        samples = {
             name: GatewaySample(one.counts, engine_share=0.4 if name in new else 0.1)
             for name, one in gateways.second(old, Loss(late=0.15)).items()
         }
-        analysis.add_stage_slice(number, seen, new, old)
+        analysis.add_stage_slice(number, samples, new, old)
     verdict = analysis.verdict(new)
     assert verdict.assessment is Assessment.WORSE and "of the engines" in verdict.reasons[-1], verdict
 
--- a/tests/test_stage_machine.py
+++ b/tests/test_stage_machine.py
@@ -15,15 +15,15 @@
 from vanerelay.rollout.stage_machine import Action, GatewayStatus, StageMachine
 
 
-def heard(machine, down=(), **runs):
+def statuses_of(machine, unreachable=(), **runs):
     return {
         name: GatewayStatus(frozenset({runs.get(name, machine.ordered[name])}), True)
         for name in machine.domains
-        if name not in down
+        if name not in unreachable
     }
 
 
-def follow(machine, step, now, verdicts):
+def event_after(machine, step, now, verdicts):
     """The event that follows a step; None where nothing is recorded."""
     match step.action:
         case Action.ORDER:
@@ -31,15 +31,15 @@
         case Action.BEGIN_STAGE:
             return Event(EventKind.STAGE, now, stage=machine.stage + 1)
         case Action.UNCLEAR:
-            return machine.unclear(now, step.reason)
+            return machine.unclear_event(now, step.reason)
         case Action.ASSESS:
-            return machine.assessed(now, verdicts(machine), step.reason)
+            return machine.assessment_event(now, verdicts(machine), step.reason)
         case Action.END:
             return Event(EventKind.ENDED, now, target=step.target)
     return None
 
 
-def drive(machine, verdicts, down=lambda now: (), until=400):
+def run_machine(machine, verdicts, unreachable=lambda now: (), until=400):
     """Runs a machine against gateways that do as they are ordered; the events."""
     events = []
 
@@ -48,11 +48,11 @@
         machine.apply(event)
 
     for now in range(0, until * SECOND, SECOND):
-        there = heard(machine, down(now // SECOND))
-        for name in there:
+        statuses = statuses_of(machine, unreachable(now // SECOND))
+        for name in statuses:
             if not machine.confirmed[name]:
                 record(Event(EventKind.CONFIRMED, now, name))
-        event = follow(machine, machine.next_step(now, there), now, verdicts)
+        event = event_after(machine, machine.next_step(now, statuses), now, verdicts)
         if event is not None:
             record(event)
         if machine.outcome:
@@ -66,7 +66,7 @@
 
 def test_a_good_change_goes_through_all_stages():
     machine = StageMachine(PLAN)
-    events = drive(machine, verdict(Assessment.FINE))
+    events = run_machine(machine, verdict(Assessment.FINE))
     assert machine.outcome == "done" and set(machine.ordered.values()) == {Release.NEW}
     assert [e.kind for e in events].count("judged") == 2
     assert StageMachine.replayed(PLAN, events).ordered == machine.ordered
@@ -74,7 +74,7 @@
 
 def test_a_worse_change_is_rolled_back_and_does_not_wait_for_the_unreachable():
     machine = StageMachine(PLAN)
-    events = drive(machine, verdict(Assessment.WORSE), lambda now: ("m3",) if now > 1 else ())
+    events = run_machine(machine, verdict(Assessment.WORSE), lambda now: ("m3",) if now > 1 else ())
     assert (
         machine.outcome == "back"
         and machine.ever_changed == {"m0"}
@@ -85,21 +85,21 @@
 
 def test_without_evidence_it_holds_and_a_gateway_that_is_not_heard_stops_the_next_stage():
     machine = StageMachine(PLAN)
-    drive(machine, verdict(Assessment.WAIT), until=150)
+    run_machine(machine, verdict(Assessment.WAIT), until=150)
     assert machine.is_held and len(machine.ever_changed) == 1
     machine = StageMachine(PLAN)
-    drive(machine, verdict(Assessment.FINE), lambda now: ("m3",) if now > 1 else (), until=60)
+    run_machine(machine, verdict(Assessment.FINE), lambda now: ("m3",) if now > 1 else (), until=60)
     assert len(machine.ever_changed) == 1 and not machine.outcome
 
 
 def test_less_than_half_heard_moves_nothing():
     machine = StageMachine(PLAN)
-    assert machine.next_step(0, heard(machine, ("m0", "m1"))).action is Action.WAIT
+    assert machine.next_step(0, statuses_of(machine, ("m0", "m1"))).action is Action.WAIT
 
 
 def test_a_gateway_that_comes_back_with_another_release_is_ordered_to_its_own():
     machine = StageMachine(PLAN)
-    step = machine.next_step(0, heard(machine, m2="last week's"))
+    step = machine.next_step(0, statuses_of(machine, m2="last week's"))
     assert (step.action, step.gateway, step.target) == (Action.ORDER, "m2", Release.OLD)
 
 
@@ -123,8 +123,8 @@
         self.plan, self.fenced, self.recorded_first = plan, fenced, recorded_first
         self.names = [name for name, _ in plan.gateways]
         first = ((), tuple((Release.OLD, 1, 0) for _ in self.names), (), 1)
-        self.queue, self.seen, self.wrong = deque([first]), {first}, set()
-        while self.queue and not self.wrong:
+        self.queue, self.seen, self.violations = deque([first]), {first}, set()
+        while self.queue and not self.violations:
             self.explore(*self.queue.popleft())
 
     def push(self, *state):
@@ -135,71 +135,75 @@
     def accepts(self, gateway, order):
         return not self.fenced or order[2:] > gateway[1:]
 
-    def explore(self, events, gateways, flying, fence):
+    def explore(self, events, gateways, in_flight, fence):
         machine = replayed(self.plan, events)
-        self.check(machine, gateways, flying)
-        self.deliver_or_lose(events, gateways, flying, fence)
+        self.check(machine, gateways, in_flight)
+        self.deliver_or_lose(events, gateways, in_flight, fence)
         if machine.outcome or len(events) > self.MAX_EVENTS:
             return
         if machine.stage >= 0 and not machine.is_rolling_back:  # an operator's command
             rollback = Event(EventKind.ROLLBACK, len(events) * 3 * SECOND)
-            self.push((*events, rollback), gateways, flying, fence)
+            self.push((*events, rollback), gateways, in_flight, fence)
         if fence < self.MAX_FENCE:  # it dies or sleeps, and another goes on from the record
             last = (self.names[-1], Release.NEW, 1, 99)
-            self.push(events, tuple((one[0], 2, 0) for one in gateways), (*flying, last), 2)
-        self.act(machine, events, gateways, flying, fence)
+            self.push(events, tuple((one[0], 2, 0) for one in gateways), (*in_flight, last), 2)
+        self.take_step(machine, events, gateways, in_flight, fence)
 
-    def check(self, machine, gateways, flying):
+    def check(self, machine, gateways, in_flight):
         """What must never be."""
         runs = {name: gateway[0] for name, gateway in zip(self.names, gateways, strict=True)}
-        coming = {
+        in_flight_to_new = {
             order[0]
-            for order in flying
+            for order in in_flight
             if order[1] == Release.NEW and self.accepts(gateways[self.names.index(order[0])], order)
         }
-        changed = {name for name in self.names if runs[name] == Release.NEW} | coming
+        changed = {name for name in self.names if runs[name] == Release.NEW} | in_flight_to_new
         allowed = len(machine.gateways_up_to(machine.stage)) if machine.stage >= 0 else 0
         if len(changed) > allowed and not machine.is_rolling_back:
-            self.wrong.add("more changed than the plan allows")
+            self.violations.add("more changed than the plan allows")
         if machine.stage > machine.passed_stage + 1:
-            self.wrong.add("a stage without an assessment")
+            self.violations.add("a stage without an assessment")
         if machine.outcome:
             release = Release.NEW if machine.outcome == Outcome.DONE else Release.OLD
             if set(runs.values()) != {release}:
-                self.wrong.add("another release somewhere after the end")
+                self.violations.add("another release somewhere after the end")
 
-    def deliver_or_lose(self, events, gateways, flying, fence):
-        for place, order in enumerate(flying):
-            rest = flying[:place] + flying[place + 1 :]
+    def deliver_or_lose(self, events, gateways, in_flight, fence):
+        for place, order in enumerate(in_flight):
+            rest = in_flight[:place] + in_flight[place + 1 :]
             self.push(events, gateways, rest, fence)
             row = self.names.index(order[0])
             if self.accepts(gateways[row], order):
                 changed = (order[1], *max(order[2:], gateways[row][1:]))
                 self.push(events, (*gateways[:row], changed, *gateways[row + 1 :]), rest, fence)
 
-    def act(self, machine, events, gateways, flying, fence):
-        there = {
+    def take_step(self, machine, events, gateways, in_flight, fence):
+        statuses = {
             name: GatewayStatus(frozenset({one[0]}), True, last_order=one[1:])
             for name, one in zip(self.names, gateways, strict=True)
         }
         now, number = len(events) * 3 * SECOND, len(events) + 1
         for name in self.names:
-            runs_ordered = machine.ordered[name] in there[name].releases
-            if not machine.confirmed[name] and runs_ordered and machine.has_last_order(name, there[name]):
-                self.push((*events, Event(EventKind.CONFIRMED, now, name)), gateways, flying, fence)
-        step = machine.next_step(now, there)
+            runs_ordered = machine.ordered[name] in statuses[name].releases
+            if (
+                not machine.confirmed[name]
+                and runs_ordered
+                and machine.has_accepted_last_order(name, statuses[name])
+            ):
+                self.push((*events, Event(EventKind.CONFIRMED, now, name)), gateways, in_flight, fence)
+        step = machine.next_step(now, statuses)
         if step.action is Action.ORDER:
-            if len(flying) < self.MAX_ORDERS_IN_FLIGHT:
+            if len(in_flight) < self.MAX_ORDERS_IN_FLIGHT:
                 event = Event(EventKind.ORDERED, now, step.gateway, fence, number, step.target)
                 order = (step.gateway, step.target, fence, number)
-                self.push((*events, event), gateways, (*flying, order), fence)
+                self.push((*events, event), gateways, (*in_flight, order), fence)
                 if self.recorded_first:
-                    self.push((*events, event), gateways, flying, fence)
+                    self.push((*events, event), gateways, in_flight, fence)
                 else:
-                    self.push(events, gateways, (*flying, order), fence)
+                    self.push(events, gateways, (*in_flight, order), fence)
         elif step.action in (Action.BEGIN_STAGE, Action.ASSESS, Action.END):
-            event = follow(machine, step, now, lambda machine: Verdict(Assessment.FINE))
-            self.push((*events, event), gateways, flying, fence)
+            event = event_after(machine, step, now, lambda machine: Verdict(Assessment.FINE))
+            self.push((*events, event), gateways, in_flight, fence)
 
 
 SMALL = Plan(
@@ -212,11 +216,11 @@
 
 def test_all_orders_of_crashes_losses_and_late_orders():
     exploration = Exploration(SMALL)
-    assert len(exploration.seen) > 500 and exploration.wrong == set()
+    assert len(exploration.seen) > 500 and exploration.violations == set()
 
 
 def test_the_model_finds_faults_that_are_built_in_on_purpose():
-    assert Exploration(SMALL, recorded_first=False).wrong and Exploration(SMALL, fenced=False).wrong
+    assert Exploration(SMALL, recorded_first=False).violations and Exploration(SMALL, fenced=False).violations
 
 
 @pytest.mark.parametrize("span", [-3600 * SECOND, 3600 * SECOND])
@@ -230,6 +234,6 @@
     )
     now = 1001 * SECOND + span
     machine.resume(now)
-    there = heard(machine, down=(name,))
-    assert machine.next_step(now, there).action is not Action.UNCLEAR
-    assert machine.next_step(now + PLAN.max_away_time + 1, there).action is Action.UNCLEAR
+    statuses = statuses_of(machine, unreachable=(name,))
+    assert machine.next_step(now, statuses).action is not Action.UNCLEAR
+    assert machine.next_step(now + PLAN.max_confirmation_time + 1, statuses).action is Action.UNCLEAR
--- a/vanerelay/rollout/canary_analysis.py
+++ b/vanerelay/rollout/canary_analysis.py
@@ -21,13 +21,13 @@
 from vanerelay.interface import SECOND, Duration
 from vanerelay.rollout.canary_baseline import MIN_BASELINE_BLOCKS, Baseline, BaselineRecorder
 from vanerelay.rollout.canary_metrics import GatewaySample, Measure
-from vanerelay.rollout.canary_stage import Series, StageEvidence
+from vanerelay.rollout.canary_stage import MeasureSeries, StageEvidence
 
 MIN_VARIANCE_BLOCKS = 5
 """Blocks under which a variance says nothing."""
 TIGHTEST_AT_BLOCKS = 30.0
 """Blocks at about which the confidence sequence is made tightest."""
-MAX_FEWER_ENGINES = 1.5
+MAX_REACHABILITY_GAP = 1.5
 """Engines that new gateways reach fewer, above which a loss is laid on links and not on the release."""
 CROWDING_FACTOR = 1.5
 """New gateways crowd the old ones out where they hold this many times as much of the engines."""
@@ -154,11 +154,11 @@
         findings = _Findings()
         for class_name, guard in sorted(self._guards.items()):
             self._assess_class(class_name, guard, new, findings)
-        fewer = self._stage.fewer_engines
-        if findings.worse and fewer > MAX_FEWER_ENGINES:
+        gap = self._stage.reachability_gap
+        if findings.worse and gap > MAX_REACHABILITY_GAP:
             # Not the release's doing for all that is seen: those gateways reach fewer engines.
             findings.missing.append(
-                f"new managers reach {fewer:.1f} engines fewer, so nothing is laid on the release"
+                f"new managers reach {gap:.1f} engines fewer, so nothing is laid on the release"
             )
             findings.worse = []
         findings.worse += self._death_findings()
@@ -166,7 +166,7 @@
         findings.worse += self._crowding_findings()
         if findings.worse:
             return Verdict(Assessment.WORSE, tuple(findings.worse))
-        if not self._stage.was_compared:
+        if not self._stage.has_comparison:
             findings.missing.append("no figures of both sides at the same time yet")
         if findings.missing:
             return Verdict(Assessment.WAIT, tuple(findings.missing))
@@ -174,12 +174,12 @@
 
     def _assess_class(self, class_name: str, guard: Guard, new: Collection[str], findings: _Findings) -> None:
         terms, stage, missing = self.terms, self._stage, findings.missing
-        done = stage.blocks_done[class_name]
-        if done < terms.min_blocks:
+        completed = stage.completed_blocks[class_name]
+        if completed < terms.min_blocks:
             missing.append(
-                f"{class_name}: {done} of {terms.min_blocks} blocks of {terms.block_queries} batches"
+                f"{class_name}: {completed} of {terms.min_blocks} blocks of {terms.block_queries} batches"
             )
-        if done < MIN_VARIANCE_BLOCKS:
+        if completed < MIN_VARIANCE_BLOCKS:
             return
         loss = self._loss_since_baseline(class_name)
         if stage.no_old_left and loss > guard.max_loss:
@@ -195,7 +195,7 @@
         self,
         class_name: str,
         measure: Measure,
-        series: Series,
+        series: MeasureSeries,
         guard: Guard,
         new: Collection[str],
         findings: _Findings,
@@ -212,43 +212,43 @@
             )
 
     def _difference(
-        self, class_name: str, measure: Measure, series: Series, new: Collection[str]
+        self, class_name: str, measure: Measure, series: MeasureSeries, new: Collection[str]
     ) -> tuple[float, float]:
         """The mean difference less that of before, and how far it may be off."""
-        before, variance_before = self._baseline.difference(class_name, measure, new)
+        baseline_mean, baseline_variance = self._baseline.difference(class_name, measure, new)
         variance = max(series.differences.variance, series.counting_noise)
         width = half_width(series.differences.number, variance, self._probability, TIGHTEST_AT_BLOCKS)
-        width_before = math.sqrt(-2.0 * math.log(self._probability) * variance_before)
-        return series.differences.mean - before, math.hypot(width, width_before)
+        baseline_width = math.sqrt(-2.0 * math.log(self._probability) * baseline_variance)
+        return series.differences.mean - baseline_mean, math.hypot(width, baseline_width)
 
     def _death_findings(self) -> list[str]:
         """Ends of processes that nobody ordered, of new beside old gateways."""
         deaths, exposure = self._stage.deaths, self._stage.exposure
-        new_part = exposure.new / max(1, exposure.new + exposure.old)
+        new_share = exposure.new / max(1, exposure.new + exposure.old)
         if deaths.new < MIN_DEATHS:
             return []
-        if _probability_at_least(deaths.new, deaths.new + deaths.old, new_part) >= self._probability:
+        if _probability_at_least(deaths.new, deaths.new + deaths.old, new_share) >= self._probability:
             return []
         return [f"processes: {deaths.new} of new managers ended by themselves, {deaths.old} of old ones"]
 
     def _memory_findings(self) -> list[str]:
         """Memory that grows, of new beside old gateways."""
-        of_new, of_old = self._stage.memory_growth(True), self._stage.memory_growth(False)
-        if not of_new or not of_old:
+        new_growth, old_growth = self._stage.memory_growth(True), self._stage.memory_growth(False)
+        if not new_growth or not old_growth:
             return []
-        more = min(of_new) - max(0.0, max(of_old))
-        if more <= MAX_MEMORY_GROWTH:
+        excess = min(new_growth) - max(0.0, max(old_growth))
+        if excess <= MAX_MEMORY_GROWTH:
             return []
-        return [f"memory: every new manager grew by {more:.0%} of its limit more than any old one"]
+        return [f"memory: every new manager grew by {excess:.0%} of its limit more than any old one"]
 
     def _loss_since_baseline(self, class_name: str) -> float:
         """By how much value is missed more than before the change, at least."""
-        before, now = self._baseline.missed_value[class_name], self._stage.missed_value[class_name]
-        if before.number < MIN_BASELINE_BLOCKS or now.number < MIN_VARIANCE_BLOCKS:
+        baseline, current = self._baseline.missed_value[class_name], self._stage.missed_value[class_name]
+        if baseline.number < MIN_BASELINE_BLOCKS or current.number < MIN_VARIANCE_BLOCKS:
             return 0.0
-        unsure = math.sqrt(-2.0 * math.log(self._probability) * before.variance / before.number)
-        width = half_width(now.number, now.variance, self._probability, TIGHTEST_AT_BLOCKS)
-        return now.mean - before.mean - unsure - width
+        baseline_width = math.sqrt(-2.0 * math.log(self._probability) * baseline.variance / baseline.number)
+        width = half_width(current.number, current.variance, self._probability, TIGHTEST_AT_BLOCKS)
+        return current.mean - baseline.mean - baseline_width - width
 
     def _crowding_findings(self) -> list[str]:
         """New gateways hold more of the engines for the same work, and the old ones do worse than before.
@@ -260,10 +260,10 @@
             return []
         for class_name, guard in sorted(self._guards.items()):
             if self._loss_since_baseline(class_name) > guard.tolerance:
-                before = self._baseline.missed_value[class_name]
-                more = self._stage.missed_value[class_name].mean - before.mean
+                baseline = self._baseline.missed_value[class_name]
+                excess = self._stage.missed_value[class_name].mean - baseline.mean
                 return [
-                    f"{class_name}: old managers do worse by {more:.3f} than before the stage, while "
+                    f"{class_name}: old managers do worse by {excess:.3f} than before the stage, while "
                     f"new ones hold {new.mean / max(1e-9, old.mean):.1f} times as much of the engines"
                 ]
         return []
--- a/vanerelay/rollout/canary_baseline.py
+++ b/vanerelay/rollout/canary_baseline.py
@@ -8,7 +8,13 @@
 import msgspec
 
 from vanerelay.confidence import RunningVariance
-from vanerelay.rollout.canary_metrics import LATENCY_BUCKETS, ClassCounts, GatewaySample, Measure, measured
+from vanerelay.rollout.canary_metrics import (
+    LATENCY_BUCKETS,
+    ClassCounts,
+    GatewaySample,
+    Measure,
+    measure_value,
+)
 
 SLOW_QUANTILE = 0.95
 """The quantile of latency before the change past which an answer counts as slow."""
@@ -43,12 +49,14 @@
         self._differences = defaultdict[tuple[str, str, str], RunningVariance](RunningVariance)
         self._totals = defaultdict[str, ClassCounts](ClassCounts)  # by service class
         self.missed_value = defaultdict[str, RunningVariance](RunningVariance)  # by service class
-        self._block = defaultdict[str, dict[str, ClassCounts]](dict)  # by gateway: the block in the making
+        self._open_blocks = defaultdict[str, dict[str, ClassCounts]](
+            dict
+        )  # by gateway: the block in the making
 
     def add_slice(self, samples: Mapping[str, GatewaySample]) -> None:
         """A slice of time: how each gateway does beside the rest, of itself."""
         for name, sample in samples.items():
-            block = self._block[name]
+            block = self._open_blocks[name]
             for class_name in self._classes:
                 counts = sample.counts.get(class_name, ClassCounts())
                 self._totals[class_name] = self._totals[class_name] + counts
@@ -58,21 +66,21 @@
             return
         for class_name in self._classes:
             self._close_block(class_name)
-        self._block.clear()
+        self._open_blocks.clear()
 
     def _block_total(self, class_name: str) -> ClassCounts:
         empty = ClassCounts()
-        return sum((block.get(class_name, empty) for block in self._block.values()), empty)
+        return sum((block.get(class_name, empty) for block in self._open_blocks.values()), empty)
 
     def _close_block(self, class_name: str) -> None:
-        slow_from, total = self.slow_from(class_name), self._block_total(class_name)
+        slow_bucket, total = self.slow_bucket(class_name), self._block_total(class_name)
         for measure in Measure:
-            usual = measured(measure, total, slow_from)
-            for name, block in self._block.items():
-                own = measured(measure, block.get(class_name, ClassCounts()), slow_from)
-                if own is not None and usual is not None:
-                    self._differences[name, class_name, measure].add(own - usual)
-        missed = measured(Measure.VALUE, total, slow_from)
+            fleet_value = measure_value(measure, total, slow_bucket)
+            for name, block in self._open_blocks.items():
+                gateway_value = measure_value(measure, block.get(class_name, ClassCounts()), slow_bucket)
+                if gateway_value is not None and fleet_value is not None:
+                    self._differences[name, class_name, measure].add(gateway_value - fleet_value)
+        missed = measure_value(Measure.VALUE, total, slow_bucket)
         if missed is not None:
             self.missed_value[class_name].add(missed)
 
@@ -80,13 +88,13 @@
         """What was seen, for a controller that goes on from its record."""
         return Baseline(
             [
-                (name, class_name, str(measure), spread.number, spread.mean, spread.variance)
-                for (name, class_name, measure), spread in self._differences.items()
+                (name, class_name, str(measure), statistics.number, statistics.mean, statistics.variance)
+                for (name, class_name, measure), statistics in self._differences.items()
             ],
             {class_name: counts.latency_counts for class_name, counts in self._totals.items()},
             {
-                class_name: (spread.number, spread.mean, spread.variance)
-                for class_name, spread in self.missed_value.items()
+                class_name: (statistics.number, statistics.mean, statistics.variance)
+                for class_name, statistics in self.missed_value.items()
             },
         )
 
@@ -96,16 +104,16 @@
             self._differences[name, class_name, measure] = RunningVariance.of(number, mean, variance)
         for class_name, counts in baseline.latency_counts.items():
             self._totals[class_name] = ClassCounts(sum(counts), latency_counts=tuple(counts))
-        for class_name, known in baseline.values.items():
-            self.missed_value[class_name] = RunningVariance.of(*known)
+        for class_name, stored in baseline.values.items():
+            self.missed_value[class_name] = RunningVariance.of(*stored)
 
-    def slow_from(self, class_name: str) -> int:
+    def slow_bucket(self, class_name: str) -> int:
         """The latency bucket past which answers of the class were slow before."""
-        counts, seen = self._totals[class_name].latency_counts, 0
+        counts, cumulative = self._totals[class_name].latency_counts, 0
         total = sum(counts)
         for bucket, count in enumerate(counts):
-            seen += count
-            if seen >= SLOW_QUANTILE * total:
+            cumulative += count
+            if cumulative >= SLOW_QUANTILE * total:
                 return bucket
         return LATENCY_BUCKETS - 1
 
@@ -115,20 +123,27 @@
         What was seen is drawn towards 0 as far as gateways did not differ by more than the noise of so few
         queries.
         """
-        known = {
-            name: spread
-            for (name, of_class, of_measure), spread in self._differences.items()
-            if (of_class, of_measure) == (class_name, measure) and spread.number >= MIN_BASELINE_BLOCKS
+        by_gateway = {
+            name: statistics
+            for (name, recorded_class, recorded_measure), statistics in self._differences.items()
+            if (recorded_class, recorded_measure) == (class_name, measure)
+            and statistics.number >= MIN_BASELINE_BLOCKS
         }
-        of_new = [known[name] for name in new if name in known]
-        if len(known) < 2 or not of_new:
+        new_statistics = [by_gateway[name] for name in new if name in by_gateway]
+        if len(by_gateway) < 2 or not new_statistics:
             return 0.0, 0.0
-        mean = sum(one.mean for one in known.values()) / len(known)
-        noise = sum(one.variance / one.number for one in known.values()) / len(known)
-        spread_of_means = sum((one.mean - mean) ** 2 for one in known.values()) / (len(known) - 1)
-        real = max(0.0, spread_of_means - noise) / len(of_new)
-        unsure = sum(one.variance / one.number for one in of_new) / len(of_new) ** 2
-        if real + unsure <= 0.0:
+        mean = sum(item.mean for item in by_gateway.values()) / len(by_gateway)
+        mean_noise = sum(item.variance / item.number for item in by_gateway.values()) / len(by_gateway)
+        variance_of_means = sum((item.mean - mean) ** 2 for item in by_gateway.values()) / (
+            len(by_gateway) - 1
+        )
+        real_variance = max(0.0, variance_of_means - mean_noise) / len(new_statistics)
+        error_variance = (
+            sum(item.variance / item.number for item in new_statistics) / len(new_statistics) ** 2
+        )
+        if real_variance + error_variance <= 0.0:
             return 0.0, 0.0
-        trusted = real / (real + unsure)
-        return sum(one.mean for one in of_new) / len(of_new) * trusted, unsure * trusted
+        shrinkage_factor = real_variance / (real_variance + error_variance)
+        return sum(item.mean for item in new_statistics) / len(
+            new_statistics
+        ) * shrinkage_factor, error_variance * shrinkage_factor
--- a/vanerelay/rollout/canary_metrics.py
+++ b/vanerelay/rollout/canary_metrics.py
@@ -63,14 +63,14 @@
             self.rejected + other.rejected,
             self.late + other.late,
             self.attempts + other.attempts,
-            _added(self.latency_counts, other.latency_counts),
+            _sum_buckets(self.latency_counts, other.latency_counts),
         )
 
 
-def _added(one: tuple[int, ...], other: tuple[int, ...]) -> tuple[int, ...]:
-    if one and other:
-        return tuple(a + b for a, b in zip(one, other, strict=True))
-    return one or other
+def _sum_buckets(first: tuple[int, ...], second: tuple[int, ...]) -> tuple[int, ...]:
+    if first and second:
+        return tuple(a + b for a, b in zip(first, second, strict=True))
+    return first or second
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
     deaths: int = 0
 
 
-def measured(measure: Measure, counts: ClassCounts, slow_from: int) -> float | None:
+def measure_value(measure: Measure, counts: ClassCounts, slow_bucket: int) -> float | None:
     """A measure's value, 0 the best; None where nothing can be said.
 
     `slow_from` is the latency bucket past which an answer counts as slow.
@@ -110,6 +110,6 @@
             return counts.late / counts.ended
         case Measure.SLOW:
             completed = sum(counts.latency_counts)
-            return sum(counts.latency_counts[slow_from + 1 :]) / completed if completed else None
+            return sum(counts.latency_counts[slow_bucket + 1 :]) / completed if completed else None
         case Measure.ATTEMPTS:
             return counts.attempts / counts.ended
--- a/vanerelay/rollout/canary_stage.py
+++ b/vanerelay/rollout/canary_stage.py
@@ -9,14 +9,14 @@
 from vanerelay.confidence import RunningVariance
 from vanerelay.interface import Duration
 from vanerelay.rollout.canary_baseline import BaselineRecorder
-from vanerelay.rollout.canary_metrics import ClassCounts, GatewaySample, Measure, measured
+from vanerelay.rollout.canary_metrics import ClassCounts, GatewaySample, Measure, measure_value
 
 REACH_SMOOTHING = 0.3
 """The weight of the last slice in the mean difference of reached engines."""
 
 
 @dataclass(slots=True)
-class Series:
+class MeasureSeries:
     """One measure of one service class, block by block.
 
     Attributes:
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Sides:
+class SideCounts:
     """A figure of new and of old gateways."""
 
     new: int = 0
@@ -75,18 +75,18 @@
         baseline: BaselineRecorder,
     ) -> None:
         """Begins at `now`; what is seen within `settle_time` is not counted."""
-        self._since, self._classes, self._settle_time = now, classes, settle_time
+        self._started_at, self._classes, self._settle_time = now, classes, settle_time
         self._block_queries, self._baseline = block_queries, baseline
-        self.series = defaultdict[tuple[str, Measure], Series](Series)
+        self.series = defaultdict[tuple[str, Measure], MeasureSeries](MeasureSeries)
         self.missed_value = defaultdict[str, RunningVariance](RunningVariance)
-        self._blocks = defaultdict[str, Block](Block)
-        self.blocks_done = defaultdict[str, int](int)
-        self.deaths, self.exposure = Sides(), Sides()
+        self._open_blocks = defaultdict[str, Block](Block)
+        self.completed_blocks = defaultdict[str, int](int)
+        self.deaths, self.exposure = SideCounts(), SideCounts()
         self._first_memory = dict[str, float]()
         self._memory_growth = dict[str, tuple[bool, float]]()  # by gateway: whether it is new, and how much
         self.new_engine_share, self.old_engine_share = RunningVariance(), RunningVariance()
-        self.fewer_engines = 0.0
-        self.was_compared = self.no_old_left = False
+        self.reachability_gap = 0.0
+        self.has_comparison = self.no_old_left = False
 
     def add_slice(
         self,
@@ -97,87 +97,91 @@
         no_old_left: bool,
     ) -> None:
         """A slice of the stage; `old` are the gateways to compare with."""
-        if now - self._since < self._settle_time:
+        if now - self._started_at < self._settle_time:
             for name in samples.keys() & (set(new) | set(old)):
                 self._first_memory[name] = samples[name].memory
             return
-        of_new = [samples[name] for name in sorted(new) if name in samples]
-        of_old = [samples[name] for name in sorted(old) if name in samples]
+        new_samples = [samples[name] for name in sorted(new) if name in samples]
+        old_samples = [samples[name] for name in sorted(old) if name in samples]
         for name, sample in samples.items():  # of all that are old, also those that are not compared with
             self.deaths.add(name in new, sample.deaths)
             self.exposure.add(name in new, 1)
-        _add_engine_shares(self.new_engine_share, of_new)
-        _add_engine_shares(self.old_engine_share, of_old)
+        _add_engine_shares(self.new_engine_share, new_samples)
+        _add_engine_shares(self.old_engine_share, old_samples)
         self._add_memory(samples, new, old)
         self.no_old_left = no_old_left
-        if no_old_left and of_new:
-            self._add_without_old(of_new)
-        if of_new and of_old:
-            self._add_compared(of_new, of_old)
+        if no_old_left and new_samples:
+            self._add_without_old(new_samples)
+        if new_samples and old_samples:
+            self._add_compared(new_samples, old_samples)
 
     def _add_memory(
         self, samples: Mapping[str, GatewaySample], new: Collection[str], old: Collection[str]
     ) -> None:
         for name, sample in samples.items():
             if name in new or name in old:
-                first = self._first_memory.setdefault(name, sample.memory)
-                self._memory_growth[name] = name in new, sample.memory - first
+                first_memory = self._first_memory.setdefault(name, sample.memory)
+                self._memory_growth[name] = name in new, sample.memory - first_memory
 
     def memory_growth(self, is_new: bool) -> list[float]:
         """By how much the memory of each new, or old, gateway grew in the stage."""
         return [growth for new, growth in self._memory_growth.values() if new is is_new]
 
-    def _add_without_old(self, of_new: Sequence[GatewaySample]) -> None:
+    def _add_without_old(self, new_samples: Sequence[GatewaySample]) -> None:
         """With nobody to compare with, all that can be seen is whether all do worse than before the stage."""
-        self.was_compared = True
+        self.has_comparison = True
         for class_name in self._classes:
-            new = _class_total(of_new, class_name, self._blocks[class_name].new)
+            new = _class_total(new_samples, class_name, self._open_blocks[class_name].new)
             if new.ended < self._block_queries:
-                self._blocks[class_name] = Block(new)
+                self._open_blocks[class_name] = Block(new)
                 continue
-            self._blocks[class_name] = Block()
-            self.blocks_done[class_name] += 1
-            missed = measured(Measure.VALUE, new, 0)
+            self._open_blocks[class_name] = Block()
+            self.completed_blocks[class_name] += 1
+            missed = measure_value(Measure.VALUE, new, 0)
             if missed is not None:
                 self.missed_value[class_name].add(missed)
 
-    def _add_compared(self, of_new: Sequence[GatewaySample], of_old: Sequence[GatewaySample]) -> None:
-        self.was_compared = True
-        fewer = _mean_unreachable(of_new) - _mean_unreachable(of_old)
-        self.fewer_engines = (1.0 - REACH_SMOOTHING) * self.fewer_engines + REACH_SMOOTHING * fewer
+    def _add_compared(
+        self, new_samples: Sequence[GatewaySample], old_samples: Sequence[GatewaySample]
+    ) -> None:
+        self.has_comparison = True
+        gap = _mean_unreachable(new_samples) - _mean_unreachable(old_samples)
+        self.reachability_gap = (1.0 - REACH_SMOOTHING) * self.reachability_gap + REACH_SMOOTHING * gap
         for class_name in self._classes:
-            known = self._blocks[class_name]
-            added_new = _class_total(of_new, class_name, ClassCounts())
-            added_old = _class_total(of_old, class_name, ClassCounts())
-            block = Block(known.new + added_new, known.old + added_old)
+            open_block = self._open_blocks[class_name]
+            added_new = _class_total(new_samples, class_name, ClassCounts())
+            added_old = _class_total(old_samples, class_name, ClassCounts())
+            block = Block(open_block.new + added_new, open_block.old + added_old)
             if min(block.new.ended, block.old.ended) < self._block_queries:
-                self._blocks[class_name] = block
+                self._open_blocks[class_name] = block
                 continue
-            self._blocks[class_name] = Block()
-            self.blocks_done[class_name] += 1
+            self._open_blocks[class_name] = Block()
+            self.completed_blocks[class_name] += 1
             self._close_block(class_name, block)
 
     def _close_block(self, class_name: str, block: Block) -> None:
-        slow_from = self._baseline.slow_from(class_name)
+        slow_bucket = self._baseline.slow_bucket(class_name)
         for measure in Measure:
-            new = measured(measure, block.new, slow_from)
-            old = measured(measure, block.old, slow_from)
+            new = measure_value(measure, block.new, slow_bucket)
+            old = measure_value(measure, block.old, slow_bucket)
             if new is None or old is None:
                 continue
             series = self.series[class_name, measure]
             series.differences.add(new - old)
-            noise = _counting_noise(measure, block, slow_from)
+            noise = _counting_noise(measure, block, slow_bucket)
             series.counting_noise += (noise - series.counting_noise) / series.differences.number
-        missed = measured(Measure.VALUE, block.old, slow_from)
+        missed = measure_value(Measure.VALUE, block.old, slow_bucket)
         if missed is not None:
             self.missed_value[class_name].add(missed)
 
 
-def _counting_noise(measure: Measure, block: Block, slow_from: int) -> float:
+def _counting_noise(measure: Measure, block: Block, slow_bucket: int) -> float:
     """The variance of a block's difference that so many queries make by chance, were all alike."""
     total = block.new + block.old
-    part = min(1.0, max(0.0, measured(measure, total, slow_from) or 0.0))
-    return (part * (1.0 - part) + 1.0 / total.ended) * (1.0 / block.new.ended + 1.0 / block.old.ended)
+    proportion = min(1.0, max(0.0, measure_value(measure, total, slow_bucket) or 0.0))
+    return (proportion * (1.0 - proportion) + 1.0 / total.ended) * (
+        1.0 / block.new.ended + 1.0 / block.old.ended
+    )
 
 
 def _class_total(samples: Sequence[GatewaySample], class_name: str, start: ClassCounts) -> ClassCounts:
--- a/vanerelay/rollout/change_log.py
+++ b/vanerelay/rollout/change_log.py
@@ -25,7 +25,7 @@
 LOCK_TIMEOUT_S = 2.0
 """For another process that writes to the file, such as an operator's command."""
 
-Value = str | int | bytes
+ColumnValue = str | int | bytes
 """What a column may hold."""
 
 
@@ -129,7 +129,7 @@
             self._execute("update word set taken = 1 where id = ?", number)
         return [command for _, command in rows]
 
-    def _execute(self, statement: str, *values: Value) -> sqlite3.Cursor:
+    def _execute(self, statement: str, *values: ColumnValue) -> sqlite3.Cursor:
         try:
             return self._connection.execute(statement, values)
         except sqlite3.Error as error:
--- a/vanerelay/rollout/change_plan.py
+++ b/vanerelay/rollout/change_plan.py
@@ -29,8 +29,8 @@
         max_load: of the rest, in parts of their cores; with more the next one waits.
     """
 
-    max_away: int = config_field("most", default=1)
-    max_away_per_domain: int = config_field("domain", default=1)
+    max_unavailable: int = config_field("most", default=1)
+    max_unavailable_per_domain: int = config_field("domain", default=1)
     max_load: float = config_field("carry", default=0.85)
 
 
@@ -71,4 +71,4 @@
     restarts: bool = False
     control_restarts: int = 0
     max_stage_time: Duration = 600 * SECOND
-    max_away_time: Duration = 60 * SECOND
+    max_confirmation_time: Duration = 60 * SECOND
--- a/vanerelay/rollout/change_state.py
+++ b/vanerelay/rollout/change_state.py
@@ -144,42 +144,44 @@
     # What is to be.
 
     @property
-    def new(self) -> list[str]:
+    def new_gateways(self) -> list[str]:
         """Gateways that run the new release, or may."""
         return [name for name in self.domains if self.ordered[name] in NEW_RELEASES]
 
     def gateways_up_to(self, stage: int) -> list[str]:
         """The gateways that a stage and those before it may have changed, in order."""
-        names, found = list(self.domains), dict[str, None]()
-        for one in self.plan.stages[: stage + 1]:
-            if one.domain:
-                found |= dict.fromkeys(name for name in names if self.domains[name] == one.domain)
-            count = max(one.gateways, int(one.fraction * len(names) + ROUNDING_SLACK))
-            for name in self._spread(names):
-                if len(found) >= count:
+        names, selected = list(self.domains), dict[str, None]()
+        for planned_stage in self.plan.stages[: stage + 1]:
+            if planned_stage.domain:
+                selected |= dict.fromkeys(
+                    name for name in names if self.domains[name] == planned_stage.domain
+                )
+            count = max(planned_stage.gateways, int(planned_stage.fraction * len(names) + ROUNDING_SLACK))
+            for name in self._alternate_domains(names):
+                if len(selected) >= count:
                     break
-                found[name] = None
-        return list(found)
+                selected[name] = None
+        return list(selected)
 
-    def _spread(self, names: list[str]) -> list[str]:
+    def _alternate_domains(self, names: list[str]) -> list[str]:
         """One of each failure domain in turn, so that the first few are not all in one."""
         by_domain = dict[str, list[str]]()
         for name in names:
             by_domain.setdefault(self.domains[name], []).append(name)
         domains = list(by_domain.values())
-        longest = max(map(len, domains), default=0)
-        return [domain[place] for place in range(longest) for domain in domains if place < len(domain)]
+        largest = max(map(len, domains), default=0)
+        return [domain[index] for index in range(largest) for domain in domains if index < len(domain)]
 
-    def target(self, name: str) -> str:
+    def target_release(self, name: str) -> str:
         """What a gateway is to run as things stand."""
-        strict, last = self.plan.uses_stricter_settings, len(self.plan.stages) - 1
+        uses_stricter, last_stage = self.plan.uses_stricter_settings, len(self.plan.stages) - 1
         if self.is_rolling_back:
-            return Release.OLD_STRICT if strict and self._others_may_run_new(name) else Release.OLD
-        if self.passed_stage >= last and self.stage >= last:
+            return Release.OLD_STRICT if uses_stricter and self._others_may_run_new(name) else Release.OLD
+        if self.passed_stage >= last_stage and self.stage >= last_stage:
             return Release.NEW
         if self.stage >= 0 and name in self.gateways_up_to(self.stage):
-            return Release.NEW_STRICT if strict else Release.NEW
-        return Release.OLD_STRICT if strict else Release.OLD
+            return Release.NEW_STRICT if uses_stricter else Release.NEW
+        return Release.OLD_STRICT if uses_stricter else Release.OLD
 
     def _others_may_run_new(self, name: str) -> bool:
         return any(
@@ -188,15 +190,15 @@
             if other != name and other in self.ever_changed
         )
 
-    def comparable(self) -> list[str]:
+    def comparison_gateways(self) -> list[str]:
         """Old gateways to compare with: while there are controls, these alone."""
         old = [name for name in self.domains if self.ordered[name] not in NEW_RELEASES]
         return [name for name in old if name in self.controls] or old
 
-    def not_restored(self) -> list[str]:
+    def unrestored_gateways(self) -> list[str]:
         """Gateways that are still to be brought back in a rollback."""
         return [
             name
             for name in self.domains
-            if self.ordered[name] != self.target(name) or not self.confirmed[name]
+            if self.ordered[name] != self.target_release(name) or not self.confirmed[name]
         ]
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -186,7 +186,7 @@
         "controller": is_running,
         "managers": machine.ordered,
         "unconfirmed": _unconfirmed(machine),
-        "owed": machine.not_restored() if machine.is_rolling_back else [],
+        "owed": machine.unrestored_gateways() if machine.is_rolling_back else [],
     }
 
 
@@ -194,7 +194,7 @@
     stage = _stage_name(machine)
     at_stage = f" at stage {stage}" if stage else ""
     reason = f" ({machine.reason})" if machine.reason else ""
-    changed = ", ".join(machine.new) or "none"
+    changed = ", ".join(machine.new_gateways) or "none"
     unconfirmed = ", ".join(_unconfirmed(machine)) or "none"
     lines = [
         f"{record.name}: {_status_text(machine)}{at_stage}{reason}",
--- a/vanerelay/rollout/controller.py
+++ b/vanerelay/rollout/controller.py
@@ -62,33 +62,38 @@
         self,
         reactor: Any,
         rollout_plan: RolloutPlan,
-        record: ChangeLog,
-        say: Callable[[str], None],
+        change_log: ChangeLog,
+        print_line: Callable[[str], None],
         node: RpcNode | None = None,
     ) -> None:
         """`say` is called with each line for people; `node` sends requests, one of its own by default."""
-        self._reactor, self._rollout_plan, self._record, self._say = reactor, rollout_plan, record, say
+        self._reactor, self._rollout_plan, self._change_log, self._print_line = (
+            reactor,
+            rollout_plan,
+            change_log,
+            print_line,
+        )
         self._plan = rollout_plan.plan
         self._clock, self._node = Clock(), node or RpcNode(reactor)
         self._observer = GatewayObserver(self._node, self._clock, rollout_plan)
         self.analysis = CanaryAnalysis(rollout_plan.guards, rollout_plan.terms)
         self.machine = StageMachine(self._plan)
-        self._gateways_ordering = set[str]()  # that have not replied to an order yet
+        self._gateways_with_open_order = set[str]()  # that have not replied to an order yet
         self.done: Deferred[ControllerResult] = Deferred()
         self._started_at = 0
         self._last_line = ""
-        self._has_claimed = self._is_stopped = False
-        self._is_affirming = False  # whether gateways are asked if our fence counts
-        self._gave_orders = False  # whether a fence of this process was ever accepted
+        self._holds_fence = self._is_stopped = False
+        self._is_checking_fence = False  # whether gateways are asked if our fence counts
+        self._fence_was_accepted = False  # whether a fence of this process was ever accepted
         self._lease = self._controller_lease()
 
     def _controller_lease(self) -> ControllerLease | None:
         leases = self._rollout_plan.leases
         if leases is None:
             return None
-        addresses = {name: one.address for name, one in self._rollout_plan.gateways.items()}
+        addresses = {name: gateway.address for name, gateway in self._rollout_plan.gateways.items()}
         return ControllerLease(
-            self._reactor, self._node, self._plan.name, leases, addresses, self._lease_lost
+            self._reactor, self._node, self._plan.name, leases, addresses, self._handle_lost_lease
         )
 
     def start(self, resumed: bool) -> Deferred[ControllerResult]:
@@ -98,57 +103,57 @@
         self._started_at = self._clock.now()
         if self._lease is not None:
             self._lease.start()
-        self._turn()
+        self._run_cycle()
         return self.done
 
     def _restore(self) -> None:
-        self.machine = StageMachine.replayed(self._plan, self._record.events())
+        self.machine = StageMachine.replayed(self._plan, self._change_log.events())
         self.machine.resume(self._clock.now())
-        baseline = messages.decode(self._record.baseline(), Baseline)
+        baseline = messages.decode(self._change_log.baseline(), Baseline)
         if baseline is not None:
             self.analysis.restore(baseline)
         self.analysis.begin_stage(self._clock.now())
 
-    def _lease_lost(self) -> None:
+    def _handle_lost_lease(self) -> None:
         """Another controller may act from now on; ours waits until the lease is ours again."""
         if self._is_stopped:
             return
-        self._has_claimed = False
-        self._tell("the lease is lost: nothing is ordered until it is held again")
+        self._holds_fence = False
+        self._report("the lease is lost: nothing is ordered until it is held again")
 
     # Regular turns.
 
-    def _turn(self) -> None:
+    def _run_cycle(self) -> None:
         if self._is_stopped:
             return
-        self._reactor.callLater(self._rollout_plan.terms.slice_duration / SECOND, self._turn)
+        self._reactor.callLater(self._rollout_plan.terms.slice_duration / SECOND, self._run_cycle)
         self._observer.poll()
         try:
-            self._follow_commands()
-            if not self._has_claimed:
-                self._claim()
+            self._apply_commands()
+            if not self._holds_fence:
+                self._claim_fence()
                 return
-            self._analyse()
-            if not self._is_affirming:
-                self._confirm()
-                self._act()
+            self._feed_analysis()
+            if not self._is_checking_fence:
+                self._record_confirmations()
+                self._perform_step()
         except ChangeLogError as error:
             # What can't be recorded is not done; what is, goes on as it is.
-            self._tell(f"nothing is moved: {error}")
+            self._report(f"nothing is moved: {error}")
 
-    def _follow_commands(self) -> None:
+    def _apply_commands(self) -> None:
         """Takes the commands that operators have left in the record."""
-        for command in self._record.take_commands():
+        for command in self._change_log.take_commands():
             now = self._clock.now()
             if command == Command.ROLL_BACK and not self.machine.is_rolling_back:
-                self._note(Event(EventKind.ROLLBACK, now, reason="ordered by an operator"))
+                self._record_event(Event(EventKind.ROLLBACK, now, reason="ordered by an operator"))
             elif command == Command.PAUSE:
-                self._note(Event(EventKind.PAUSED, now))
+                self._record_event(Event(EventKind.PAUSED, now))
             elif command == Command.RESUME:
-                self._note(Event(EventKind.RESUMED, now))
+                self._record_event(Event(EventKind.RESUMED, now))
                 self.analysis.begin_stage(now)
 
-    def _analyse(self) -> None:
+    def _feed_analysis(self) -> None:
         """Passes what came since the last turn to the canary analysis."""
         now, machine = self._clock.now(), self.machine
         samples = self._observer.take_samples()
@@ -156,57 +161,57 @@
             self.analysis.add_baseline_slice(samples)
             return
         confirmed = {name for name in samples if machine.confirmed[name]}
-        new, old = confirmed & set(machine.new), machine.comparable()
+        new, old = confirmed & set(machine.new_gateways), machine.comparison_gateways()
         self.analysis.add_stage_slice(now, samples, new, confirmed & set(old), no_old_left=not old)
 
-    def _confirm(self) -> None:
+    def _record_confirmations(self) -> None:
         """Records which gateways run what they were ordered."""
         machine, now = self.machine, self._clock.now()
         for name, status in self._observer.statuses().items():
-            is_back = machine.controls.get(name) is False and not self._observer.awaits_restart(name)
+            has_restarted = machine.controls.get(name) is False and not self._observer.awaits_restart(name)
             runs_ordered = status.is_serving and machine.ordered[name] in status.releases
-            if not runs_ordered or not machine.has_last_order(name, status):
+            if not runs_ordered or not machine.has_accepted_last_order(name, status):
                 continue
-            if not machine.confirmed[name] or is_back:
-                self._note(Event(EventKind.CONFIRMED, now, name))
+            if not machine.confirmed[name] or has_restarted:
+                self._record_event(Event(EventKind.CONFIRMED, now, name))
 
-    def _act(self) -> None:
+    def _perform_step(self) -> None:
         """Takes the one step that is due."""
         now, machine, baseline_time = self._clock.now(), self.machine, self._rollout_plan.baseline_time
         is_observing = machine.stage < 0 and not machine.is_rolling_back
         if is_observing and now - self._started_at < baseline_time:
-            self._tell(f"watching for {baseline_time / SECOND:.0f} s before anything is changed")
+            self._report(f"watching for {baseline_time / SECOND:.0f} s before anything is changed")
             return
         step = machine.next_step(now, self._observer.statuses())
         match step.action:
             case Action.WAIT:
-                self._tell(step.reason)
+                self._report(step.reason)
             case Action.BEGIN_STAGE:
                 self._begin_stage(now)
             case Action.UNCLEAR:
-                self._note(machine.unclear(now, step.reason))
+                self._record_event(machine.unclear_event(now, step.reason))
             case Action.ASSESS:
                 self._assess(now, step)
             case Action.END:
-                self._note(Event(EventKind.ENDED, now, target=step.target))
-                self._end(step.target, machine.reason)
+                self._record_event(Event(EventKind.ENDED, now, target=step.target))
+                self._finish(step.target, machine.reason)
             case Action.ORDER | Action.RESTART_CONTROL:
-                self._order(now, step)
+                self._issue_order(now, step)
 
     def _begin_stage(self, now: int) -> None:
         if self.machine.stage < 0:
-            self._record.save_baseline(messages.encode(self.analysis.baseline()))
-        self._note(Event(EventKind.STAGE, now, stage=self.machine.stage + 1))
+            self._change_log.save_baseline(messages.encode(self.analysis.baseline()))
+        self._record_event(Event(EventKind.STAGE, now, stage=self.machine.stage + 1))
         self.analysis.begin_stage(now)
 
     def _assess(self, now: int, step: Step) -> None:
-        verdict = self.analysis.verdict(self.machine.new)
-        event = self.machine.assessed(now, verdict, step.reason)
+        verdict = self.analysis.verdict(self.machine.new_gateways)
+        event = self.machine.assessment_event(now, verdict, step.reason)
         if event is not None:
-            self._note(event)
+            self._record_event(event)
             return
         reason = step.reason or "; ".join(verdict.reasons) or "looked at"
-        self._tell(f"stage {self._stage_name()}: {reason}")
+        self._report(f"stage {self._stage_name()}: {reason}")
 
     def _stage_name(self) -> str:
         stages, stage = self._plan.stages, self.machine.stage
@@ -214,54 +219,64 @@
 
     # The fence: one controller at a time.
 
-    def _claim(self) -> None:
+    def _claim_fence(self) -> None:
         """Claims a fence above all that are heard of: recorded before it is used, accepted by a majority."""
-        heard, count = self._observer.fences_heard(), self._observer.gateway_count
-        if not is_quorum(len(heard), count) or self._is_affirming:
-            self._tell(f"{len(heard)} of {count} managers heard: waiting for more than half")
+        reported_fences, gateway_count = self._observer.fences_heard(), self._observer.gateway_count
+        if not is_quorum(len(reported_fences), gateway_count) or self._is_checking_fence:
+            self._report(
+                f"{len(reported_fences)} of {gateway_count} managers heard: waiting for more than half"
+            )
             return
-        highest = max([self._record.fence, *heard])
-        fence = highest + 1 if self._lease is None else self._fence_of_lease(self._lease, highest)
+        highest_reported = max([self._change_log.fence, *reported_fences])
+        fence = (
+            highest_reported + 1 if self._lease is None else self._lease_fence(self._lease, highest_reported)
+        )
         if fence is None:
             return
-        self._record.set_fence(fence)
-        self._is_affirming = True
+        self._change_log.set_fence(fence)
+        self._is_checking_fence = True
 
-        def affirmed(accepted: int) -> None:
-            self._is_affirming = False
-            self._has_claimed = is_quorum(accepted, count)
-            self._gave_orders = self._gave_orders or self._has_claimed
-            if self._has_claimed:
-                self._tell(f"fence {fence} taken by {accepted} of {count} managers")
+        def fence_checked(accepted: int) -> None:
+            self._is_checking_fence = False
+            self._holds_fence = is_quorum(accepted, gateway_count)
+            self._fence_was_accepted = self._fence_was_accepted or self._holds_fence
+            if self._holds_fence:
+                self._report(f"fence {fence} taken by {accepted} of {gateway_count} managers")
 
-        self._affirm(affirmed)
+        self._check_fence(fence_checked)
 
-    def _fence_of_lease(self, lease: ControllerLease, highest: int) -> int | None:
+    def _lease_fence(self, lease: ControllerLease, highest_reported: int) -> int | None:
         """The lease's token, which is above those of all holders before; None where it can't be used."""
-        token, recorded = lease.fence(), self._record.fence
-        others_acted = highest > recorded or token is not None and token > recorded + 1
-        if self._gave_orders and others_acted:
+        token, recorded_fence = lease.fence(), self._change_log.fence
+        other_held_lease = (
+            highest_reported > recorded_fence or token is not None and token > recorded_fence + 1
+        )
+        if self._fence_was_accepted and other_held_lease:
             # What another controller has done since is not ours to undo: an operator may resume.
-            self._end(ControllerEnd.FENCED, f"another controller has held the lease after fence {recorded}")
+            self._finish(
+                ControllerEnd.FENCED, f"another controller has held the lease after fence {recorded_fence}"
+            )
             return None
-        if token is None or token < highest:
-            self._tell("waiting for the lease: another controller may hold it")
+        if token is None or token < highest_reported:
+            self._report("waiting for the lease: another controller may hold it")
             return None
         return token
 
-    def _affirm(self, affirmed: Callable[[int], None]) -> None:
+    def _check_fence(self, fence_checked: Callable[[int], None]) -> None:
         """Asks all gateways whether our fence still counts; `affirmed` gets how many say so."""
-        claim = messages.encode(messages.Order(self._record.fence, self._plan.name))
+        claim = messages.encode(messages.Order(self._change_log.fence, self._plan.name))
 
         def replied(results: list[tuple[bool, Any]]) -> None:
             if self._is_stopped:
                 return
-            replies = [messages.decode(body, messages.OrderReply) for good, body in results if good]
-            higher = [one for one in replies if one is not None and one.fence > self._record.fence]
-            if higher and self._has_claimed:
-                self._end(ControllerEnd.FENCED, higher[0].reason)
+            replies = [messages.decode(body, messages.OrderReply) for succeeded, body in results if succeeded]
+            higher = [
+                reply for reply in replies if reply is not None and reply.fence > self._change_log.fence
+            ]
+            if higher and self._holds_fence:
+                self._finish(ControllerEnd.FENCED, higher[0].reason)
                 return
-            affirmed(sum(one is not None and one.accepted for one in replies))
+            fence_checked(sum(reply is not None and reply.accepted for reply in replies))
 
         gateways = self._rollout_plan.gateways.values()
         for gateway in gateways:
@@ -277,37 +292,37 @@
 
     # Orders.
 
-    def _order(self, now: int, step: Step) -> None:
+    def _issue_order(self, now: int, step: Step) -> None:
         """Gives an order: recorded, then affirmed by a majority, then sent."""
         name = step.gateway
-        if name in self._gateways_ordering:
+        if name in self._gateways_with_open_order:
             return
-        if self._lease is not None and self._lease.fence() != self._record.fence:
-            self._tell(f"the lease is not held: {name} is not ordered now")
+        if self._lease is not None and self._lease.fence() != self._change_log.fence:
+            self._report(f"the lease is not held: {name} is not ordered now")
             return
         is_control, number = step.action is Action.RESTART_CONTROL, self.machine.event_count + 1
         kind = EventKind.CONTROL if is_control else EventKind.ORDERED
-        fence, stage = self._record.fence, self.machine.stage
-        self._note(Event(kind, now, name, fence, number, step.target, stage, step.reason))
-        self._is_affirming = True
+        fence, stage = self._change_log.fence, self.machine.stage
+        self._record_event(Event(kind, now, name, fence, number, step.target, stage, step.reason))
+        self._is_checking_fence = True
 
-        def affirmed(accepted: int) -> None:
-            self._is_affirming = False
+        def fence_checked(accepted: int) -> None:
+            self._is_checking_fence = False
             if is_quorum(accepted, self._observer.gateway_count):
                 self._send_order(name, step.target, is_control, number)
                 return
-            fence = self._record.fence
-            self._tell(f"fence {fence} affirmed by {accepted} only: {name} is not ordered now")
+            fence = self._change_log.fence
+            self._report(f"fence {fence} affirmed by {accepted} only: {name} is not ordered now")
 
-        self._affirm(affirmed)
+        self._check_fence(fence_checked)
 
     def _send_order(self, name: str, target: str, is_control: bool, number: int) -> None:
         restarts, gateway = self._plan.restarts, self._rollout_plan.gateways[name]
         program_kind = OrderKind.RESTART if is_control else OrderKind.PROGRAM
         kind = program_kind if restarts or is_control else OrderKind.SETTINGS
         body = self._rollout_plan.bodies[target]
-        order = messages.Order(self._record.fence, self._plan.name, kind.value, body, number)
-        self._gateways_ordering.add(name)
+        order = messages.Order(self._change_log.fence, self._plan.name, kind.value, body, number)
+        self._gateways_with_open_order.add(name)
         if restarts:
             self._observer.expect_restart(name)
         address = gateway.supervisor if restarts else gateway.address
@@ -316,49 +331,49 @@
             address, messages.ORDER_KIND, messages.encode(order), timeout_s
         )
 
-        def no_reply(failure: Failure) -> None:
-            self._tell(f"{name}: {failure.getErrorMessage()}")
+        def request_failed(failure: Failure) -> None:
+            self._report(f"{name}: {failure.getErrorMessage()}")
 
-        def not_recorded(failure: Failure) -> None:
-            self._tell(f"nothing is moved: {failure.getErrorMessage()}")
+        def recording_failed(failure: Failure) -> None:
+            self._report(f"nothing is moved: {failure.getErrorMessage()}")
 
         def finished(_: Any) -> None:
-            self._gateways_ordering.discard(name)
+            self._gateways_with_open_order.discard(name)
 
-        reply.addCallbacks(lambda body: self._order_replied(name, body), no_reply)
-        reply.addErrback(not_recorded).addBoth(finished)
+        reply.addCallbacks(lambda body: self._order_replied(name, body), request_failed)
+        reply.addErrback(recording_failed).addBoth(finished)
 
     def _order_replied(self, name: str, body: bytes) -> None:
         reply = messages.decode(body, messages.OrderReply)
         if reply is None or reply.accepted or self._is_stopped:
             return
         self._observer.expect_no_restart(name)
-        if reply.fence > self._record.fence:
-            self._end(ControllerEnd.FENCED, reply.reason)
+        if reply.fence > self._change_log.fence:
+            self._finish(ControllerEnd.FENCED, reply.reason)
         elif reply.failed and not self.machine.is_rolling_back:
-            self._note(self.machine.failed(self._clock.now(), name, reply.reason))
+            self._record_event(self.machine.failure_event(self._clock.now(), name, reply.reason))
         else:
-            self._tell(f"{name}: {reply.reason}")
+            self._report(f"{name}: {reply.reason}")
 
     # Records and lines for people.
 
-    def _note(self, event: Event) -> None:
+    def _record_event(self, event: Event) -> None:
         """Records an event, then applies it.
 
         Raises:
             ChangeLogError: it can't be recorded, and is not applied.
         """
-        self._record.append(event)
+        self._change_log.append(event)
         self.machine.apply(event)
-        self._tell(describe(event, self._plan))
+        self._report(describe(event, self._plan))
 
-    def _tell(self, text: str) -> None:
+    def _report(self, text: str) -> None:
         """Says a line for people, but for one that was just said."""
         if text and text != self._last_line:
             self._last_line = text
-            self._say(text)
+            self._print_line(text)
 
-    def _end(self, end: str, reason: str = "") -> None:
+    def _finish(self, end: str, reason: str = "") -> None:
         if not self._is_stopped:
             result = ControllerResult(end, reason, sorted(self.machine.ever_changed))
             self.stop().addCallback(lambda _: self.done.callback(result))
--- a/vanerelay/rollout/controller_lease.py
+++ b/vanerelay/rollout/controller_lease.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class _SoleMember:
+class _SingleMemberDetector:
     """All that a controller sees of the fleet's membership: itself."""
 
     own: Member
@@ -41,7 +41,7 @@
     def __init__(self, node: RpcNode, name: str, addresses: Mapping[str, str]) -> None:
         self.rpc, self.name, self._addresses = node, name, addresses
         own = Member(name, 1, state="serving")
-        self.detector = _SoleMember(own, {name: own})
+        self.detector = _SingleMemberDetector(own, {name: own})
 
     def call(self, name: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
         """Sends a request to a gateway of the plan."""
@@ -65,8 +65,8 @@
     ) -> None:
         """`on_lost` is called when the lease was ours and is no more."""
         fleet: Any = _ControllerFleet(node, f"controller {name}", addresses)
-        process = int.from_bytes(os.urandom(PROCESS_ID_BYTES), "big")
-        self._leases = Leases(reactor, fleet, config, random.Random(process), process, None)
+        process_id = int.from_bytes(os.urandom(PROCESS_ID_BYTES), "big")
+        self._leases = Leases(reactor, fleet, config, random.Random(process_id), process_id, None)
 
         def acquired(_: LeaseHolder) -> None:
             """The controller looks at `fence` in its own turn."""
--- a/vanerelay/rollout/gateway_observer.py
+++ b/vanerelay/rollout/gateway_observer.py
@@ -136,7 +136,7 @@
     def _status(self, gateway: _ObservedGateway, state: GatewayState) -> GatewayStatus:
         restarts = self._rollout_plan.plan.restarts
         last_order = gateway.supervisor_order if restarts else (state.fence, state.last_order)
-        releases = self._rollout_plan.releases_run(state.settings, state.release)
+        releases = self._rollout_plan.matching_releases(state.settings, state.release)
         return GatewayStatus(releases, state.state == SERVING_STATE, _load(gateway, state), last_order)
 
     def take_samples(self) -> dict[str, GatewaySample]:
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -24,7 +24,7 @@
 
 T = TypeVar("T")
 
-DEFAULT_MAX_AWAY = 60 * SECOND
+DEFAULT_MAX_CONFIRMATION_TIME = 60 * SECOND
 DEFAULT_BASELINE_TIME = 20 * SECOND
 STAGE_SIZES = {"managers": "gateways", "part": "fraction", "domain": "domain"}
 """Keys of a stage, one of which says how far it goes, with the fields that they fill."""
@@ -88,7 +88,7 @@
     shared_settings: tuple[str, ...] = ()
     leases: LeasesConfig | None = None
 
-    def releases_run(self, settings: str, program: str) -> frozenset[str]:
+    def matching_releases(self, settings: str, program: str) -> frozenset[str]:
         """Which releases a gateway runs that reports this settings digest and this program."""
         reported = program if self.change.program else settings
         return frozenset(name for name, digest in self.digests.items() if digest == reported)
@@ -101,17 +101,17 @@
         OperatorConfigError: with the line of what is wrong.
     """
     document = read_file(path)
-    change_block, members = document.find_block("change"), document.blocks("member")
+    change_block, member_blocks = document.find_block("change"), document.blocks("member")
     stage_blocks, guard_blocks = document.blocks("stage"), document.blocks("guard")
-    if change_block is None or not members or not stage_blocks:
+    if change_block is None or not member_blocks or not stage_blocks:
         raise document.error("no change, member or stage, expected one change and at least one of each")
-    gateways = {block.label: _filled(block, GatewayAddress, name=block.label) for block in members}
-    change = _filled(change_block, Change)
+    gateways = {block.label: _fill(block, GatewayAddress, name=block.label) for block in member_blocks}
+    change = _fill(change_block, Change)
     old, new = _read_releases(change_block, change, Path(path).parent)
     stages = tuple(_read_stage(block, gateways) for block in stage_blocks)
-    terms = _only(document, "judge", AnalysisTerms, stages=len(stages))
-    limits = _only(document, "away", AvailabilityLimits)
-    bodies, digests = _orders(change, old, new)
+    terms = _read_optional(document, "judge", AnalysisTerms, stages=len(stages))
+    limits = _read_optional(document, "away", AvailabilityLimits)
+    bodies, digests = _order_bodies(change, old, new)
     name = document.attribute("name", str, Path(path).stem)
     leases = document.find_block("leases")
     plan = Plan(
@@ -125,10 +125,10 @@
         restarts=bool(change.program),
         control_restarts=document.attribute("control", int, 1 if change.program else 0),
         max_stage_time=terms.max_stage_time,
-        max_away_time=document.attribute("away_for", Duration, DEFAULT_MAX_AWAY),
+        max_confirmation_time=document.attribute("away_for", Duration, DEFAULT_MAX_CONFIRMATION_TIME),
     )
     class_names = [str(one["name"]) for one in (new or old or {}).get("classes", ())]
-    loaded = RolloutPlan(
+    rollout_plan = RolloutPlan(
         plan=plan,
         terms=terms,
         guards=_read_guards(guard_blocks, class_names),
@@ -143,7 +143,7 @@
         shared_settings=_shared_settings(old, new),
     )
     document.reject_unknown()
-    return loaded
+    return rollout_plan
 
 
 def _shared_settings(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[str, ...]:
@@ -188,7 +188,7 @@
     return dict(settings)
 
 
-def _orders(
+def _order_bodies(
     change: Change, old: dict[str, Any], new: dict[str, Any]
 ) -> tuple[Mapping[str, bytes], Mapping[str, str]]:
     """What is ordered for each release, and by which digest a gateway is known to run it."""
@@ -206,17 +206,17 @@
         Release.NEW_STRICT: settings_diff.stricter(new, old),
         Release.NEW: new,
     }
-    bodies = {name: _shared_body(one) for name, one in settings.items()}
+    bodies = {name: _encode_shared_settings(one) for name, one in settings.items()}
     return bodies, {name: release.settings(one) for name, one in settings.items()}
 
 
-def _shared_body(settings: Mapping[str, Any]) -> bytes:
+def _encode_shared_settings(settings: Mapping[str, Any]) -> bytes:
     """Settings as they are ordered: without those that each gateway has of its own."""
     return json.dumps({key: value for key, value in settings.items() if key not in release.OWN}).encode()
 
 
 def _read_stage(block: Block, gateways: Mapping[str, GatewayAddress]) -> Stage:
-    stage = _filled(block, Stage, name=block.label)
+    stage = _fill(block, Stage, name=block.label)
     given = [key for key, field in STAGE_SIZES.items() if getattr(stage, field)]
     if len(given) != 1:
         raise block.error(f"stage {block.label}: expected one of managers, part, domain")
@@ -235,23 +235,23 @@
     for block in blocks:
         if class_names and block.label not in class_names:
             raise block.error(f"guard {block.label!r}, expected one of {', '.join(class_names)}")
-        guards[block.label] = _filled(block, Guard)
+        guards[block.label] = _fill(block, Guard)
     return guards
 
 
 def _failure_action(document: Block, key: str, default: FailureAction) -> FailureAction:
-    written = document.attribute(key, str, default.value)
-    if written not in {action.value for action in FailureAction}:
-        raise document.error(f"{key}: {written!r}, expected back or hold", key)
-    return FailureAction(written)
+    action_name = document.attribute(key, str, default.value)
+    if action_name not in {action.value for action in FailureAction}:
+        raise document.error(f"{key}: {action_name!r}, expected back or hold", key)
+    return FailureAction(action_name)
 
 
-def _only(document: Block, name: str, kind: type[T], **given: Any) -> T:
+def _read_optional(document: Block, name: str, kind: type[T], **given: Any) -> T:
     block = document.find_block(name)
-    return _filled(block, kind, **given) if block is not None else kind(**given)
+    return _fill(block, kind, **given) if block is not None else kind(**given)
 
 
-def _filled(block: Block, kind: type[T], **given: Any) -> T:
-    filled = block.fill(kind, **given)
+def _fill(block: Block, kind: type[T], **given: Any) -> T:
+    instance = block.fill(kind, **given)
     block.reject_unknown()
-    return filled
+    return instance
