--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""Canary analysis on known differences: what is found, how soon, and what is blamed on nobody."""
+"""Canary analysis of known differences: which are found, how soon, and which count against no release."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     return SampleGenerator(seed, 6, 30, classes={"look": 1.0})
 
 
-def run_stage(seed, slices=300, before=60, conditions=lambda n: {}, loss=Loss()):  # noqa: B008
-    """How a stage over two of six gateways ends, and after how many slices."""
+def run_stage(seed, slices=300, baseline_slices=60, conditions=lambda n: {}, loss=Loss()):  # noqa: B008
+    """Runs a stage over two of six gateways; returns the verdict and the number of slices until it."""
     gateways, analysis = (
         generator_of(seed),
         CanaryAnalysis({"look": Guard(0.01, 0.05)}, AnalysisTerms(settle_time=0)),
     )
-    for number in range(before):
-        analysis.add_baseline_slice(gateways.second(**conditions(number - before)))
+    for number in range(baseline_slices):
+        analysis.add_baseline_slice(gateways.second(**conditions(number - baseline_slices)))
     analysis.begin_stage(0)
     new, old = gateways.names[:2], gateways.names[2:]
     for number in range(1, slices):
@@ -33,17 +33,17 @@
 
 
 @pytest.mark.parametrize(
-    "loss, within",
+    "loss, max_slices",
     [(Loss(late=0.2), 40), (Loss(late=0.08), 200), (Loss(failed=0.1), 60), (Loss(slower=3.0), 40)],
 )
-def test_a_loss_is_found_in_time(loss, within):
+def test_stage_is_assessed_worse_within_the_given_slices_when_the_release_has_a_loss(loss, max_slices):
     for seed in range(5):
-        verdict, after = run_stage(seed, loss=loss)
-        assert verdict.assessment is Assessment.WORSE and after <= within, (seed, verdict, after)
+        verdict, slices = run_stage(seed, loss=loss)
+        assert verdict.assessment is Assessment.WORSE and slices <= max_slices, (seed, verdict, slices)
 
 
 @pytest.mark.parametrize(
-    "watched",
+    "conditions",
     [
         lambda n: {},
         lambda n: {"burst": 3.0, "common": 0.3} if 10 <= n < 30 else {},
@@ -51,12 +51,12 @@
     ],
     ids=["calm", "a burst", "a bad engine for all"],
 )
-def test_a_change_without_effect_passes_and_what_hits_both_sides_is_blamed_on_neither(conditions):
+def test_stage_without_effect_passes_when_conditions_change_for_both_sides(conditions):
     assessments = [run_stage(seed, conditions=conditions)[0].assessment for seed in range(20)]
     assert Assessment.WORSE not in assessments and assessments.count(Assessment.FINE) >= 16
 
 
-def test_too_little_evidence_never_passes():
+def test_stage_waits_when_there_are_too_few_blocks():
     analysis = CanaryAnalysis({"look": Guard()}, AnalysisTerms(settle_time=0))
     assert analysis.verdict(["m0"]).assessment is Assessment.WAIT
     gateways = generator_of(1)
@@ -67,14 +67,16 @@
 
 
 @pytest.mark.parametrize(
-    "loss, other, assessment, says",
+    "loss, other, assessment, expected_reason",
     [
         (Loss(), {"deaths": 1}, Assessment.WORSE, "ended by themselves"),
         (Loss(), {"memory": 0.9}, Assessment.WORSE, "memory"),
         (Loss(late=0.3), {"unreachable_engines": 3}, Assessment.WAIT, "reach"),
     ],
 )
-def test_processes_and_links(loss, other, assessment, expected_reason):
+def test_verdict_depends_on_process_deaths_memory_and_unreachable_engines(
+    loss, other, assessment, expected_reason
+):
     gateways, analysis = generator_of(2), CanaryAnalysis({"look": Guard()}, AnalysisTerms(settle_time=2))
     new, old = gateways.names[:2], gateways.names[2:]
     analysis.add_baseline_slice(gateways.second())
@@ -88,36 +90,39 @@
     ), verdict
 
 
-def test_a_release_that_crowds_the_others_out_is_found():
+def test_stage_is_assessed_worse_when_new_gateways_crowd_out_the_old_ones():
     gateways, analysis = generator_of(4), CanaryAnalysis({"look": Guard()}, AnalysisTerms(settle_time=0))
     for _ in range(40):
         analysis.add_baseline_slice(
-            {name: GatewaySample(one.counts, engine_share=0.1) for name, one in gateways.second().items()}
+            {
+                name: GatewaySample(sample.counts, engine_share=0.1)
+                for name, sample in gateways.second().items()
+            }
         )
     analysis.begin_stage(0)
     new, old = gateways.names[:2], gateways.names[2:]
     for number in range(1, 60):
         samples = {
-            name: GatewaySample(one.counts, engine_share=0.4 if name in new else 0.1)
-            for name, one in gateways.second(old, Loss(late=0.15)).items()
+            name: GatewaySample(sample.counts, engine_share=0.4 if name in new else 0.1)
+            for name, sample in gateways.second(old, Loss(late=0.15)).items()
         }
         analysis.add_stage_slice(number, samples, new, old)
     verdict = analysis.verdict(new)
     assert verdict.assessment is Assessment.WORSE and "of the engines" in verdict.reasons[-1], verdict
 
 
-def test_a_baseline_outlives_its_controller():
-    gateways, one, other = (
+def test_baseline_is_unchanged_when_it_is_restored_in_another_analysis():
+    gateways, original, restored = (
         generator_of(1),
         CanaryAnalysis({"look": Guard()}, AnalysisTerms()),
         CanaryAnalysis({"look": Guard()}, AnalysisTerms()),
     )
     for _ in range(40):
-        one.add_baseline_slice(gateways.second())
-    other.restore(one.baseline())
-    assert other.baseline().latency_counts == one.baseline().latency_counts
+        original.add_baseline_slice(gateways.second())
+    restored.restore(original.baseline())
+    assert restored.baseline().latency_counts == original.baseline().latency_counts
     assert (
-        [row[4:] for row in other.baseline().differences]
-        == [pytest.approx(row[4:]) for row in one.baseline().differences]
+        [row[4:] for row in restored.baseline().differences]
+        == [pytest.approx(row[4:]) for row in original.baseline().differences]
         != []
     )
--- a/tests/test_stage_machine.py
+++ b/tests/test_stage_machine.py
@@ -1,4 +1,4 @@
-"""The machine of stages: courses of a change, and all orders of crashes, losses and late orders."""
+"""The stage machine: typical courses of a change, and all interleavings of crashes, losses and delays."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 def statuses_of(machine, unreachable=(), **runs):
+    """Returns the statuses of gateways that run what they were ordered, except those given in `runs`."""
     return {
         name: GatewayStatus(frozenset({runs.get(name, machine.ordered[name])}), True)
         for name in machine.domains
@@ -24,7 +25,7 @@
 
 
 def event_after(machine, step, now, verdicts):
-    """The event that follows a step; None where nothing is recorded."""
+    """Returns the event that follows a step; None if none is recorded."""
     match step.action:
         case Action.ORDER:
             return Event(EventKind.ORDERED, now, step.gateway, target=step.target)
@@ -40,7 +41,7 @@
 
 
 def run_machine(machine, verdicts, unreachable=lambda now: (), until=400):
-    """Runs a machine against gateways that do as they are ordered; the events."""
+    """Runs a machine against gateways that follow every order; returns the events."""
     events = []
 
     def record(event):
@@ -64,7 +65,7 @@
     return lambda machine: Verdict(assessment, ("why",))
 
 
-def test_a_good_change_goes_through_all_stages():
+def test_change_reaches_all_gateways_when_every_stage_passes():
     machine = StageMachine(PLAN)
     events = run_machine(machine, verdict(Assessment.FINE))
     assert machine.outcome == "done" and set(machine.ordered.values()) == {Release.NEW}
@@ -72,7 +73,7 @@
     assert StageMachine.replayed(PLAN, events).ordered == machine.ordered
 
 
-def test_a_worse_change_is_rolled_back_and_does_not_wait_for_the_unreachable():
+def test_change_is_rolled_back_without_waiting_for_an_unreachable_gateway_when_a_stage_is_worse():
     machine = StageMachine(PLAN)
     events = run_machine(machine, verdict(Assessment.WORSE), lambda now: ("m3",) if now > 1 else ())
     assert (
@@ -83,7 +84,7 @@
     assert next(e for e in events if e.kind == "back").reason == "why"
 
 
-def test_without_evidence_it_holds_and_a_gateway_that_is_not_heard_stops_the_next_stage():
+def test_change_stays_in_its_stage_when_evidence_or_the_status_of_a_gateway_is_missing():
     machine = StageMachine(PLAN)
     run_machine(machine, verdict(Assessment.WAIT), until=150)
     assert machine.is_held and len(machine.ever_changed) == 1
@@ -92,12 +93,12 @@
     assert len(machine.ever_changed) == 1 and not machine.outcome
 
 
-def test_less_than_half_heard_moves_nothing():
+def test_nothing_is_ordered_when_no_majority_of_gateways_reports():
     machine = StageMachine(PLAN)
     assert machine.next_step(0, statuses_of(machine, ("m0", "m1"))).action is Action.WAIT
 
 
-def test_a_gateway_that_comes_back_with_another_release_is_ordered_to_its_own():
+def test_gateway_is_ordered_to_its_target_again_when_it_reports_another_release():
     machine = StageMachine(PLAN)
     step = machine.next_step(0, statuses_of(machine, m2="last week's"))
     assert (step.action, step.gateway, step.target) == (Action.ORDER, "m2", Release.OLD)
@@ -109,17 +110,18 @@
 
 
 class Exploration:
-    """All orders of what can happen to two controllers in turn, to their orders, and to gateways.
+    """Explores all interleavings of what can happen to two successive controllers, their orders and gateways.
 
-    An order arrives late or never; a controller dies between record and action; the first one's last order is
-    sent when it wakes up long after. A state is: the events on record, the gateways (what each runs, fence
-    and number of its last order), the orders on their way, and the fence of the controller that acts.
+    An order is delayed or lost. A controller dies between recording an event and acting on it. The first
+    controller's last order is sent long after the second one has taken over. A state has four parts: the
+    recorded events, the gateways (what each runs, and the fence and number of its last order), the orders in
+    flight, and the fence of the acting controller.
     """
 
     MAX_EVENTS, MAX_ORDERS_IN_FLIGHT, MAX_FENCE = 9, 2, 2
 
     def __init__(self, plan, fenced=True, recorded_first=True):
-        """`fenced`, `recorded_first`: what may be broken on purpose."""
+        """Explores at once; `fenced` or `recorded_first` set to False builds in a fault."""
         self.plan, self.fenced, self.recorded_first = plan, fenced, recorded_first
         self.names = [name for name, _ in plan.gateways]
         first = ((), tuple((Release.OLD, 1, 0) for _ in self.names), (), 1)
@@ -144,13 +146,13 @@
         if machine.stage >= 0 and not machine.is_rolling_back:  # an operator's command
             rollback = Event(EventKind.ROLLBACK, len(events) * 3 * SECOND)
             self.push((*events, rollback), gateways, in_flight, fence)
-        if fence < self.MAX_FENCE:  # it dies or sleeps, and another goes on from the record
+        if fence < self.MAX_FENCE:  # it dies or is suspended, and another one resumes from the record
             last = (self.names[-1], Release.NEW, 1, 99)
             self.push(events, tuple((one[0], 2, 0) for one in gateways), (*in_flight, last), 2)
         self.take_step(machine, events, gateways, in_flight, fence)
 
     def check(self, machine, gateways, in_flight):
-        """What must never be."""
+        """Adds each violated invariant of the state to `violations`."""
         runs = {name: gateway[0] for name, gateway in zip(self.names, gateways, strict=True)}
         in_flight_to_new = {
             order[0]
@@ -169,8 +171,8 @@
                 self.violations.add("another release somewhere after the end")
 
     def deliver_or_lose(self, events, gateways, in_flight, fence):
-        for place, order in enumerate(in_flight):
-            rest = in_flight[:place] + in_flight[place + 1 :]
+        for index, order in enumerate(in_flight):
+            rest = in_flight[:index] + in_flight[index + 1 :]
             self.push(events, gateways, rest, fence)
             row = self.names.index(order[0])
             if self.accepts(gateways[row], order):
@@ -214,25 +216,25 @@
 )
 
 
-def test_all_orders_of_crashes_losses_and_late_orders():
+def test_no_invariant_is_violated_in_any_interleaving_of_crashes_losses_and_delays():
     exploration = Exploration(SMALL)
     assert len(exploration.seen) > 500 and exploration.violations == set()
 
 
-def test_the_model_finds_faults_that_are_built_in_on_purpose():
+def test_exploration_finds_violations_when_a_safeguard_is_removed():
     assert Exploration(SMALL, recorded_first=False).violations and Exploration(SMALL, fenced=False).violations
 
 
-@pytest.mark.parametrize("span", [-3600 * SECOND, 3600 * SECOND])
-def test_a_controller_that_resumes_from_its_record_waits_anew(span):
-    """The moments on record are of another process's clock, which may have been stepped since."""
+@pytest.mark.parametrize("clock_step", [-3600 * SECOND, 3600 * SECOND])
+def test_resumed_machine_starts_its_waiting_times_again_when_the_clock_was_stepped(clock_step):
+    """Recorded times are of another process's clock, which may have been stepped since."""
     machine = StageMachine(PLAN)
     name = next(iter(machine.domains))
     machine.apply(Event(EventKind.STAGE, 1000 * SECOND, stage=0))
     machine.apply(
         Event(EventKind.ORDERED, 1000 * SECOND, gateway=name, target=Release.NEW, fence=1, order_number=1)
     )
-    now = 1001 * SECOND + span
+    now = 1001 * SECOND + clock_step
     machine.resume(now)
     statuses = statuses_of(machine, unreachable=(name,))
     assert machine.next_step(now, statuses).action is not Action.UNCLEAR
--- a/vanerelay/rollout/__init__.py
+++ b/vanerelay/rollout/__init__.py
@@ -1,7 +1,7 @@
-"""Rolling changes: old and new gateways side by side, rolled back when a stage does worse.
+"""Rolling changes of settings or of the program, in stages with canary analysis and rollback.
 
-`controller` drives a change by a plan (`plan_reader`) and a record (`change_log`): `stage_machine` decides
-what is to be done next, `canary_analysis` how a stage does. `agent` is a gateway's side; `supervisor` runs a
-gateway's processes and starts the next release beside the present one. The reasons are in
-docs/design/rollout.md.
+`controller` carries out a change: `plan_reader` reads its plan, `change_log` stores its events,
+`stage_machine` decides on the next step, and `canary_analysis` compares changed with unchanged gateways.
+`agent` receives orders in a gateway. `supervisor` runs a gateway's processes and starts the next release
+beside the running one. The reasons for the design are in docs/design/rollout.md.
 """
--- a/vanerelay/rollout/canary_analysis.py
+++ b/vanerelay/rollout/canary_analysis.py
@@ -1,12 +1,12 @@
-"""Whether new gateways do worse than old ones at the same time. Pure: fed samples by slice of time.
-
-A stage is compared block by block: a block is as many slices as it takes for enough queries on the new side,
-its value the difference between what the new and the old gateways did in the very same time, less the
-difference that the same gateways showed before they were changed. So a burst, a bad engine or a lost zone,
-which both sides meet, is blamed on neither. The mean difference is held in a confidence sequence
-(Waudby-Smith, Arbour, Sinha, Kennedy, Ramdas 2021, asymptotic; the normal mixture of Robbins), which may be
-looked at at any time: over a whole change that changes nothing the probability of a stop is at most
-`false_stop_probability`. What was weighed is in docs/design/rollout.md.
+"""Assesses whether changed gateways do worse than unchanged ones at the same time. No side effects.
+
+The input is one sample of each gateway per slice of time. A stage is compared block by block: a block has as
+many slices as it takes for enough queries on both sides. Its value is the difference between the new and the
+old gateways in the same slices, less the difference that the same gateways showed before they were changed. A
+burst, a bad engine or a lost zone affects both sides and so counts against neither. The mean difference is
+bounded by a confidence sequence (Waudby-Smith, Arbour, Sinha, Kennedy, Ramdas 2021, asymptotic; with the
+normal mixture of Robbins), which is valid at every look: over a whole change without any effect, the
+probability of a stop is at most `false_stop_probability`. The alternatives are in docs/design/rollout.md.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 from vanerelay.rollout.canary_stage import MeasureSeries, StageEvidence
 
 MIN_VARIANCE_BLOCKS = 5
-"""Blocks under which a variance says nothing."""
+"""The fewest blocks from which a variance is estimated."""
 TIGHTEST_AT_BLOCKS = 30.0
-"""Blocks at about which the confidence sequence is made tightest."""
+"""The number of blocks around which the confidence sequence is narrowest."""
 MAX_REACHABILITY_GAP = 1.5
-"""Engines that new gateways reach fewer, above which a loss is laid on links and not on the release."""
+"""The difference in reached engines above which a loss is attributed to links, not to the release."""
 CROWDING_FACTOR = 1.5
-"""New gateways crowd the old ones out where they hold this many times as much of the engines."""
+"""New gateways crowd out the old ones if they hold at least this multiple of the old ones' engine share."""
 MAX_MEMORY_GROWTH = 0.25
-"""In parts of the limit: by how much more the memory of new gateways may grow."""
+"""How much more the memory of new gateways may grow, as a fraction of the memory limit."""
 MIN_DEATHS = 2
-"""Ends of processes under which they are chance."""
+"""The fewest unexpected ends of new processes that can count against the release."""
 OTHER_COMPARISONS = 3
-"""Comparisons beside the measures of each class: deaths, memory, crowding."""
+"""The comparisons besides the measures of each class: process deaths, memory, crowding out."""
 
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """What is allowed for one service class, in parts of its queries (of the attempts: in attempts).
+    """The limits for one service class, as a fraction of its queries (for attempts: in attempts per query).
 
     Attributes:
-        tolerance: within which a difference is none.
-        max_loss: the largest with which a stage may pass.
+        tolerance: The largest difference that does not count as worse.
+        max_loss: The largest loss, including its uncertainty, with which a stage may pass.
     """
 
     tolerance: float = 0.01
@@ -54,16 +54,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AnalysisTerms:
-    """How strictly, and how long, a change is analysed.
+    """The parameters of a canary analysis.
 
     Attributes:
-        false_stop_probability: of a stop without reason, over the whole change.
-        stages: how many there are.
-        block_queries: queries on the new side that make a block.
-        min_blocks: before anything passes.
-        max_stage_time: from which on a stage is held.
-        settle_time: after a change, in which nothing is counted.
-        slice_duration: how often samples are taken.
+        false_stop_probability: The probability, over the whole change, that a sound release is stopped.
+        stages: The number of stages.
+        block_queries: The queries that each compared side needs in a block.
+        min_blocks: The blocks that a service class needs before a stage can pass.
+        max_stage_time: The time after which a stage without a clear assessment ends as unclear.
+        settle_time: The time after the start of a stage in which samples are not counted.
+        slice_duration: The interval between samples.
     """
 
     false_stop_probability: float = config_field("chance", default=0.01)
@@ -76,7 +76,7 @@
 
 
 class Assessment(Enum):
-    """How a stage stands; the values are stored."""
+    """The assessment of a stage. The values are stored."""
 
     FINE = "fine"
     WORSE = "worse"
@@ -85,7 +85,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """An assessment; `reasons`: of WORSE, which figure by how much; of WAIT, what is missing."""
+    """An assessment with its reasons.
+
+    Attributes:
+        assessment: The assessment.
+        reasons: For WORSE, the figures that are worse, with the amounts; for WAIT, the missing evidence.
+    """
 
     assessment: Assessment
     reasons: tuple[str, ...] = ()
@@ -93,43 +98,48 @@
 
 @dataclass(slots=True)
 class _Findings:
-    """What speaks against the new release, and what is missing to let the stage pass."""
+    """The findings on a stage.
+
+    Attributes:
+        worse: Findings against the new release.
+        missing: Evidence that is missing before the stage can pass.
+    """
 
     worse: list[str] = field(default_factory=list)
     missing: list[str] = field(default_factory=list)
 
 
 class CanaryAnalysis:
-    """The analysis of one whole change.
+    """The canary analysis of one change.
 
-    Call `add_baseline_slice` while nothing is changed yet, `begin_stage` with each stage, then
-    `add_stage_slice` and `verdict`.
+    Call `add_baseline_slice` before the first gateway is changed, `begin_stage` at the start of each stage,
+    then `add_stage_slice` for each slice of time, and `verdict` at any time.
     """
 
     def __init__(self, guards: Mapping[str, Guard], terms: AnalysisTerms) -> None:
-        """`guards` by service class, of those that are analysed."""
+        """Sets up the analysis; `guards` has the limits of each service class to analyse."""
         self._guards, self.terms = guards, terms
-        # A probability for each comparison that can stop the change.
+        # Each comparison that can stop the change gets an equal share of the probability.
         comparisons = terms.stages * (len(guards) * len(Measure) + OTHER_COMPARISONS)
         self._probability = terms.false_stop_probability / comparisons
         self._baseline = BaselineRecorder(guards, terms.block_queries)
         self.begin_stage(0)
 
     def begin_stage(self, now: int) -> None:
-        """Another stage: it is assessed afresh, by its own share of the probability."""
+        """Begins a stage, which is assessed on its own evidence and with its own share of the probability."""
         terms = self.terms
         self._stage = StageEvidence(now, self._guards, terms.block_queries, terms.settle_time, self._baseline)
 
     def add_baseline_slice(self, samples: Mapping[str, GatewaySample]) -> None:
-        """A slice with nothing changed."""
+        """Adds the samples of one slice of time before the change."""
         self._baseline.add_slice(samples)
 
     def baseline(self) -> Baseline:
-        """What was seen before the change, for a controller that goes on from its record."""
+        """Returns the baseline, to be stored for a controller that resumes the change."""
         return self._baseline.snapshot()
 
     def restore(self, baseline: Baseline) -> None:
-        """Goes on with a stored baseline."""
+        """Restores a stored baseline."""
         self._baseline.restore(baseline)
 
     def add_stage_slice(
@@ -140,23 +150,28 @@
         old: Collection[str],
         no_old_left: bool = False,
     ) -> None:
-        """A slice of a stage.
-
-        `old` are the gateways to compare with: only the freshly restarted, while that counts.
+        """Adds the samples of one slice of time in a stage.
+
+        Args:
+            now: The current time.
+            samples: The samples, by gateway.
+            new: The gateways on the new release.
+            old: The gateways to compare them with: only the restarted controls, if there are any.
+            no_old_left: Whether no gateway is left to compare with.
         """
         self._stage.add_slice(now, samples, new, old, no_old_left)
 
     def verdict(self, new: Collection[str]) -> Verdict:
-        """How the stage stands.
+        """Returns the verdict on the stage, with `new` as the gateways on the new release.
 
-        Nothing passes on too little evidence; past the longest time it is for the caller to hold the stage.
+        A stage never passes on too little evidence. The caller enforces the maximum time of a stage.
         """
         findings = _Findings()
         for class_name, guard in sorted(self._guards.items()):
             self._assess_class(class_name, guard, new, findings)
         gap = self._stage.reachability_gap
         if findings.worse and gap > MAX_REACHABILITY_GAP:
-            # Not the release's doing for all that is seen: those gateways reach fewer engines.
+            # The new gateways reach fewer engines, which may explain the loss without the release.
             findings.missing.append(
                 f"new managers reach {gap:.1f} engines fewer, so nothing is laid on the release"
             )
@@ -214,7 +229,7 @@
     def _difference(
         self, class_name: str, measure: Measure, series: MeasureSeries, new: Collection[str]
     ) -> tuple[float, float]:
-        """The mean difference less that of before, and how far it may be off."""
+        """Returns the mean difference less that of the baseline, and half the width of its interval."""
         baseline_mean, baseline_variance = self._baseline.difference(class_name, measure, new)
         variance = max(series.differences.variance, series.counting_noise)
         width = half_width(series.differences.number, variance, self._probability, TIGHTEST_AT_BLOCKS)
@@ -222,7 +237,7 @@
         return series.differences.mean - baseline_mean, math.hypot(width, baseline_width)
 
     def _death_findings(self) -> list[str]:
-        """Ends of processes that nobody ordered, of new beside old gateways."""
+        """Returns the finding that processes of new gateways end unexpectedly more often than old ones."""
         deaths, exposure = self._stage.deaths, self._stage.exposure
         new_share = exposure.new / max(1, exposure.new + exposure.old)
         if deaths.new < MIN_DEATHS:
@@ -232,7 +247,7 @@
         return [f"processes: {deaths.new} of new managers ended by themselves, {deaths.old} of old ones"]
 
     def _memory_findings(self) -> list[str]:
-        """Memory that grows, of new beside old gateways."""
+        """Returns the finding that the memory of new gateways grows more than that of old ones."""
         new_growth, old_growth = self._stage.memory_growth(True), self._stage.memory_growth(False)
         if not new_growth or not old_growth:
             return []
@@ -242,7 +257,7 @@
         return [f"memory: every new manager grew by {excess:.0%} of its limit more than any old one"]
 
     def _loss_since_baseline(self, class_name: str) -> float:
-        """By how much value is missed more than before the change, at least."""
+        """Returns a lower bound of the increase of missed value since the baseline."""
         baseline, current = self._baseline.missed_value[class_name], self._stage.missed_value[class_name]
         if baseline.number < MIN_BASELINE_BLOCKS or current.number < MIN_VARIANCE_BLOCKS:
             return 0.0
@@ -251,9 +266,11 @@
         return current.mean - baseline.mean - baseline_width - width
 
     def _crowding_findings(self) -> list[str]:
-        """New gateways hold more of the engines for the same work, and the old ones do worse than before.
+        """Returns the finding that new gateways crowd out the old ones.
 
-        What is gained on one side is then taken from the other.
+        The new gateways then hold more of the engines for the same work, and the old ones do worse than
+        before. A gain of the new gateways is at the cost of the old ones, so comparing both would not show
+        the loss.
         """
         new, old = self._stage.new_engine_share, self._stage.old_engine_share
         if min(new.number, old.number) < MIN_VARIANCE_BLOCKS or new.mean < CROWDING_FACTOR * old.mean:
@@ -270,7 +287,7 @@
 
 
 def _probability_at_least(hits: int, trials: int, probability: float) -> float:
-    """The probability of so many hits or more, each with the given one."""
+    """Returns the probability of at least `hits` successes in `trials` independent trials."""
     return sum(
         math.comb(trials, k) * probability**k * (1.0 - probability) ** (trials - k)
         for k in range(hits, trials + 1)
--- a/vanerelay/rollout/canary_baseline.py
+++ b/vanerelay/rollout/canary_baseline.py
@@ -1,4 +1,7 @@
-"""How gateways did beside each other before a change: what a canary analysis compares with. Pure."""
+"""The baseline of a canary analysis: how gateways differed from each other before a change.
+
+No side effects.
+"""
 
 from __future__ import annotations
 
@@ -17,19 +20,19 @@
 )
 
 SLOW_QUANTILE = 0.95
-"""The quantile of latency before the change past which an answer counts as slow."""
+"""The quantile of latency in the baseline above which an answer counts as slow."""
 MIN_BASELINE_BLOCKS = 3
-"""Blocks before the change under which a gateway's difference, or a class's value, says nothing."""
+"""The fewest baseline blocks from which a gateway's difference, or a class's missed value, is used."""
 
 
 class Baseline(msgspec.Struct, frozen=True):
-    """What was seen before the change, as the controller's record stores it.
+    """The baseline, as the controller's record stores it.
 
     Attributes:
-        differences: by gateway, service class and measure: number, mean and variance of the gateway's
-            difference from all.
-        latency_counts: by service class.
-        values: by service class: number, mean and variance of the missed value.
+        differences: A row for each gateway, service class and measure, with the number, mean and variance of
+            the gateway's difference from all gateways.
+        latency_counts: The completed queries of each service class, by latency bucket.
+        values: The number, mean and variance of each service class's missed value.
     """
 
     differences: list[tuple[str, str, str, int, float, float]] = msgspec.field(
@@ -40,12 +43,21 @@
 
 
 class BaselineRecorder:
-    """Collects the baseline, slice by slice, while nothing is changed yet."""
+    """Collects the baseline, slice by slice, before the first gateway is changed.
+
+    Attributes:
+        missed_value: The missed value of each block, by service class.
+    """
 
     def __init__(self, classes: Collection[str], block_queries: int) -> None:
-        """`block_queries`: queries that make a block of one gateway."""
+        """Sets up the recorder.
+
+        Args:
+            classes: The service classes to record.
+            block_queries: The mean number of queries that each gateway needs in a block.
+        """
         self._classes, self._block_queries = classes, block_queries
-        # By gateway, service class and measure: the gateway's difference from all.
+        # The difference of each gateway from all gateways, by gateway, service class and measure.
         self._differences = defaultdict[tuple[str, str, str], RunningVariance](RunningVariance)
         self._totals = defaultdict[str, ClassCounts](ClassCounts)  # by service class
         self.missed_value = defaultdict[str, RunningVariance](RunningVariance)  # by service class
@@ -54,7 +66,7 @@
         )  # by gateway: the block in the making
 
     def add_slice(self, samples: Mapping[str, GatewaySample]) -> None:
-        """A slice of time: how each gateway does beside the rest, of itself."""
+        """Adds the samples of one slice of time."""
         for name, sample in samples.items():
             block = self._open_blocks[name]
             for class_name in self._classes:
@@ -85,7 +97,7 @@
             self.missed_value[class_name].add(missed)
 
     def snapshot(self) -> Baseline:
-        """What was seen, for a controller that goes on from its record."""
+        """Returns the baseline, to be stored for a controller that resumes the change."""
         return Baseline(
             [
                 (name, class_name, str(measure), statistics.number, statistics.mean, statistics.variance)
@@ -99,7 +111,7 @@
         )
 
     def restore(self, baseline: Baseline) -> None:
-        """Goes on with what another process has stored."""
+        """Restores a baseline that another process has stored."""
         for name, class_name, measure, number, mean, variance in baseline.differences:
             self._differences[name, class_name, measure] = RunningVariance.of(number, mean, variance)
         for class_name, counts in baseline.latency_counts.items():
@@ -108,7 +120,7 @@
             self.missed_value[class_name] = RunningVariance.of(*stored)
 
     def slow_bucket(self, class_name: str) -> int:
-        """The latency bucket past which answers of the class were slow before."""
+        """Returns the latency bucket above which an answer of the class counts as slow."""
         counts, cumulative = self._totals[class_name].latency_counts, 0
         total = sum(counts)
         for bucket, count in enumerate(counts):
@@ -118,10 +130,10 @@
         return LATENCY_BUCKETS - 1
 
     def difference(self, class_name: str, measure: Measure, new: Collection[str]) -> tuple[float, float]:
-        """How far the new gateways stood from all before, and the variance of that.
+        """Returns the mean baseline difference of the new gateways from all, and its variance.
 
-        What was seen is drawn towards 0 as far as gateways did not differ by more than the noise of so few
-        queries.
+        The mean is shrunk towards 0 according to how much of the differences between gateways the noise of
+        few queries explains.
         """
         by_gateway = {
             name: statistics
--- a/vanerelay/rollout/canary_metrics.py
+++ b/vanerelay/rollout/canary_metrics.py
@@ -1,4 +1,4 @@
-"""What gateways report for a canary analysis, and the measures by which they are compared. Pure."""
+"""The samples of gateways for a canary analysis, and the measures that are compared. No side effects."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 
 class Measure(StrEnum):
-    """What is compared for each service class, 0 the best. The values are stored and printed."""
+    """The measures compared for each service class; 0 is best. The values are stored and printed."""
 
     VALUE = "utility"
-    """The part of the offered value that was missed."""
+    """The fraction of the offered value that was missed."""
     FAILED = "errored"
     REJECTED = "pushed back"
     LATE = "late"
     SLOW = "slow"
-    """The part of the answers that took longer than most did before the change."""
+    """The fraction of the answers that took longer than most answers of the baseline."""
     ATTEMPTS = "dispatches"
-    """Attempts a query."""
+    """The attempts per query."""
 
 
 LATENCY_BUCKETS = 48
-"""Buckets of latency, from 1 ms up: the last one begins at some five seconds."""
+"""The number of latency buckets. The first begins at 1 ms, the last at about five seconds."""
 BUCKET_WIDTH = math.log(1.2)
-"""Each bucket is a fifth above the one below."""
+"""The width of a bucket, as a natural logarithm: each begins 20% above the one below."""
 
 
 def latency_bucket(milliseconds: float) -> int:
-    """The bucket of a latency."""
+    """Returns the index of the bucket for a latency."""
     return min(LATENCY_BUCKETS - 1, max(0, int(math.log(max(1.0, milliseconds)) / BUCKET_WIDTH)))
 
 
 @dataclass(frozen=True, slots=True)
 class ClassCounts:
-    """What became of one service class's queries at one gateway.
+    """The outcomes of one service class's queries at one gateway.
 
     Attributes:
-        ended: all that ended.
-        earned: the value that their answers earned, in parts of what each offered.
-        failed: those that ended with an error.
-        rejected: those that were rejected.
-        late: those answered past their latency objective, or not at all.
-        attempts: attempts at engines for them.
-        latency_counts: of the completed ones, by bucket of latency.
+        ended: The number of queries that ended.
+        earned: The value that their answers earned, summed as a fraction of each query's full value.
+        failed: The queries that ended with an error.
+        rejected: The queries that were rejected.
+        late: The completed queries that were answered past their latency objective.
+        attempts: The attempts at engines for these queries.
+        latency_counts: The completed queries, by latency bucket.
     """
 
     ended: int = 0
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySample:
-    """One gateway in one slice of time.
+    """The figures of one gateway in one slice of time.
 
     Attributes:
-        counts: by service class.
-        memory: what its process uses, in parts of its limit.
-        unreachable_engines: engines that it does not reach.
-        engine_share: what it holds of the engines, for each query a second.
-        deaths: ends of its process that nobody ordered.
+        counts: The outcomes of queries, by service class.
+        memory: The memory that its process uses, as a fraction of the process's limit.
+        unreachable_engines: The number of engines that it cannot reach.
+        engine_share: The share of the engines that it holds, for each query per second.
+        deaths: The unexpected ends of its process.
     """
 
     counts: Mapping[str, ClassCounts]
@@ -93,9 +93,9 @@
 
 
 def measure_value(measure: Measure, counts: ClassCounts, slow_bucket: int) -> float | None:
-    """A measure's value, 0 the best; None where nothing can be said.
+    """Returns the value of a measure, 0 being the best; None if there is nothing to measure.
 
-    `slow_from` is the latency bucket past which an answer counts as slow.
+    An answer counts as slow if its latency bucket is above `slow_bucket`.
     """
     if not counts.ended:
         return None
--- a/vanerelay/rollout/canary_stage.py
+++ b/vanerelay/rollout/canary_stage.py
@@ -1,4 +1,4 @@
-"""The evidence of one stage: what new and old gateways did in the very same time. Pure."""
+"""The evidence of one stage: the figures of new and old gateways in the same slices. No side effects."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from vanerelay.rollout.canary_metrics import ClassCounts, GatewaySample, Measure, measure_value
 
 REACH_SMOOTHING = 0.3
-"""The weight of the last slice in the mean difference of reached engines."""
+"""The weight of the last slice in the smoothed difference of reached engines."""
 
 
 @dataclass(slots=True)
 class MeasureSeries:
-    """One measure of one service class, block by block.
+    """The values of one measure of one service class over the blocks of a stage.
 
     Attributes:
-        differences: new less old.
-        counting_noise: the variance that the number of queries alone makes, the mean over blocks.
+        differences: The value of the new gateways less that of the old ones, of each block.
+        counting_noise: The variance of a block's difference that is due to its number of queries alone, as a
+            mean over blocks.
     """
 
     differences: RunningVariance = field(default_factory=RunningVariance)
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class Block:
-    """The queries of one service class in the block that is in the making, of new and of old gateways."""
+    """The outcomes of one service class's queries in one block, at new and at old gateways."""
 
     new: ClassCounts = ClassCounts()
     old: ClassCounts = ClassCounts()
@@ -38,13 +39,13 @@
 
 @dataclass(slots=True)
 class SideCounts:
-    """A figure of new and of old gateways."""
+    """A count over the new gateways, and one over the old gateways."""
 
     new: int = 0
     old: int = 0
 
     def add(self, is_new: bool, amount: int) -> None:
-        """Adds to one side."""
+        """Adds an amount to the count of the new or of the old gateways."""
         if is_new:
             self.new += amount
         else:
@@ -52,18 +53,20 @@
 
 
 class StageEvidence:
-    """What was seen in a stage so far.
+    """The evidence of one stage so far.
 
     Attributes:
-        series: by service class and measure.
-        missed_value: of the old gateways, or of all where no old one is left, by service class.
-        blocks_done: by service class.
-        deaths: ends of processes that nobody ordered.
-        exposure: slices in which gateways were seen.
-        new_engine_share, old_engine_share: what gateways hold of the engines.
-        fewer_engines: how many engines the new gateways reach fewer than the old ones, smoothed.
-        was_compared: whether there was a slice with figures of both sides, or with no old gateway left.
-        no_old_left: whether there is nobody left to compare with.
+        series: The compared values, by service class and measure.
+        missed_value: The missed value of the old gateways, or of all gateways if no old one is left, by
+            service class.
+        completed_blocks: The number of completed blocks, by service class.
+        deaths: The unexpected ends of processes.
+        exposure: The samples of gateways, over which `deaths` are counted.
+        new_engine_share: The share of the engines that each new gateway holds, for each query per second.
+        old_engine_share: The same of each old gateway.
+        reachability_gap: How many engines fewer the new gateways reach than the old ones, smoothed.
+        has_comparison: Whether there was a slice with figures of both sides, or with no old gateway left.
+        no_old_left: Whether no old gateway is left to compare with.
     """
 
     def __init__(
@@ -74,7 +77,7 @@
         settle_time: Duration,
         baseline: BaselineRecorder,
     ) -> None:
-        """Begins at `now`; what is seen within `settle_time` is not counted."""
+        """Begins the evidence at `now`; samples within `settle_time` from then are not counted."""
         self._started_at, self._classes, self._settle_time = now, classes, settle_time
         self._block_queries, self._baseline = block_queries, baseline
         self.series = defaultdict[tuple[str, Measure], MeasureSeries](MeasureSeries)
@@ -83,7 +86,7 @@
         self.completed_blocks = defaultdict[str, int](int)
         self.deaths, self.exposure = SideCounts(), SideCounts()
         self._first_memory = dict[str, float]()
-        self._memory_growth = dict[str, tuple[bool, float]]()  # by gateway: whether it is new, and how much
+        self._memory_growth = dict[str, tuple[bool, float]]()  # by gateway: whether it is new, and its growth
         self.new_engine_share, self.old_engine_share = RunningVariance(), RunningVariance()
         self.reachability_gap = 0.0
         self.has_comparison = self.no_old_left = False
@@ -96,14 +99,14 @@
         old: Collection[str],
         no_old_left: bool,
     ) -> None:
-        """A slice of the stage; `old` are the gateways to compare with."""
+        """Adds the samples of one slice of time; `old` are the gateways to compare with."""
         if now - self._started_at < self._settle_time:
             for name in samples.keys() & (set(new) | set(old)):
                 self._first_memory[name] = samples[name].memory
             return
         new_samples = [samples[name] for name in sorted(new) if name in samples]
         old_samples = [samples[name] for name in sorted(old) if name in samples]
-        for name, sample in samples.items():  # of all that are old, also those that are not compared with
+        for name, sample in samples.items():  # also old ones outside the comparison
             self.deaths.add(name in new, sample.deaths)
             self.exposure.add(name in new, 1)
         _add_engine_shares(self.new_engine_share, new_samples)
@@ -124,11 +127,11 @@
                 self._memory_growth[name] = name in new, sample.memory - first_memory
 
     def memory_growth(self, is_new: bool) -> list[float]:
-        """By how much the memory of each new, or old, gateway grew in the stage."""
+        """Returns the memory growth of each new, or each old, gateway in the stage, in parts of its limit."""
         return [growth for new, growth in self._memory_growth.values() if new is is_new]
 
     def _add_without_old(self, new_samples: Sequence[GatewaySample]) -> None:
-        """With nobody to compare with, all that can be seen is whether all do worse than before the stage."""
+        """Adds a slice without old gateways, which can only be compared with the time before the change."""
         self.has_comparison = True
         for class_name in self._classes:
             new = _class_total(new_samples, class_name, self._open_blocks[class_name].new)
@@ -176,7 +179,7 @@
 
 
 def _counting_noise(measure: Measure, block: Block, slow_bucket: int) -> float:
-    """The variance of a block's difference that so many queries make by chance, were all alike."""
+    """Returns the variance of a block's difference if both sides were alike, due to its number of queries."""
     total = block.new + block.old
     proportion = min(1.0, max(0.0, measure_value(measure, total, slow_bucket) or 0.0))
     return (proportion * (1.0 - proportion) + 1.0 / total.ended) * (
--- a/vanerelay/rollout/change_log.py
+++ b/vanerelay/rollout/change_log.py
@@ -1,4 +1,4 @@
-"""The controller's record of changes: a SQLite file in which each event is on disk before its action.
+"""The controller's record of changes, a SQLite file. Each event is on disk before its action is taken.
 
 The names of the tables and columns are those of the first release.
 """
@@ -23,14 +23,14 @@
 """
 
 LOCK_TIMEOUT_S = 2.0
-"""For another process that writes to the file, such as an operator's command."""
+"""The time to wait for another process that writes to the file, such as an operator's command."""
 
 ColumnValue = str | int | bytes
-"""What a column may hold."""
+"""The types of a column's value."""
 
 
 class Command(StrEnum):
-    """An operator's command to the controller that runs. The values are stored."""
+    """An operator's command to the running controller. The values are stored."""
 
     PAUSE = "pause"
     RESUME = "resume"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedChange:
-    """A change in the record: its number, its name, and the last fence under which it was driven."""
+    """A change in the record: its number, its name, and the last fence that its controller claimed."""
 
     number: int
     name: str
@@ -47,18 +47,20 @@
 
 
 class ChangeLog:
-    """All changes of one file.
+    """The changes recorded in one file.
 
     Attributes:
-        path: the file.
-        change, name, fence: the last change's number, name and fence; 0 and empty where there is none.
+        path: The path of the file.
+        change: The number of the last change; 0 if there is none.
+        name: The name of the last change; empty if there is none.
+        fence: The last fence recorded for the last change; 0 if there is none.
     """
 
     def __init__(self, path: str, create: bool = True) -> None:
-        """Opens the file, and creates it where there is none, if that is asked for.
+        """Opens the file; creates it if it is missing and `create` is set.
 
         Raises:
-            ChangeLogError: it can't be read.
+            ChangeLogError: The file cannot be opened, or is no record.
         """
         self.path = path
         try:
@@ -76,53 +78,53 @@
         self.fence = int(row[2]) if row else 0
 
     def begin(self, name: str, plan: str, fence: int) -> None:
-        """Begins another change."""
+        """Starts the record of a new change, which becomes the last one."""
         cursor = self._execute("insert into change (name, plan, fence) values (?, ?, ?)", name, plan, fence)
         self.change, self.name, self.fence = int(cursor.lastrowid or 0), name, fence
 
     def set_fence(self, fence: int) -> None:
-        """Stores the fence under which the change is driven from now on."""
+        """Stores the fence of the orders from now on."""
         self._execute("update change set fence = ? where id = ?", fence, self.change)
         self.fence = fence
 
     def append(self, event: Event) -> None:
-        """Appends an event; it is on disk once this returns."""
+        """Appends an event to the last change. It is on disk when this returns."""
         body = msgspec.json.encode(event)
         self._execute("insert into event (change, body) values (?, ?)", self.change, body)
 
     def events(self, change: int | None = None) -> list[Event]:
-        """The events of a change, the first first; of the last change where none is named."""
+        """Returns the events of a change in the order of recording; those of the last change by default."""
         query = "select body from event where change = ? order by id"
         rows = self._execute(query, change or self.change)
         return [msgspec.json.decode(row[0], type=Event) for row in rows]
 
     def plan(self) -> str:
-        """The text of the plan."""
+        """Returns the text of the last change's plan; empty if there is none."""
         row = self._execute("select plan from change where id = ?", self.change).fetchone()
         return str(row[0]) if row is not None else ""
 
     def save_baseline(self, baseline: bytes) -> None:
-        """Stores what the canary analysis saw before the change."""
+        """Stores the encoded baseline of the canary analysis."""
         self._execute("update change set baseline = ? where id = ?", baseline, self.change)
 
     def baseline(self) -> bytes:
-        """The stored baseline; empty where there is none."""
+        """Returns the encoded baseline of the last change; empty if there is none."""
         row = self._execute("select baseline from change where id = ?", self.change).fetchone()
         return bytes(row[0] or b"") if row is not None else b""
 
     def changes(self) -> list[RecordedChange]:
-        """All changes, the first first."""
+        """Returns all changes in the order of recording."""
         rows = self._execute("select id, name, fence from change order by id")
         return [RecordedChange(*row) for row in rows]
 
-    # Commands of operators to the controller that runs.
+    # Operators' commands to the running controller.
 
     def add_command(self, command: str) -> None:
-        """Leaves a command for the controller."""
+        """Stores a command for the controller of the last change."""
         self._execute("insert into word (change, what) values (?, ?)", self.change, str(command))
 
     def take_commands(self) -> list[str]:
-        """The commands that were left since this was called last."""
+        """Returns the commands added since the last call, and marks them as taken."""
         query = "select id, what from word where change = ? and taken = 0 order by id"
         rows = list(self._execute(query, self.change))
         for number, _ in rows:
--- a/vanerelay/rollout/change_plan.py
+++ b/vanerelay/rollout/change_plan.py
@@ -1,4 +1,4 @@
-"""The plan of a rolling change as the stage machine goes by it."""
+"""The plan of a rolling change, as the stage machine uses it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """Up to which gateways the change goes: so many, a fraction of all, or all of a failure domain."""
+    """A stage of a change; one of the three sizes is given.
+
+    The gateways of earlier stages count towards a number or a fraction.
+
+    Attributes:
+        name: The name of the stage.
+        gateways: The number of gateways that the change has reached at the end of the stage.
+        fraction: The same number as a fraction of all gateways.
+        domain: The failure domain whose gateways the stage changes.
+    """
 
     name: str
     gateways: int = config_field("managers", default=0)
@@ -21,12 +30,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AvailabilityLimits:
-    """How many gateways may be away at once.
+    """Limits on the gateways that may be unavailable at the same time.
 
     Attributes:
-        max_away: in all.
-        max_away_per_domain: in one failure domain.
-        max_load: of the rest, in parts of their cores; with more the next one waits.
+        max_unavailable: The limit over all gateways.
+        max_unavailable_per_domain: The limit in one failure domain.
+        max_load: The highest mean load that the other gateways may get, as a fraction of their cores. A
+            restart that would exceed it waits.
     """
 
     max_unavailable: int = config_field("most", default=1)
@@ -35,7 +45,7 @@
 
 
 class FailureAction(Enum):
-    """What follows when a stage does worse, or can't be assessed in time; the values are operators' words."""
+    """The action if a stage does worse or cannot be assessed in time. The values are those used in plans."""
 
     ROLL_BACK = "back"
     HOLD = "hold"
@@ -46,19 +56,20 @@
     """The plan of one change.
 
     Attributes:
-        name: of the change.
-        gateways: name and failure domain of each, in the order of changing.
-        stages: one after the other.
-        limits: how many gateways may be away at once.
-        on_worse: what follows when a stage does worse.
-        on_unclear: what follows when a stage can't be assessed in time.
-        uses_stricter_settings: the releases differ in something that the fleet shares, so all take the
-            stricter values of both first.
-        restarts: changing a gateway restarts its process.
-        control_restarts: old gateways that are restarted in the first stage, as fresh as the new ones, to
-            compare with.
-        max_stage_time: of a stage.
-        max_away_time: how long a gateway may take over a change, or be silent, before the stage is unclear.
+        name: The name of the change.
+        gateways: The name and failure domain of each gateway, in the order in which they are changed.
+        stages: The stages, in order.
+        limits: Limits on the gateways that may be unavailable at the same time.
+        on_worse: The action if a stage does worse, or a gateway fails to apply the change.
+        on_unclear: The action if a stage cannot be assessed in time.
+        uses_stricter_settings: Whether the releases differ in settings that the fleet shares, so that all
+            gateways first take the stricter value of each.
+        restarts: Whether changing a gateway restarts its process.
+        control_restarts: The number of gateways on the old release that are restarted in the first stage.
+            They are as freshly started as the new ones, and are compared with them.
+        max_stage_time: The time after which a stage without a clear assessment ends as unclear.
+        max_confirmation_time: The time that a gateway may take to confirm an ordered release, or stay
+            silent meanwhile, before the stage ends as unclear.
     """
 
     name: str
--- a/vanerelay/rollout/change_state.py
+++ b/vanerelay/rollout/change_state.py
@@ -1,8 +1,8 @@
-"""What the recorded events of a rolling change make of it. Pure.
+"""The state of a rolling change, computed from its recorded events alone. No side effects.
 
-Everything that happened is an event, and the state is what the events make of it, so that a controller that
-was killed anywhere goes on from its record. An event is recorded before the action that it names. A gateway
-that was ordered counts as changed, whether or not the order arrived.
+Because every change of state is an event, a controller that was killed at any point continues from its
+record. An event is recorded before the action that it describes. A gateway counts as changed once it was
+ordered to run the new release, whether or not the order arrived.
 """
 
 from __future__ import annotations
@@ -15,29 +15,32 @@
 from vanerelay.rollout.events import NEW_RELEASES, Event, EventKind, Release
 
 ROUNDING_SLACK = 1e-9
-"""So that a fraction such as 0.3 of 10 gateways is 3 of them."""
+"""Corrects floating-point errors, so that for example 0.3 of 10 gateways is 3."""
 BEFORE_FIRST_STAGE = -1
 
 
 class ChangeState:
-    """The state of one rolling change. `apply` takes an event, new or read back.
+    """The state of one rolling change.
 
     Attributes:
-        plan: the plan.
-        domains: the failure domain of each gateway, in the order of changing.
-        ordered: the release that each gateway was ordered last.
-        confirmed: whether it was seen to run it.
-        ordered_at: when each gateway had its last order.
-        change_started_at: when each gateway was first ordered what it is to run now.
-        last_orders: fence and number of each gateway's last order.
-        controls: old gateways restarted to compare with: whether each is back.
-        ever_changed: gateways that the change has reached.
-        stage: the stage that is under way; `BEFORE_FIRST_STAGE` before the first.
-        passed_stage: the last stage that has passed.
-        is_paused, is_rolling_back, is_held: what an operator, or an assessment, has ordered.
-        outcome: how it ended; empty while it goes on.
-        reason: why it is held, rolled back or ended.
-        event_count: of events, by which orders are numbered.
+        plan: The plan of the change.
+        domains: The failure domain of each gateway, in the order in which they are changed.
+        ordered: The release in each gateway's last order.
+        confirmed: Whether each gateway was seen to run the release in `ordered`.
+        ordered_at: The time of each gateway's last order.
+        change_started_at: The time at which each gateway was first ordered the release in `ordered`.
+        last_orders: The fence and number of each gateway's last order.
+        controls: Whether the restart is complete, for each gateway restarted on the old release as a control.
+        ever_changed: The gateways that were ever ordered to run the new release.
+        stage: The index of the current stage; `BEFORE_FIRST_STAGE` before the first.
+        stage_started_at: The time from which the current stage is counted.
+        passed_stage: The index of the last stage that passed; `BEFORE_FIRST_STAGE` if none did.
+        is_paused: Whether an operator has paused the change.
+        is_rolling_back: Whether the change is being rolled back.
+        is_held: Whether the change is held after a stage that did worse or was unclear.
+        outcome: The outcome of the change; empty until it ends.
+        reason: The reason why the change is held, rolled back or ended.
+        event_count: The number of events, by which orders are numbered.
     """
 
     def __init__(self, plan: Plan) -> None:
@@ -68,28 +71,28 @@
             EventKind.ENDED: self._apply_ended,
         }
 
-    # The record.
+    # Applying events.
 
     @classmethod
     def replayed(cls, plan: Plan, events: Iterable[Event]) -> Self:
-        """The state that these events make."""
+        """Returns the state after these events."""
         state = cls(plan)
         for event in events:
             state.apply(event)
         return state
 
     def resume(self, now: int) -> None:
-        """Goes on in another process.
+        """Adjusts the state for a new controller process; call it once, after `replayed`.
 
-        Moments of the clock before can't be compared with those of now, so what is waited for is waited for
-        anew.
+        Recorded times are of the previous process's clock and cannot be compared with this one's. All
+        waiting times therefore start again at `now`.
         """
         self.change_started_at = dict.fromkeys(self.change_started_at, now)
         self.ordered_at = {name: min(at, now) for name, at in self.ordered_at.items()}
         self.stage_started_at = now
 
     def apply(self, event: Event) -> None:
-        """Takes an event; kinds that this release does not know count for nothing."""
+        """Applies a new or replayed event. Kinds that this release does not know only count as events."""
         self.event_count += 1
         applier = self._appliers.get(event.kind)
         if applier is not None:
@@ -141,15 +144,15 @@
         self.outcome = event.target
         self.reason = event.reason or self.reason
 
-    # What is to be.
+    # Target releases.
 
     @property
     def new_gateways(self) -> list[str]:
-        """Gateways that run the new release, or may."""
+        """The gateways whose last order was for the new release, whether or not it arrived."""
         return [name for name in self.domains if self.ordered[name] in NEW_RELEASES]
 
     def gateways_up_to(self, stage: int) -> list[str]:
-        """The gateways that a stage and those before it may have changed, in order."""
+        """Returns the gateways that may be changed by the end of a stage, in the order of selection."""
         names, selected = list(self.domains), dict[str, None]()
         for planned_stage in self.plan.stages[: stage + 1]:
             if planned_stage.domain:
@@ -164,7 +167,7 @@
         return list(selected)
 
     def _alternate_domains(self, names: list[str]) -> list[str]:
-        """One of each failure domain in turn, so that the first few are not all in one."""
+        """Returns the names ordered so that successive ones are in different failure domains."""
         by_domain = dict[str, list[str]]()
         for name in names:
             by_domain.setdefault(self.domains[name], []).append(name)
@@ -173,7 +176,7 @@
         return [domain[index] for index in range(largest) for domain in domains if index < len(domain)]
 
     def target_release(self, name: str) -> str:
-        """What a gateway is to run as things stand."""
+        """Returns the release that a gateway is to run in the present state."""
         uses_stricter, last_stage = self.plan.uses_stricter_settings, len(self.plan.stages) - 1
         if self.is_rolling_back:
             return Release.OLD_STRICT if uses_stricter and self._others_may_run_new(name) else Release.OLD
@@ -191,12 +194,12 @@
         )
 
     def comparison_gateways(self) -> list[str]:
-        """Old gateways to compare with: while there are controls, these alone."""
+        """Returns the gateways on the old release to compare with: only the controls, if there are any."""
         old = [name for name in self.domains if self.ordered[name] not in NEW_RELEASES]
         return [name for name in old if name in self.controls] or old
 
     def unrestored_gateways(self) -> list[str]:
-        """Gateways that are still to be brought back in a rollback."""
+        """Returns the gateways that are not confirmed to run their target release of the rollback."""
         return [
             name
             for name in self.domains
--- a/vanerelay/rollout/class_totals.py
+++ b/vanerelay/rollout/class_totals.py
@@ -1,4 +1,4 @@
-"""Totals of what became of queries, by service class, for the controller of a rolling change."""
+"""Cumulative outcomes of queries by service class, reported to the controller of a rolling change."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 from vanerelay.rollout.messages import ClassMetrics
 
 MAX_CLASSES = 64
-"""Service classes that are told apart: clients may make names up, and a message has to stay small."""
+"""Service classes that are counted; queries of further ones are not.
+
+Clients choose the names, and the message with the totals has to stay small.
+"""
 
 
 @dataclass(slots=True)
 class ClassTotal:
-    """Totals of one service class; the fields as in `ClassMetrics`."""
+    """The totals of one service class; the fields are those of `ClassMetrics`."""
 
     ended: int = 0
     earned: float = 0.0
@@ -25,7 +28,7 @@
     latency_counts: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKETS)
 
     def add(self, earned: float, status: int, duration: int, attempts: int) -> None:
-        """Counts one query."""
+        """Counts one answered query."""
         self.ended += 1
         self.earned += earned
         self.failed += status == AnswerStatus.FAILED
@@ -36,14 +39,14 @@
             self.latency_counts[latency_bucket(duration / MILLISECOND)] += 1
 
     def metrics(self) -> ClassMetrics:
-        """The totals as they are sent."""
+        """Returns the totals as a message."""
         return ClassMetrics(
             self.ended, self.earned, self.failed, self.rejected, self.late, self.attempts, self.latency_counts
         )
 
 
 class ClassTotals:
-    """The totals of all service classes since the process started."""
+    """The totals of each service class since the process started."""
 
     def __init__(self) -> None:
         self._classes = dict[str, ClassTotal]()
@@ -51,7 +54,15 @@
     def query_answered(
         self, service_class: str, earned: float, status: int, duration: int, attempts: int
     ) -> None:
-        """Counts one query; `earned` is the part of its value that the answer earned."""
+        """Counts one answered query.
+
+        Args:
+            service_class: The service class of the query.
+            earned: The value of the answer as a fraction of the query's full value.
+            status: The answer's `AnswerStatus`.
+            duration: The time from the query's arrival to its answer.
+            attempts: The number of attempts at engines.
+        """
         total = self._classes.get(service_class)
         if total is None:
             if len(self._classes) >= MAX_CLASSES:
@@ -60,5 +71,5 @@
         total.add(earned, status, duration, attempts)
 
     def metrics(self) -> dict[str, ClassMetrics]:
-        """The totals as they are sent, by service class."""
+        """Returns the totals as messages, by service class."""
         return {name: total.metrics() for name, total in self._classes.items()}
--- a/vanerelay/rollout/controller.py
+++ b/vanerelay/rollout/controller.py
@@ -1,6 +1,7 @@
-"""Drives one rolling change: observes the gateways, records events, gives orders.
+"""Carries out one rolling change: observes the gateways, records events and sends orders.
 
-A thin driver: `stage_machine` decides what is to be done, `canary_analysis` how a stage does.
+The decisions are made elsewhere: `stage_machine` determines the next step, `canary_analysis` assesses a
+stage.
 """
 
 from __future__ import annotations
@@ -30,25 +31,31 @@
 from vanerelay.rollout.stage_machine import Action, StageMachine, Step, is_quorum
 
 CLAIM_TIMEOUT_S = 6.0
-"""For a reply to a claim of the fence: links may be slow."""
+"""The time-out for a reply to a claim of the fence; links may be slow."""
 ORDER_TIMEOUT_S = 10.0
-"""For a gateway to apply settings."""
+"""The time-out for a gateway to apply settings."""
 SUPERVISOR_ORDER_TIMEOUT_S = 60.0
-"""For a supervisor: the next program has to become ready, or not, before it replies."""
+"""The time-out for a supervisor, which replies only when the next program is ready or has failed."""
 
 
 class ControllerEnd(StrEnum):
-    """How a controller ends."""
+    """The result with which a controller ends."""
 
     DONE = Outcome.DONE.value
     ROLLED_BACK = Outcome.ROLLED_BACK.value
     FENCED = "fenced"
-    """Another controller has taken over; this one undoes nothing."""
+    """Another controller has taken over; this one leaves all gateways as they are."""
 
 
 @dataclass(slots=True)
 class ControllerResult:
-    """How a controller ended, why, and the gateways that the change had reached."""
+    """The result of a controller.
+
+    Attributes:
+        end: A value of `ControllerEnd`.
+        reason: The reason, in text for operators.
+        reached: The gateways that the change had reached.
+    """
 
     end: str
     reason: str = ""
@@ -56,7 +63,13 @@
 
 
 class Controller:
-    """One controller of one change. `done` fires with a ControllerResult."""
+    """A controller of one change.
+
+    Attributes:
+        analysis: The canary analysis of the change.
+        machine: The state machine of the change.
+        done: Fires with a `ControllerResult` when the controller ends.
+    """
 
     def __init__(
         self,
@@ -66,7 +79,15 @@
         print_line: Callable[[str], None],
         node: RpcNode | None = None,
     ) -> None:
-        """`say` is called with each line for people; `node` sends requests, one of its own by default."""
+        """Sets up the controller without starting it.
+
+        Args:
+            reactor: The Twisted reactor.
+            rollout_plan: The plan of the change.
+            change_log: The record of the change.
+            print_line: Called with each line of text for operators.
+            node: Sends requests; by default the controller creates its own.
+        """
         self._reactor, self._rollout_plan, self._change_log, self._print_line = (
             reactor,
             rollout_plan,
@@ -78,13 +99,13 @@
         self._observer = GatewayObserver(self._node, self._clock, rollout_plan)
         self.analysis = CanaryAnalysis(rollout_plan.guards, rollout_plan.terms)
         self.machine = StageMachine(self._plan)
-        self._gateways_with_open_order = set[str]()  # that have not replied to an order yet
+        self._gateways_with_open_order = set[str]()  # gateways that have not replied to an order yet
         self.done: Deferred[ControllerResult] = Deferred()
         self._started_at = 0
         self._last_line = ""
         self._holds_fence = self._is_stopped = False
-        self._is_checking_fence = False  # whether gateways are asked if our fence counts
-        self._fence_was_accepted = False  # whether a fence of this process was ever accepted
+        self._is_checking_fence = False  # whether a claim of the fence is in flight
+        self._fence_was_accepted = False  # whether a majority ever accepted a fence of this process
         self._lease = self._controller_lease()
 
     def _controller_lease(self) -> ControllerLease | None:
@@ -97,7 +118,7 @@
         )
 
     def start(self, resumed: bool) -> Deferred[ControllerResult]:
-        """Begins the change, or goes on from the record where it is resumed."""
+        """Starts the change, or continues it from its record if `resumed` is set; returns `done`."""
         if resumed:
             self._restore()
         self._started_at = self._clock.now()
@@ -115,13 +136,13 @@
         self.analysis.begin_stage(self._clock.now())
 
     def _handle_lost_lease(self) -> None:
-        """Another controller may act from now on; ours waits until the lease is ours again."""
+        """Stops giving orders until this controller holds the lease again: another one may act meanwhile."""
         if self._is_stopped:
             return
         self._holds_fence = False
         self._report("the lease is lost: nothing is ordered until it is held again")
 
-    # Regular turns.
+    # The regular cycle.
 
     def _run_cycle(self) -> None:
         if self._is_stopped:
@@ -138,11 +159,11 @@
                 self._record_confirmations()
                 self._perform_step()
         except ChangeLogError as error:
-            # What can't be recorded is not done; what is, goes on as it is.
+            # A step that cannot be recorded is not taken. The gateways keep running what they run.
             self._report(f"nothing is moved: {error}")
 
     def _apply_commands(self) -> None:
-        """Takes the commands that operators have left in the record."""
+        """Carries out the commands that operators have added to the record."""
         for command in self._change_log.take_commands():
             now = self._clock.now()
             if command == Command.ROLL_BACK and not self.machine.is_rolling_back:
@@ -154,7 +175,7 @@
                 self.analysis.begin_stage(now)
 
     def _feed_analysis(self) -> None:
-        """Passes what came since the last turn to the canary analysis."""
+        """Passes the samples since the last cycle to the canary analysis."""
         now, machine = self._clock.now(), self.machine
         samples = self._observer.take_samples()
         if machine.stage < 0:
@@ -165,7 +186,7 @@
         self.analysis.add_stage_slice(now, samples, new, confirmed & set(old), no_old_left=not old)
 
     def _record_confirmations(self) -> None:
-        """Records which gateways run what they were ordered."""
+        """Records the gateways that have come to run the release they were ordered to run."""
         machine, now = self.machine, self._clock.now()
         for name, status in self._observer.statuses().items():
             has_restarted = machine.controls.get(name) is False and not self._observer.awaits_restart(name)
@@ -176,7 +197,7 @@
                 self._record_event(Event(EventKind.CONFIRMED, now, name))
 
     def _perform_step(self) -> None:
-        """Takes the one step that is due."""
+        """Performs the next step of the state machine."""
         now, machine, baseline_time = self._clock.now(), self.machine, self._rollout_plan.baseline_time
         is_observing = machine.stage < 0 and not machine.is_rolling_back
         if is_observing and now - self._started_at < baseline_time:
@@ -217,10 +238,13 @@
         stages, stage = self._plan.stages, self.machine.stage
         return stages[stage].name if 0 <= stage < len(stages) else "before the first"
 
-    # The fence: one controller at a time.
+    # The fence, under which only one controller at a time can give orders.
 
     def _claim_fence(self) -> None:
-        """Claims a fence above all that are heard of: recorded before it is used, accepted by a majority."""
+        """Claims a fence higher than all known ones.
+
+        The fence is recorded before it is used, and counts once a majority of gateways has accepted it.
+        """
         reported_fences, gateway_count = self._observer.fences_heard(), self._observer.gateway_count
         if not is_quorum(len(reported_fences), gateway_count) or self._is_checking_fence:
             self._report(
@@ -246,13 +270,13 @@
         self._check_fence(fence_checked)
 
     def _lease_fence(self, lease: ControllerLease, highest_reported: int) -> int | None:
-        """The lease's token, which is above those of all holders before; None where it can't be used."""
+        """Returns the lease's token, which exceeds those of earlier holders; None if it cannot be used."""
         token, recorded_fence = lease.fence(), self._change_log.fence
         other_held_lease = (
             highest_reported > recorded_fence or token is not None and token > recorded_fence + 1
         )
         if self._fence_was_accepted and other_held_lease:
-            # What another controller has done since is not ours to undo: an operator may resume.
+            # Another controller has acted since, which this one must not undo. An operator may resume.
             self._finish(
                 ControllerEnd.FENCED, f"another controller has held the lease after fence {recorded_fence}"
             )
@@ -263,7 +287,10 @@
         return token
 
     def _check_fence(self, fence_checked: Callable[[int], None]) -> None:
-        """Asks all gateways whether our fence still counts; `affirmed` gets how many say so."""
+        """Sends the claim of the recorded fence to all gateways.
+
+        `fence_checked` is called with the number of gateways that accept it.
+        """
         claim = messages.encode(messages.Order(self._change_log.fence, self._plan.name))
 
         def replied(results: list[tuple[bool, Any]]) -> None:
@@ -281,7 +308,7 @@
         gateways = self._rollout_plan.gateways.values()
         for gateway in gateways:
             if gateway.supervisor and self._plan.restarts:
-                # Notified as well; it is no gateway, and its reply does not count.
+                # A supervisor has to learn the fence too. It is no gateway, so its reply does not count.
                 notice: Deferred[Any] = self._send_claim(gateway.supervisor, claim)
                 notice.addErrback(lambda _: None)
         requests = [self._send_claim(gateway.address, claim) for gateway in gateways]
@@ -293,7 +320,7 @@
     # Orders.
 
     def _issue_order(self, now: int, step: Step) -> None:
-        """Gives an order: recorded, then affirmed by a majority, then sent."""
+        """Issues an order: records it, has the fence accepted by a majority of gateways, then sends it."""
         name = step.gateway
         if name in self._gateways_with_open_order:
             return
@@ -355,20 +382,20 @@
         else:
             self._report(f"{name}: {reply.reason}")
 
-    # Records and lines for people.
+    # Recording events, and reporting to operators.
 
     def _record_event(self, event: Event) -> None:
-        """Records an event, then applies it.
+        """Records an event, then applies and reports it.
 
         Raises:
-            ChangeLogError: it can't be recorded, and is not applied.
+            ChangeLogError: The event cannot be recorded. It is not applied.
         """
         self._change_log.append(event)
         self.machine.apply(event)
         self._report(describe(event, self._plan))
 
     def _report(self, text: str) -> None:
-        """Says a line for people, but for one that was just said."""
+        """Prints a line for operators unless it equals the previous one."""
         if text and text != self._last_line:
             self._last_line = text
             self._print_line(text)
@@ -379,7 +406,7 @@
             self.stop().addCallback(lambda _: self.done.callback(result))
 
     def stop(self) -> Deferred[Any]:
-        """Stops; fires once what it held for itself is given back."""
+        """Stops the controller; the Deferred fires once its lease is released and its node is stopped."""
         self._is_stopped = True
         released: Deferred[Any] = self._lease.stop() if self._lease is not None else succeed(None)
         return released.addCallback(lambda _: self._node.stop())
--- a/vanerelay/rollout/controller_lease.py
+++ b/vanerelay/rollout/controller_lease.py
@@ -1,7 +1,7 @@
-"""A controller's lease: of all controllers one drives a change of a fleet at a time.
+"""The lease that lets one controller at a time carry out a change of a fleet.
 
-The lease's fencing token is the fence that goes with each order. A thin driver of `leases.service`; voters
-are asked at the addresses that the plan names.
+The fencing token of the lease is the fence that each order carries. The protocol is that of `leases.service`;
+the voters are called at the addresses in the plan.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from vanerelay.leases.service import Leases
 
 TASK = "rollout"
-"""The task that a controller holds; its name is stored by voters."""
+"""The name of the leased task. Voters store it."""
 
 
 @dataclass(slots=True)
 class _SingleMemberDetector:
-    """All that a controller sees of the fleet's membership: itself."""
+    """The failure detector of a controller, which has no membership but its own."""
 
     own: Member
     members: dict[str, Member]
@@ -36,7 +36,7 @@
 
 
 class _ControllerFleet:
-    """What leases need of a fleet, over a controller's own connections."""
+    """The interface of a fleet that leases need, on the controller's own connections."""
 
     def __init__(self, node: RpcNode, name: str, addresses: Mapping[str, str]) -> None:
         self.rpc, self.name, self._addresses = node, name, addresses
@@ -44,7 +44,7 @@
         self.detector = _SingleMemberDetector(own, {name: own})
 
     def call(self, name: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
-        """Sends a request to a gateway of the plan."""
+        """Sends a request to a gateway; the reply fails if the plan has no address for it."""
         address = self._addresses.get(name)
         if address is None:
             return fail(RequestRefusedError(f"no address of {name} is known"))
@@ -52,7 +52,7 @@
 
 
 class ControllerLease:
-    """The lease of one controller."""
+    """A controller's lease on the task of carrying out a change."""
 
     def __init__(
         self,
@@ -63,13 +63,13 @@
         addresses: Mapping[str, str],
         on_lost: Callable[[], None],
     ) -> None:
-        """`on_lost` is called when the lease was ours and is no more."""
+        """Sets up the lease; `on_lost` is called whenever this controller held the lease and loses it."""
         fleet: Any = _ControllerFleet(node, f"controller {name}", addresses)
         process_id = int.from_bytes(os.urandom(PROCESS_ID_BYTES), "big")
         self._leases = Leases(reactor, fleet, config, random.Random(process_id), process_id, None)
 
         def acquired(_: LeaseHolder) -> None:
-            """The controller looks at `fence` in its own turn."""
+            """Does nothing: the controller polls `fence` in each of its cycles."""
 
         def lost(_: LeaseHolder) -> None:
             on_lost()
@@ -77,13 +77,13 @@
         self._holder = self._leases.add_task(TASK, acquired, lost)
 
     def start(self) -> None:
-        """Begins to request the lease."""
+        """Starts to request the lease."""
         self._leases.start()
 
     def fence(self) -> int | None:
-        """The fence under which orders may be given now; None where another controller may be acting."""
+        """Returns the fence for orders given now, or None if another controller may be acting."""
         return self._holder.token if self._holder.may_act(self._leases.clock()) else None
 
     def stop(self) -> Deferred[None]:
-        """Gives the lease back; fires once that is done."""
+        """Releases the lease; the Deferred fires once it is released."""
         return self._leases.release_all().addCallback(lambda _: self._leases.stop())
--- a/vanerelay/rollout/errors.py
+++ b/vanerelay/rollout/errors.py
@@ -4,8 +4,8 @@
 
 
 class RolloutError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of the errors that this package raises."""
 
 
 class ChangeLogError(RolloutError):
-    """The controller's record can't be read or written; the text says why in one line."""
+    """The record of changes cannot be read or written; the message gives the cause in one line."""
--- a/vanerelay/rollout/events.py
+++ b/vanerelay/rollout/events.py
@@ -1,7 +1,7 @@
 """The events of a rolling change, as the controller's record stores them (JSON).
 
-The names of the fields and the words in them are those of the first release: a field that has another name in
-Python says so.
+The stored field names and values are those of the first release. Fields that are named differently in Python
+give the stored name with `name=`.
 """
 
 from __future__ import annotations
@@ -12,9 +12,10 @@
 
 
 class Release(StrEnum):
-    """What a gateway is to run. The values are stored, and named in the controller's output.
+    """The release that a gateway is to run. The values are stored and printed by the controller.
 
-    While the releases differ in what the fleet shares, both run with the stricter value of each setting.
+    The strict variants are for changes of settings that the fleet shares: while some gateways run the old
+    release and some the new one, both run with the stricter value of each shared setting.
     """
 
     OLD = "old"
@@ -27,50 +28,50 @@
 
 
 class EventKind(StrEnum):
-    """What happened. The values are stored."""
+    """The kind of an event. The values are stored."""
 
     BEGUN = "begun"
     ORDERED = "ordered"
-    """A gateway was ordered to run `target`; stored before the order is sent."""
+    """A gateway is ordered to run `target`. The event is stored before the order is sent."""
     CONFIRMED = "confirmed"
-    """A gateway runs what it was ordered."""
+    """A gateway reports that it runs the release it was ordered to run."""
     FAILED = "failed"
     CONTROL = "control"
-    """An old gateway was ordered to restart as it is, to compare with."""
+    """A gateway on the old release is ordered to restart on it, as a control for the comparison."""
     STAGE = "stage"
-    """A stage began."""
+    """A stage begins."""
     ASSESSED = "judged"
-    """A stage passed."""
+    """A stage passes its assessment."""
     PAUSED = "paused"
     RESUMED = "resumed"
     ROLLBACK = "back"
-    """From now on all go back to the old release."""
+    """A rollback begins: all gateways return to the old release."""
     HELD = "held"
-    """The change stands still until an operator resumes it."""
+    """The change is held until an operator resumes it or rolls it back."""
     ENDED = "ended"
-    """The change has ended, with `target` as its outcome."""
+    """The change has ended with the outcome in `target`."""
     NOTE = "note"
 
 
 class Outcome(StrEnum):
-    """How a change ends. The values are stored and printed."""
+    """The outcome of a change. The values are stored and printed."""
 
     DONE = "done"
     ROLLED_BACK = "back"
 
 
 class Event(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One event.
+    """An event of a change.
 
     Attributes:
-        kind: of `EventKind`; a string, as records of other releases may have others.
-        at: when, by the clock of the controller's process.
-        gateway: that it is about.
-        fence: of an order.
-        order_number: of an order under its fence.
-        target: the release of an order, the assessment of a stage, or the outcome of the change.
-        stage: that it belongs to.
-        reason: why, for people.
+        kind: A value of `EventKind`. It is a string because other releases may have stored other kinds.
+        at: The time of the event, by the clock of the controller's process.
+        gateway: The name of the gateway concerned; empty if the event concerns the whole change.
+        fence: The fence under which an order is given; 0 for other events.
+        order_number: The number of an order under its fence; 0 for other events.
+        target: The release of an order, the assessment of a stage, or the outcome of the change.
+        stage: The index of the stage concerned.
+        reason: The reason, in text for operators.
     """
 
     kind: str = msgspec.field(name="what")
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -1,4 +1,4 @@
-"""Reads a rolling change as operators write it (HCL): the plan, and all that a controller needs beside it."""
+"""Reads the plan of a rolling change from an operator's HCL file, with all that a controller needs for it."""
 
 from __future__ import annotations
 
@@ -27,12 +27,19 @@
 DEFAULT_MAX_CONFIRMATION_TIME = 60 * SECOND
 DEFAULT_BASELINE_TIME = 20 * SECOND
 STAGE_SIZES = {"managers": "gateways", "part": "fraction", "domain": "domain"}
-"""Keys of a stage, one of which says how far it goes, with the fields that they fill."""
+"""The keys of a stage that give its size, of which exactly one is expected, and the fields they fill."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayAddress:
-    """A gateway: where its fleet listener is, and its supervisor's, if it has one."""
+    """The addresses of a gateway.
+
+    Attributes:
+        name: The name of the gateway.
+        address: The address of its fleet listener.
+        domain: Its failure domain.
+        supervisor: The address of its supervisor; empty if it has none.
+    """
 
     name: str
     address: str
@@ -42,13 +49,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What changes: settings, or the program.
+    """The content of a change: either settings or a program.
 
     Attributes:
-        settings: the file with the new settings.
-        old_settings: the file with those of now, a configuration or settings alone.
-        program: the new release, as supervisors know it.
-        old_program: the release to go back to.
+        settings: The path of the file with the new settings.
+        old_settings: The path of the file with the present settings, alone or within a configuration.
+        program: The supervisors' name for the new release of the program.
+        old_program: The supervisors' name for the release to return to in a rollback.
     """
 
     settings: str = ""
@@ -59,20 +66,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutPlan:
-    """A change that is ready to go.
+    """A change that has been read and checked.
 
     Attributes:
-        plan: what the stage machine goes by.
-        terms, guards: what the canary analysis goes by.
-        gateways: by name.
-        change: what changes.
-        bodies: what is ordered for each release: settings as JSON, or the program's name.
-        digests: by which a gateway is known to run each release.
-        baseline_time: how long all are observed before anything is changed.
-        record_path: the controller's record.
-        text: the plan as it was read.
-        shared_settings: those that differ, for people.
-        leases: the lease under which one of all controllers acts; None: by a majority of gateways.
+        plan: The plan for the stage machine.
+        terms: The parameters of the canary analysis.
+        guards: The limits of the canary analysis, by service class.
+        gateways: The addresses of the gateways, by name.
+        change: The content of the change.
+        bodies: The body of an order for each release: settings as JSON, or the program's name.
+        digests: The digest of settings, or the program's name, that a gateway on each release reports.
+        baseline_time: The time for which all gateways are observed before the first one is changed.
+        record_path: The path of the controller's record.
+        text: The plan as it was read.
+        shared_settings: The settings shared by the fleet that differ, in text for operators.
+        leases: The configuration of the lease under which one controller acts at a time. If None, a majority
+            of gateways decides which controller acts.
     """
 
     plan: Plan
@@ -89,16 +98,16 @@
     leases: LeasesConfig | None = None
 
     def matching_releases(self, settings: str, program: str) -> frozenset[str]:
-        """Which releases a gateway runs that reports this settings digest and this program."""
+        """Returns the releases that match a gateway's report of its settings digest and program."""
         reported = program if self.change.program else settings
         return frozenset(name for name, digest in self.digests.items() if digest == reported)
 
 
 def load(path: str) -> RolloutPlan:
-    """Reads and checks everything before anything moves.
+    """Reads and checks the plan at `path` and all files that it names, before any gateway is changed.
 
     Raises:
-        OperatorConfigError: with the line of what is wrong.
+        OperatorConfigError: The plan or a file is invalid; the message gives the line in the plan.
     """
     document = read_file(path)
     change_block, member_blocks = document.find_block("change"), document.blocks("member")
@@ -116,7 +125,7 @@
     leases = document.find_block("leases")
     plan = Plan(
         name=name,
-        gateways=tuple((one.name, one.domain) for one in gateways.values()),
+        gateways=tuple((gateway.name, gateway.domain) for gateway in gateways.values()),
         stages=stages,
         limits=limits,
         on_worse=_failure_action(document, "worse", FailureAction.ROLL_BACK),
@@ -127,7 +136,7 @@
         max_stage_time=terms.max_stage_time,
         max_confirmation_time=document.attribute("away_for", Duration, DEFAULT_MAX_CONFIRMATION_TIME),
     )
-    class_names = [str(one["name"]) for one in (new or old or {}).get("classes", ())]
+    class_names = [str(service_class["name"]) for service_class in (new or old or {}).get("classes", ())]
     rollout_plan = RolloutPlan(
         plan=plan,
         terms=terms,
@@ -149,22 +158,24 @@
 def _shared_settings(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[str, ...]:
     if not old or not new:
         return ()
-    return tuple(f"{one.path}: {one.reason}" for one in settings_diff.differences(old, new))
+    return tuple(
+        f"{difference.path}: {difference.reason}" for difference in settings_diff.differences(old, new)
+    )
 
 
 def _read_releases(block: Block, change: Change, folder: Path) -> tuple[dict[str, Any], dict[str, Any]]:
-    """The settings of the old and of the new release; empty where the change names none."""
+    """Returns the settings of the old and of the new release; both empty if the change names none."""
     if bool(change.settings) == bool(change.program):
-        raise block.error("change: settings or program, expected one of them")
+        raise block.error("change: expected exactly one of settings and program")
     if change.program:
         if not change.old_program:
-            raise block.error("change: no back, expected the release to go back to")
+            raise block.error("change: back is missing, expected the release to return to in a rollback")
         if not change.old_settings:
             return {}, {}
         settings = _read_settings(block, folder, "before", change.old_settings)
         return settings, settings
     if not change.old_settings:
-        raise block.error("change: no before, expected the file with the settings of now")
+        raise block.error("change: before is missing, expected the file with the present settings")
     old = _read_settings(block, folder, "before", change.old_settings)
     new = _read_settings(block, folder, "settings", change.settings)
     reason = settings_validation.find_restart_setting(old, new)
@@ -176,7 +187,7 @@
 
 
 def _read_settings(block: Block, folder: Path, key: str, path: str) -> dict[str, Any]:
-    """Settings, alone or in a configuration."""
+    """Returns the settings of a file, which has them alone or within a configuration."""
     try:
         content = json.loads((folder / path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -191,7 +202,7 @@
 def _order_bodies(
     change: Change, old: dict[str, Any], new: dict[str, Any]
 ) -> tuple[Mapping[str, bytes], Mapping[str, str]]:
-    """What is ordered for each release, and by which digest a gateway is known to run it."""
+    """Returns the body of an order for each release, and the digest that a gateway on it reports."""
     if change.program:
         programs: dict[str, str] = {
             Release.OLD: change.old_program,
@@ -206,29 +217,29 @@
         Release.NEW_STRICT: settings_diff.stricter(new, old),
         Release.NEW: new,
     }
-    bodies = {name: _encode_shared_settings(one) for name, one in settings.items()}
-    return bodies, {name: release.settings(one) for name, one in settings.items()}
+    bodies = {name: _encode_shared_settings(content) for name, content in settings.items()}
+    return bodies, {name: release.settings(content) for name, content in settings.items()}
 
 
 def _encode_shared_settings(settings: Mapping[str, Any]) -> bytes:
-    """Settings as they are ordered: without those that each gateway has of its own."""
+    """Encodes the body of an order for settings, without those that differ between gateways."""
     return json.dumps({key: value for key, value in settings.items() if key not in release.OWN}).encode()
 
 
 def _read_stage(block: Block, gateways: Mapping[str, GatewayAddress]) -> Stage:
     stage = _fill(block, Stage, name=block.label)
-    given = [key for key, field in STAGE_SIZES.items() if getattr(stage, field)]
-    if len(given) != 1:
+    given_sizes = [key for key, field in STAGE_SIZES.items() if getattr(stage, field)]
+    if len(given_sizes) != 1:
         raise block.error(f"stage {block.label}: expected one of managers, part, domain")
-    if stage.domain and stage.domain not in {one.domain for one in gateways.values()}:
-        raise block.error(f"domain: {stage.domain!r}, expected that of a member", "domain")
+    if stage.domain and stage.domain not in {gateway.domain for gateway in gateways.values()}:
+        raise block.error(f"domain: {stage.domain!r}, expected the domain of a member", "domain")
     if stage.fraction > 1.0:
         raise block.error(f"part: {stage.fraction}, expected 1 at most", "part")
     return stage
 
 
 def _read_guards(blocks: list[Block], class_names: list[str]) -> dict[str, Guard]:
-    """Of the classes named; where none is, the same for all classes of the settings."""
+    """Returns the limits of the service classes in the plan; by default the same for all classes."""
     if not blocks:
         return {name: Guard() for name in class_names}
     guards = dict[str, Guard]()
@@ -246,12 +257,12 @@
     return FailureAction(action_name)
 
 
-def _read_optional(document: Block, name: str, kind: type[T], **given: Any) -> T:
+def _read_optional(document: Block, name: str, kind: type[T], **fields: Any) -> T:
     block = document.find_block(name)
-    return _fill(block, kind, **given) if block is not None else kind(**given)
+    return _fill(block, kind, **fields) if block is not None else kind(**fields)
 
 
-def _fill(block: Block, kind: type[T], **given: Any) -> T:
-    instance = block.fill(kind, **given)
+def _fill(block: Block, kind: type[T], **fields: Any) -> T:
+    instance = block.fill(kind, **fields)
     block.reject_unknown()
     return instance
--- a/vanerelay/rollout/stage_machine.py
+++ b/vanerelay/rollout/stage_machine.py
@@ -1,7 +1,7 @@
-"""The machine of stages: what is to be done next in a rolling change. Pure.
+"""The state machine that decides on the next step of a rolling change. No side effects.
 
-It is told the time and which gateways are heard, and answers with one step; `change_state` holds what the
-steps so far have made of the change.
+Its inputs are the time and the recent statuses of gateways, its output is one step. `change_state` holds the
+state that results from the steps so far.
 """
 
 from __future__ import annotations
@@ -18,27 +18,28 @@
 from vanerelay.rollout.events import NEW_RELEASES, Event, EventKind, Outcome, Release
 
 ORDER_RETRY_INTERVAL = 2 * SECOND
-"""Between orders of the same to one gateway."""
+"""The time between repeated orders of the same release to one gateway."""
 RESTART_ORDER_RETRY_INTERVAL = 8 * SECOND
-"""The same where an order restarts the process."""
+"""The same time if an order restarts the process."""
 QUORUM_DIVISOR = 2
-"""More than one part in so many must be heard, or nothing is moved."""
+"""More than 1 / `QUORUM_DIVISOR` of the gateways must have a recent status, or nothing is changed."""
 
 
 def is_quorum(count: int, total: int) -> bool:
-    """Whether so many are more than half of all."""
+    """Returns True if `count` is more than half of `total`."""
     return count * QUORUM_DIVISOR > total
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayStatus:
-    """A gateway as it was heard last.
+    """The last reported status of a gateway.
 
     Attributes:
-        releases: which releases it runs: several where they are the same, none where it runs something else.
-        is_serving: it accepts queries.
-        load: the part of its own cores in use.
-        last_order: fence and number of the last order that it accepted.
+        releases: The values of `Release` that match what it runs. Several match if their contents are equal,
+            none if it runs anything else.
+        is_serving: Whether it accepts queries.
+        load: The fraction of its cores in use.
+        last_order: The fence and number of the last order that it accepted.
     """
 
     releases: frozenset[str]
@@ -48,25 +49,32 @@
 
 
 class Action(Enum):
-    """What a step asks of the controller."""
+    """The action that a step requires of the controller."""
 
     ORDER = "order"
-    """Order the gateway to run the target."""
+    """Order the gateway to run the target release."""
     RESTART_CONTROL = "control"
-    """Order the old gateway to restart as it is."""
+    """Order the gateway to restart on the old release, as a control for the comparison."""
     BEGIN_STAGE = "stage"
     """Begin the next stage."""
     ASSESS = "judge"
-    """Assess the stage; the reason says what stands against passing."""
+    """Assess the stage. If a reason is given, the stage cannot pass for now."""
     UNCLEAR = "unclear"
-    """It can't be assessed, and nothing is gained by waiting longer."""
+    """End the stage as unclear: it cannot be assessed, and waiting longer will not help."""
     WAIT = "wait"
     END = "ended"
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """The one thing to do now."""
+    """The next step of a change.
+
+    Attributes:
+        action: The action to take.
+        gateway: The gateway to order; empty for other actions.
+        target: The release to order, or the outcome of the change.
+        reason: The reason, in text for operators.
+    """
 
     action: Action
     gateway: str = ""
@@ -75,20 +83,27 @@
 
 
 class StageMachine(ChangeState):
-    """One rolling change: `next_step` says what to do, `assessed` what follows from an assessment."""
+    """The state machine of one rolling change.
+
+    `next_step` returns the next step; `assessment_event`, `unclear_event` and `failure_event` return the
+    event that follows from a result. The caller records each event and applies it.
+    """
 
     def has_accepted_last_order(self, name: str, status: GatewayStatus) -> bool:
-        """Whether no earlier order can count any more at the gateway.
+        """Returns True if the gateway has accepted its last order, and so rejects all earlier ones.
 
-        That it runs what it was ordered is not enough: it may have run that before, and an order that lies
-        in a socket would still be accepted.
+        Running the ordered release is not enough: the gateway may have run it before the order, and would
+        still accept an earlier order that is delayed in a socket buffer.
         """
         return status.last_order >= self.last_orders.get(name, (0, 0))
 
     def next_step(self, now: int, statuses: Mapping[str, GatewayStatus]) -> Step:
-        """The one thing to do now.
+        """Returns the next step.
 
-        `heard` are the gateways heard within the last seconds; any other counts as neither good nor bad.
+        Args:
+            now: The current time.
+            statuses: The gateways that reported within the last seconds. Any other gateway counts as neither
+                good nor bad.
         """
         if self.outcome:
             return Step(Action.END, reason=self.outcome)
@@ -104,10 +119,10 @@
         return self._go_forward(now, statuses)
 
     def _corrective_order(self, now: int, statuses: Mapping[str, GatewayStatus]) -> Step | None:
-        """Orders a gateway again that runs something else than it was ordered last.
+        """Returns a repeated order for a gateway that does not run its ordered release; None if none is due.
 
-        The order was lost, or the gateway came back with another release. This is never wider than the plan,
-        as what it was ordered counts already.
+        Its order was lost, or it restarted with another release. Repeating an order never changes more
+        gateways than the plan allows, because a gateway counts as changed from its first order.
         """
         interval = RESTART_ORDER_RETRY_INTERVAL if self.plan.restarts else ORDER_RETRY_INTERVAL
         for name, status in statuses.items():
@@ -145,7 +160,10 @@
         return Step(Action.BEGIN_STAGE)
 
     def _assess(self, statuses: Mapping[str, GatewayStatus], unreachable: list[str]) -> Step:
-        """The stage is ordered and confirmed: it is compared, in the first one with controls."""
+        """Returns the step for a stage whose orders are all confirmed.
+
+        In the first stage of a change with restarts, controls are restarted before the assessment.
+        """
         plan = self.plan
         if len(self.controls) < plan.control_restarts and plan.restarts and self.stage == 0:
             return self._restart_control(statuses)
@@ -157,7 +175,11 @@
         return Step(Action.ASSESS)
 
     def _roll_back(self, statuses: Mapping[str, GatewayStatus]) -> Step:
-        """Without evidence, and without waiting for those that can't be heard."""
+        """Returns the next step of a rollback.
+
+        A rollback needs no assessment, and orders the reachable gateways without waiting for the others. It
+        ends only when all gateways are confirmed.
+        """
         to_order = [
             name
             for name in self.domains
@@ -174,9 +196,9 @@
         return Step(Action.END, target=Outcome.ROLLED_BACK)
 
     def _order_next(self, to_order: list[str], statuses: Mapping[str, GatewayStatus]) -> Step:
-        """Orders the first gateway that may be away now.
+        """Returns the order for the first gateway that may become unavailable now, or a wait.
 
-        Where nothing restarts nobody is away, but for the time of the order itself.
+        If orders do not restart processes, a gateway only counts as unavailable until it confirms its order.
         """
         unavailable = self._unavailable_gateways(statuses)
         unavailable_by_domain = Counter(self.domains[name] for name in unavailable)
@@ -185,7 +207,7 @@
             if name not in statuses:
                 continue
             if name in unavailable:
-                # Away as it is: changing it costs nothing more.
+                # It is unavailable already, so changing it does not reduce the capacity further.
                 return Step(Action.ORDER, name, self.target_release(name))
             in_domain = unavailable_by_domain[self.domains[name]]
             if len(unavailable) >= limits.max_unavailable or in_domain >= limits.max_unavailable_per_domain:
@@ -199,7 +221,7 @@
         return _wait(f"{to_order[0]} not heard")
 
     def _unavailable_gateways(self, statuses: Mapping[str, GatewayStatus]) -> set[str]:
-        """Gateways that do not serve, or may not."""
+        """Returns the gateways that do not serve queries, or may not."""
         not_serving = {
             name
             for name in self.domains
@@ -208,13 +230,13 @@
         return not_serving | {name for name, has_restarted in self.controls.items() if not has_restarted}
 
     def _has_capacity(self, statuses: Mapping[str, GatewayStatus], unavailable: int) -> bool:
-        """Whether the rest can carry the load of all."""
+        """Returns True if the remaining gateways can carry the load with `unavailable` of them missing."""
         loads = [status.load for status in statuses.values() if status.is_serving]
         remaining = len(self.domains) - unavailable
         return remaining > 0 and sum(loads) / remaining <= self.plan.limits.max_load
 
     def _restart_control(self, statuses: Mapping[str, GatewayStatus]) -> Step:
-        """Restarts an old gateway as it is: the last in the order of changing."""
+        """Returns the order to restart a control: the gateway on the old release that is changed last."""
         old = [
             name
             for name in reversed(list(self.domains))
@@ -227,12 +249,15 @@
             return _wait("the others are too busy for a control restart")
         return Step(Action.RESTART_CONTROL, old[0], Release.OLD)
 
-    # What follows from an assessment.
+    # Events that follow from results.
 
     def assessment_event(self, now: int, verdict: Verdict, obstacle: str = "") -> Event | None:
-        """The event that follows; None where the stage goes on.
+        """Returns the event that follows from an assessment of the stage, or None if the stage continues.
 
-        `obstacle`: why nothing can be said for now.
+        Args:
+            now: The current time.
+            verdict: The verdict on the stage.
+            obstacle: The reason why the stage cannot pass for now; empty if it can.
         """
         if verdict.assessment is Assessment.WORSE:
             return self._stop_event(now, self.plan.on_worse, "; ".join(verdict.reasons))
@@ -244,11 +269,11 @@
         return None
 
     def unclear_event(self, now: int, reason: str) -> Event:
-        """What follows where the stage can't be assessed."""
+        """Returns the event that follows if the stage cannot be assessed."""
         return self._stop_event(now, self.plan.on_unclear, reason)
 
     def failure_event(self, now: int, gateway: str, reason: str) -> Event:
-        """What follows when a gateway tried the change and could not take it."""
+        """Returns the event that follows if a gateway tried to apply the change and failed."""
         return self._stop_event(now, self.plan.on_worse, f"{gateway}: {reason}", gateway)
 
     def _stop_event(self, now: int, action: FailureAction, reason: str, gateway: str = "") -> Event:
