--- a/vanerelay/rollout/canary_analysis.py
+++ b/vanerelay/rollout/canary_analysis.py
@@ -237,7 +237,7 @@
         return series.differences.mean - baseline_mean, math.hypot(width, baseline_width)
 
     def _death_findings(self) -> list[str]:
-        """Returns the finding that processes of new gateways end unexpectedly more often than old ones."""
+        """Returns a finding if processes of new gateways end unexpectedly more often than those of old ones."""
         deaths, exposure = self._stage.deaths, self._stage.exposure
         new_share = exposure.new / max(1, exposure.new + exposure.old)
         if deaths.new < MIN_DEATHS:
@@ -247,7 +247,7 @@
         return [f"processes: {deaths.new} of new managers ended by themselves, {deaths.old} of old ones"]
 
     def _memory_findings(self) -> list[str]:
-        """Returns the finding that the memory of new gateways grows more than that of old ones."""
+        """Returns a finding if the memory of every new gateway grows more than that of any old one."""
         new_growth, old_growth = self._stage.memory_growth(True), self._stage.memory_growth(False)
         if not new_growth or not old_growth:
             return []
@@ -266,11 +266,10 @@
         return current.mean - baseline.mean - baseline_width - width
 
     def _crowding_findings(self) -> list[str]:
-        """Returns the finding that new gateways crowd out the old ones.
+        """Returns a finding if the new gateways crowd out the old ones.
 
         The new gateways then hold more of the engines for the same work, and the old ones do worse than
-        before. A gain of the new gateways is at the cost of the old ones, so comparing both would not show
-        the loss.
+        before: what one side gains is taken from the other.
         """
         new, old = self._stage.new_engine_share, self._stage.old_engine_share
         if min(new.number, old.number) < MIN_VARIANCE_BLOCKS or new.mean < CROWDING_FACTOR * old.mean:
--- a/vanerelay/rollout/canary_baseline.py
+++ b/vanerelay/rollout/canary_baseline.py
@@ -61,9 +61,7 @@
         self._differences = defaultdict[tuple[str, str, str], RunningVariance](RunningVariance)
         self._totals = defaultdict[str, ClassCounts](ClassCounts)  # by service class
         self.missed_value = defaultdict[str, RunningVariance](RunningVariance)  # by service class
-        self._open_blocks = defaultdict[str, dict[str, ClassCounts]](
-            dict
-        )  # by gateway: the block in the making
+        self._open_blocks = defaultdict[str, dict[str, ClassCounts]](dict)  # by gateway and service class
 
     def add_slice(self, samples: Mapping[str, GatewaySample]) -> None:
         """Adds the samples of one slice of time."""
@@ -135,27 +133,23 @@
         The mean is shrunk towards 0 according to how much of the differences between gateways the noise of
         few queries explains.
         """
-        by_gateway = {
+        recorded = {
             name: statistics
             for (name, recorded_class, recorded_measure), statistics in self._differences.items()
             if (recorded_class, recorded_measure) == (class_name, measure)
             and statistics.number >= MIN_BASELINE_BLOCKS
         }
-        new_statistics = [by_gateway[name] for name in new if name in by_gateway]
-        if len(by_gateway) < 2 or not new_statistics:
+        new_stats = [recorded[name] for name in new if name in recorded]
+        if len(recorded) < 2 or not new_stats:
             return 0.0, 0.0
-        mean = sum(item.mean for item in by_gateway.values()) / len(by_gateway)
-        mean_noise = sum(item.variance / item.number for item in by_gateway.values()) / len(by_gateway)
-        variance_of_means = sum((item.mean - mean) ** 2 for item in by_gateway.values()) / (
-            len(by_gateway) - 1
-        )
-        real_variance = max(0.0, variance_of_means - mean_noise) / len(new_statistics)
-        error_variance = (
-            sum(item.variance / item.number for item in new_statistics) / len(new_statistics) ** 2
-        )
+        mean = sum(item.mean for item in recorded.values()) / len(recorded)
+        mean_noise = sum(item.variance / item.number for item in recorded.values()) / len(recorded)
+        variance_of_means = sum((item.mean - mean) ** 2 for item in recorded.values()) / (len(recorded) - 1)
+        real_variance = max(0.0, variance_of_means - mean_noise) / len(new_stats)
+        error_variance = sum(item.variance / item.number for item in new_stats) / len(new_stats) ** 2
         if real_variance + error_variance <= 0.0:
             return 0.0, 0.0
         shrinkage_factor = real_variance / (real_variance + error_variance)
-        return sum(item.mean for item in new_statistics) / len(
-            new_statistics
+        return sum(item.mean for item in new_stats) / len(
+            new_stats
         ) * shrinkage_factor, error_variance * shrinkage_factor
--- a/vanerelay/rollout/stage_machine.py
+++ b/vanerelay/rollout/stage_machine.py
@@ -139,6 +139,7 @@
         return None
 
     def _go_forward(self, now: int, statuses: Mapping[str, GatewayStatus]) -> Step:
+        """Returns the next step of a change that is not paused, held or rolling back."""
         unconfirmed = [name for name in self.domains if not self.confirmed[name]]
         for name in unconfirmed:
             if now - self.change_started_at[name] > self.plan.max_confirmation_time:
