--- a/vanerelay/rollout/canary_analysis.py
+++ b/vanerelay/rollout/canary_analysis.py
@@ -237,7 +237,7 @@
         return series.differences.mean - baseline_mean, math.hypot(width, baseline_width)
 
     def _death_findings(self) -> list[str]:
-        """Returns a finding if processes of new gateways end unexpectedly more often than those of old ones."""
+        """Returns a finding if processes of new gateways end unexpectedly more often than old ones."""
         deaths, exposure = self._stage.deaths, self._stage.exposure
         new_share = exposure.new / max(1, exposure.new + exposure.old)
         if deaths.new < MIN_DEATHS:
