--- a/vanerelay/rollout/change_state.py
+++ b/vanerelay/rollout/change_state.py
@@ -84,15 +84,15 @@
     def resume(self, now: int) -> None:
         """Adjusts the state for a new controller process; call it once, after `replayed`.
 
-        Recorded times are of the previous process's clock and cannot be compared with this one's. All
-        waiting times therefore start again at `now`.
+        Recorded times are of the previous process's clock and cannot be compared with this one's.
+        Waiting times therefore start again at `now`.
         """
         self.change_started_at = dict.fromkeys(self.change_started_at, now)
         self.ordered_at = {name: min(at, now) for name, at in self.ordered_at.items()}
         self.stage_started_at = now
 
     def apply(self, event: Event) -> None:
-        """Applies a new or replayed event. Kinds that this release does not know only count as events."""
+        """Applies a new or replayed event. Unknown kinds only increase `event_count`."""
         self.event_count += 1
         applier = self._appliers.get(event.kind)
         if applier is not None:
@@ -167,7 +167,7 @@
         return list(selected)
 
     def _alternate_domains(self, names: list[str]) -> list[str]:
-        """Returns the names ordered so that successive ones are in different failure domains."""
+        """Returns the names with one of each failure domain in turn, so that the first few are not all in one."""
         by_domain = dict[str, list[str]]()
         for name in names:
             by_domain.setdefault(self.domains[name], []).append(name)
--- a/vanerelay/rollout/class_totals.py
+++ b/vanerelay/rollout/class_totals.py
@@ -9,7 +9,7 @@
 from vanerelay.rollout.messages import ClassMetrics
 
 MAX_CLASSES = 64
-"""Service classes that are counted; queries of further ones are not.
+"""The number of service classes that are counted; queries of further classes are ignored.
 
 Clients choose the names, and the message with the totals has to stay small.
 """
