--- a/vanerelay/rollout/change_state.py
+++ b/vanerelay/rollout/change_state.py
@@ -167,7 +167,7 @@
         return list(selected)
 
     def _alternate_domains(self, names: list[str]) -> list[str]:
-        """Returns the names with one of each failure domain in turn, so that the first few are not all in one."""
+        """Returns the names, one of each failure domain in turn, so that the first few are not all in one."""
         by_domain = dict[str, list[str]]()
         for name in names:
             by_domain.setdefault(self.domains[name], []).append(name)
