--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rolling changes: shared settings, fences, what is stored, the record, the controller and its plan."""
+"""Tests of rolling changes: shared settings, fence, stored files, record, controller and plan."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
 
 
 def settings_with(**parts):
+    """Returns the sample settings with some values replaced."""
     return {
         name: {**SERVICES[name], **value} if isinstance(value, dict) else value
         for name, value in {**SERVICES, **parts}.items()
@@ -48,61 +49,69 @@
         ({}, {"limits": {"maxAttempts": 2}}, "limits.maxAttempts", 2),
     ],
 )
-def test_while_releases_differ_the_stricter_value_holds(old, new, path, value):
+def test_stricter_returns_the_stricter_value_for_either_order_of_releases(old, new, path, value):
     old, new = settings_with(**old), settings_with(**new)
     for base, other in ((old, new), (new, old)):
         found = settings_diff.stricter(base, other)
         for part in path.split("."):
             found = found[part]
         assert found == value
-    assert [one.path for one in settings_diff.differences(old, new)] in ([path], [])
+    assert [setting.path for setting in settings_diff.differences(old, new)] in ([path], [])
 
 
 @pytest.mark.parametrize(
-    "change, says",
+    "change, expected",
     [
         ({"position": 3}, "position: 3"),
         ({"familyInfo": {"cpuOfKind": [0]}}, "familyInfo.cpuOfKind[0]: 0"),
         ({"familyInfo": {"memoryByKindMb": []}}, "familyInfo.memoryByKindMb: []"),
     ],
 )
-def test_checks_find_what_a_stage_must_not_reach(change, says):
+def test_find_suspect_setting_names_a_setting_that_no_stage_may_receive(change, expected):
     assert (
         settings_validation.find_error(SERVICES) is None
         and settings_validation.find_suspect_setting(SERVICES) is None
     )
-    assert says in (settings_validation.find_suspect_setting(settings_with(**change)) or "")
+    assert expected in (settings_validation.find_suspect_setting(settings_with(**change)) or "")
 
 
-def test_fences():
+def test_fence_refuses_orders_of_lower_fences_other_changes_and_unjoined_gateways():
     fence = Fence()
-    assert fence.refusal(OrderId(1, "a")) is None and fence.learn("3/a")
-    assert fence.refusal(OrderId(3, "a")) is None and fence.refusal(OrderId(4, "b")) is None
-    assert "expected 3" in fence.refusal(OrderId(2, "a")) and "held for a" in fence.refusal(OrderId(3, "b"))
-    assert fence.refusal(OrderId(9, "a"), replaced=True) and fence.refusal(OrderId(9, "a"), joined=False)
-    assert not fence.learn("2/z") and not fence.learn("x") and fence.text == "3/a"
+    assert fence.refusal_reason(OrderId(1, "a")) is None and fence.observe("3/a")
+    assert fence.refusal_reason(OrderId(3, "a")) is None and fence.refusal_reason(OrderId(4, "b")) is None
+    assert "expected 3" in fence.refusal_reason(OrderId(2, "a")) and "held for a" in fence.refusal_reason(
+        OrderId(3, "b")
+    )
+    assert fence.refusal_reason(OrderId(9, "a"), replaced=True) and fence.refusal_reason(
+        OrderId(9, "a"), joined=False
+    )
+    assert not fence.observe("2/z") and not fence.observe("x") and fence.text == "3/a"
 
 
-def test_what_is_stored_of_orders_outlives_a_restart_but_not_a_new_configuration(tmp_path):
+def test_stored_fence_and_settings_survive_a_restart_but_settings_not_a_new_configuration(tmp_path):
     store = AgentStore(str(tmp_path / "m1"))
     store.read_settings("digest")
     assert store.write_fence("7/a") is None and store.write_settings({"x": 1}) is None
-    again = AgentStore(str(tmp_path / "m1"))
-    assert Fence(again.read_fence()).highest == 7
-    assert again.read_settings("digest") == {"x": 1} and again.read_settings("another") is None
+    reopened = AgentStore(str(tmp_path / "m1"))
+    assert Fence(reopened.read_fence()).highest == 7
+    assert reopened.read_settings("digest") == {"x": 1} and reopened.read_settings("another") is None
     (tmp_path / "full").write_text("")
     assert "full" in AgentStore(str(tmp_path / "full" / "m1")).write_fence("7/a")
 
 
-def test_an_event_is_complete_in_the_record_or_not_there(tmp_path):
+def test_change_log_returns_its_events_when_reopened_and_rejects_a_file_that_is_no_database(tmp_path):
     record = ChangeLog(str(tmp_path / "r"))
     record.begin("c", "plan", 3)
     for event in (Event(EventKind.STAGE, 5), Event(EventKind.ORDERED, 6, "m1", target=Release.NEW)):
         record.append(event)
     record.add_command("pause")
-    again = ChangeLog(str(tmp_path / "r"))
-    assert (again.name, again.fence, [e.kind for e in again.events()]) == ("c", 3, ["stage", "ordered"])
-    assert again.take_commands() == ["pause"] and again.take_commands() == []
+    reopened = ChangeLog(str(tmp_path / "r"))
+    assert (reopened.name, reopened.fence, [e.kind for e in reopened.events()]) == (
+        "c",
+        3,
+        ["stage", "ordered"],
+    )
+    assert reopened.take_commands() == ["pause"] and reopened.take_commands() == []
     (tmp_path / "bad").write_text("no database, but long enough to be taken for one" * 20)
     with pytest.raises(ChangeLogError, match="bad"):
         ChangeLog(str(tmp_path / "bad"))
@@ -119,11 +128,16 @@
         return super().append(event)
 
 
-class FakeNode:
-    """Sends requests to gateways that follow every order at once."""
+class FakeRpcNode:
+    """Replaces the RPC node of a controller: the gateways carry out every order at once."""
 
     def __init__(self, names):
-        self.orders, self.runs, self.last_orders, self.fence = [], dict.fromkeys(names, Release.OLD), {}, 0
+        self.orders, self.releases, self.last_orders, self.fence = (
+            [],
+            dict.fromkeys(names, Release.OLD),
+            {},
+            0,
+        )
 
     def call(self, address, kind, body, timeout_s):
         name = address.split(":")[0]
@@ -131,7 +145,7 @@
             return succeed(
                 messages.encode(
                     messages.GatewayState(
-                        name, "", self.runs[name], "serving", 7, self.fence, self.last_orders.get(name, 0)
+                        name, "", self.releases[name], "serving", 7, self.fence, self.last_orders.get(name, 0)
                     )
                 )
             )
@@ -139,45 +153,45 @@
         self.fence = order.fence
         if order.kind != "claim":
             self.orders.append(name)
-            self.runs[name], self.last_orders[name] = order.body.decode(), order.number
+            self.releases[name], self.last_orders[name] = order.body.decode(), order.number
         return succeed(messages.encode(messages.OrderReply(order.fence)))
 
     def stop(self):
         pass
 
 
-def test_what_cannot_be_recorded_is_not_done_and_goes_on_when_there_is_space(tmp_path):
+def test_controller_orders_nothing_while_the_record_disk_is_full_and_continues_afterwards(tmp_path):
     names = [name for name, _ in PLAN.gateways]
-    reactor, record, said = task.Clock(), FullChangeLog(str(tmp_path / "r")), []
-    runs = {
+    reactor, record, printed = task.Clock(), FullChangeLog(str(tmp_path / "r")), []
+    digests = {
         Release.NEW: Release.NEW,
         Release.OLD: Release.OLD,
         "old strict": Release.OLD,
         "new strict": Release.NEW,
     }
-    loaded = plan_reader.RolloutPlan(
+    rollout_plan = plan_reader.RolloutPlan(
         PLAN,
         AnalysisTerms(stages=2, settle_time=0),
         {},
         {name: plan_reader.GatewayAddress(name, f"{name}:1") for name in names},
         plan_reader.Change(),
-        {name: text.encode() for name, text in runs.items()},
-        runs,
+        {name: text.encode() for name, text in digests.items()},
+        digests,
         0,
         "",
         "",
     )
     record.begin("p", "", 0)
-    node = FakeNode(names)
-    controller = Controller(reactor, loaded, record, said.append, node)
+    node = FakeRpcNode(names)
+    controller = Controller(reactor, rollout_plan, record, printed.append, node)
     ended = controller.start(False)
     for second in range(20):
         record.full = second < 10
         reactor.advance(1)
         if second == 9:
-            assert node.orders == [] and any("disk is full" in line for line in said)
+            assert node.orders == [] and any("disk is full" in line for line in printed)
     reactor.pump([1] * 30)
-    assert ended.called and set(node.runs.values()) == {Release.NEW}, said
+    assert ended.called and set(node.releases.values()) == {Release.NEW}, printed
 
 
 TEXT = """change {
@@ -190,7 +204,7 @@
 
 
 @pytest.mark.parametrize(
-    "new, text, says",
+    "new, text, expected",
     [
         (settings_with(safety={"minExtra": 5}), TEXT, ""),
         (settings_with(), TEXT, "the same as before"),
@@ -209,14 +223,17 @@
         ),
     ],
 )
-def test_plans_are_checked_before_anything_moves(tmp_path, new, text, says):
+def test_plan_is_loaded_or_rejected_with_the_line_of_the_error(tmp_path, new, text, expected):
     (tmp_path / "old.json").write_text(json.dumps({"settings": SERVICES}))
     (tmp_path / "new.json").write_text(json.dumps(new))
     (tmp_path / "p.hcl").write_text(text)
-    if not says:
-        loaded = plan_reader.load(str(tmp_path / "p.hcl"))
-        assert set(loaded.guards) == {"look"} and loaded.digests[Release.NEW] != loaded.digests[Release.OLD]
-        assert loaded.digests.keys() >= NEW_RELEASES
+    if not expected:
+        rollout_plan = plan_reader.load(str(tmp_path / "p.hcl"))
+        assert (
+            set(rollout_plan.guards) == {"look"}
+            and rollout_plan.digests[Release.NEW] != rollout_plan.digests[Release.OLD]
+        )
+        assert rollout_plan.digests.keys() >= NEW_RELEASES
         return
-    with pytest.raises(plan_reader.OperatorConfigError, match="line [0-9]+.*" + says):
+    with pytest.raises(plan_reader.OperatorConfigError, match="line [0-9]+.*" + expected):
         plan_reader.load(str(tmp_path / "p.hcl"))
--- a/vanerelay/rollout/agent.py
+++ b/vanerelay/rollout/agent.py
@@ -1,6 +1,6 @@
-"""A gateway's side of a rolling change: reports its state, and follows orders.
+"""The agent of a gateway in a rolling change: reports the gateway's state and carries out orders.
 
-A thin driver; `fence` decides whether an order is accepted.
+It only does the input and output; `fence` decides whether an order is accepted.
 """
 
 from __future__ import annotations
@@ -26,20 +26,21 @@
 log = structlog.get_logger()
 
 RELEASE_VARIABLE = "VANERELAY_RELEASE"
-"""The environment variable with the name of the release under which a supervisor started the process."""
+"""The environment variable in which a supervisor passes the name of the release that it has started."""
 PAGE_BYTES = resource.getpagesize()
 ENGINE_SHARE_INTERVAL_S = 0.5
-"""Between readings of what is held of the engines."""
+"""Interval at which the gateway's share of the engines is sampled."""
 DEFAULT_MEMORY_MB = 192
-"""Where the host states no limit: what the deploy file gives a gateway."""
+"""Assumed if the platform sets no limit: the memory that the deploy file gives a gateway."""
 DEFAULT_CORES = 1.0
+"""Assumed if the platform sets no limit."""
 
 
 class RolloutAgent:
-    """Answers a controller's requests.
+    """Answers the requests of a controller.
 
     Attributes:
-        fence: whose orders are accepted.
+        fence: Decides whose orders are accepted.
     """
 
     def __init__(
@@ -50,27 +51,29 @@
         self._cores = float(host.limits.get("cores") or DEFAULT_CORES)
         self._engine_share = 0.0
         self.fence = Fence(store.read_fence())
-        fleet.member_listeners.append(self._member_seen)
+        fleet.member_listeners.append(self._on_member_report)
         if self.fence.text:
             fleet.announce(orders=self.fence.text)
         fleet.rpc.handlers |= {
             messages.STATE_KIND: self._answer_state,
             messages.ORDER_KIND: self._answer_order,
         }
-        self._add_engine_share()
+        self._accumulate_engine_share()
 
-    def _member_seen(self, member: Member) -> None:
-        self._learn_fence(member.orders)
+    def _on_member_report(self, member: Member) -> None:
+        self._observe_fence(member.orders)
 
-    def _learn_fence(self, text: str) -> None:
-        if self.fence.learn(text):
+    def _observe_fence(self, text: str) -> None:
+        if self.fence.observe(text):
             self._fleet.announce(orders=self.fence.text)
 
-    def _add_engine_share(self) -> None:
+    def _accumulate_engine_share(self) -> None:
+        """Adds the current share of the engines, weighted by the interval, to the sum over time."""
         self._engine_share += self._host.gateway.held_share() * ENGINE_SHARE_INTERVAL_S
-        self._host.reactor.callLater(ENGINE_SHARE_INTERVAL_S, self._add_engine_share)
+        self._host.reactor.callLater(ENGINE_SHARE_INTERVAL_S, self._accumulate_engine_share)
 
     def _answer_state(self, body: bytes) -> bytes:
+        """Returns the encoded `GatewayState`."""
         request = messages.decode(body, messages.StateRequest)
         with_metrics = request is None or request.with_metrics
         own = self._fleet.detector.own
@@ -101,30 +104,36 @@
         )
 
     def _answer_order(self, body: bytes) -> bytes:
+        """Returns the encoded `OrderReply`; raises RequestRefusedError if the order cannot be decoded."""
         order = messages.decode(body, messages.Order)
         if order is None:
             raise RequestRefusedError("unreadable")
-        reason = self._refusal(order)
+        reason = self._check_order(order)
         if reason is not None:
-            log.warning("order refused", change=order.change, fence=order.fence, reason=reason)
+            log.warning("rollout order refused", change=order.change, fence=order.fence, reason=reason)
             return messages.encode(messages.OrderReply(self.fence.highest, False, reason=reason))
         self.fence.accept(_order_id(order))
-        return messages.encode(self._follow(order))
+        return messages.encode(self._execute_order(order))
 
-    def _refusal(self, order: messages.Order) -> str | None:
-        """Why an order is refused; None where it is not, and its fence is stored."""
+    def _check_order(self, order: messages.Order) -> str | None:
+        """Returns why an order is refused, or None if it is not.
+
+        A higher fence is stored before its order is accepted.
+        """
         order_id, detector = _order_id(order), self._fleet.detector
         is_alone = len(detector.members) == 1
         has_joined = self._store.is_durable or detector.has_joined or is_alone
-        reason = self.fence.refusal(order_id, detector.replaced, has_joined)
+        reason = self.fence.refusal_reason(order_id, detector.replaced, has_joined)
         if reason is None and order.fence > self.fence.highest:
-            # Stored before it is accepted: our reply may have been the last that made up a majority.
+            # Stored before the reply: it may complete the controller's majority, and a restart of this
+            # gateway must not forget the fence then.
             reason = self._store.write_fence(fence_text(order_id))
             if reason is None:
-                self._learn_fence(fence_text(order_id))
+                self._observe_fence(fence_text(order_id))
         return reason
 
-    def _follow(self, order: messages.Order) -> messages.OrderReply:
+    def _execute_order(self, order: messages.Order) -> messages.OrderReply:
+        """Carries out an accepted order."""
         if order.kind == OrderKind.CLAIM:
             return messages.OrderReply(self.fence.highest)
         if order.kind != OrderKind.SETTINGS:
@@ -133,11 +142,15 @@
         failure = self._apply_settings(order)
         if failure is not None:
             return messages.OrderReply(self.fence.highest, False, True, failure)
-        log.info("settings ordered", change=order.change, fence=order.fence)
+        log.info("ordered settings applied", change=order.change, fence=order.fence)
         return messages.OrderReply(self.fence.highest)
 
     def _apply_settings(self, order: messages.Order) -> str | None:
-        """Applies ordered settings and stores them; why that failed."""
+        """Applies ordered settings and stores them.
+
+        Returns:
+            The reason if they cannot be applied; None if they were, even if they could not be stored.
+        """
         try:
             settings = json.loads(order.body)
         except ValueError as error:
@@ -151,7 +164,7 @@
             return refusal
         failure = self._store.write_settings(settings)
         if failure is not None:
-            log.warning("ordered settings hold until a restart only", reason=failure)
+            log.warning("cannot store ordered settings, they apply until a restart only", reason=failure)
         return None
 
 
@@ -160,6 +173,6 @@
 
 
 def _resident_bytes() -> int:
-    """The memory that this process occupies."""
+    """Returns the resident memory of this process in bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * PAGE_BYTES
--- a/vanerelay/rollout/commands.py
+++ b/vanerelay/rollout/commands.py
@@ -1,4 +1,4 @@
-"""`vanerelay rollout`: a change in stages, from its plan to its end; `vanerelay keep`: a supervisor."""
+"""The commands `vanerelay rollout`, which runs a rolling change, and `vanerelay keep`, a supervisor."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 EXIT_DONE, EXIT_ROLLED_BACK, EXIT_UNUSABLE, EXIT_UNDER_WAY, EXIT_FENCED = 0, 1, 2, 3, 4
 
 PLAN_ARGUMENT = click.argument("path", metavar="PLAN")
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Tells JSON, an object a line.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Prints JSON, one object per line.")
 
 
-def _fail(reason: str) -> NoReturn:
+def _exit_with_error(reason: str) -> NoReturn:
     click.echo(f"vanerelay: {reason}", err=True)
     sys.exit(EXIT_UNUSABLE)
 
 
-def _load(path: str) -> RolloutPlan:
+def _load_plan(path: str) -> RolloutPlan:
     try:
         return plan_reader.load(path)
     except plan_reader.OperatorConfigError as error:
-        _fail(str(error))
+        _exit_with_error(str(error))
 
 
 def _open_record(rollout_plan: RolloutPlan, create: bool = False) -> ChangeLog:
     try:
         return ChangeLog(rollout_plan.record_path, create)
     except ChangeLogError as error:
-        _fail(str(error))
+        _exit_with_error(str(error))
 
 
 @click.group()
 def rollout() -> None:
-    """A change in stages: old and new managers side by side, stopped when a stage does worse.
+    """Rolls out a change in stages; stops if the new managers of a stage do worse than the old ones.
 
-    Exit codes: 0 done, 1 gone back, 2 can't be used, 3 under way, 4 another controller has taken over.
+    Exit codes: 0 done, 1 rolled back, 2 cannot be run, 3 under way, 4 another controller has taken over.
     """
 
 
@@ -56,10 +56,10 @@
 @PLAN_ARGUMENT
 @JSON_OPTION
 def check(path: str, as_json: bool) -> None:
-    """Reads the plan and all that it names, asks nobody, and says what would be done."""
-    loaded = _load(path)
-    machine = StageMachine(loaded.plan)
-    for number, stage in enumerate(loaded.plan.stages):
+    """Validates the plan and its files, and prints the stages, without contacting any manager."""
+    rollout_plan = _load_plan(path)
+    machine = StageMachine(rollout_plan.plan)
+    for number, stage in enumerate(rollout_plan.plan.stages):
         gateways = machine.gateways_up_to(number)
         if as_json:
             click.echo(json.dumps({"stage": stage.name, "managers": gateways}))
@@ -67,9 +67,9 @@
             click.echo(f"stage {stage.name}: {', '.join(gateways)}")
     if as_json:
         return
-    probability = loaded.terms.false_stop_probability
-    click.echo(f"judged by: {', '.join(loaded.guards)}; a false stop in {probability:.2%} of changes")
-    for setting in loaded.shared_settings:
+    probability = rollout_plan.terms.false_stop_probability
+    click.echo(f"judged by: {', '.join(rollout_plan.guards)}; a false stop in {probability:.2%} of changes")
+    for setting in rollout_plan.shared_settings:
         click.echo(f"shared by the fleet: {setting}; the stricter value holds until all have the new one")
 
 
@@ -77,16 +77,16 @@
 @PLAN_ARGUMENT
 @JSON_OPTION
 def start(path: str, as_json: bool) -> None:
-    """Begins the change and sees it through."""
-    loaded = _load(path)
-    record = _open_record(loaded, True)
+    """Starts the change and runs it to its end."""
+    rollout_plan = _load_plan(path)
+    record = _open_record(rollout_plan, True)
     if record.change and not _has_ended(record):
-        _fail(f"{record.name} is under way in {record.path}, expected rollout resume or back")
+        _exit_with_error(f"{record.name} is under way in {record.path}, expected rollout resume or back")
     try:
-        record.begin(loaded.plan.name, loaded.text, 0)
+        record.begin(rollout_plan.plan.name, rollout_plan.text, 0)
     except ChangeLogError as error:
-        _fail(str(error))
-    _run_controller(loaded, record, False, as_json)
+        _exit_with_error(str(error))
+    _run_controller(rollout_plan, record, False, as_json)
 
 
 def _has_ended(record: ChangeLog) -> bool:
@@ -98,15 +98,15 @@
 @PLAN_ARGUMENT
 @JSON_OPTION
 def resume(path: str, as_json: bool) -> None:
-    """Goes on with a change that is paused or held; or whose controller is gone, from its record."""
+    """Continues from its record a change that is paused or held, or whose controller has exited."""
     _command_or_run(Command.RESUME, path, as_json)
 
 
 @rollout.command()
 @PLAN_ARGUMENT
 def pause(path: str) -> None:
-    """No manager is changed from now on; those that are stay as they are."""
-    record = _open_record(_load(path))
+    """Pauses the change: no further manager is changed; those already changed stay as they are."""
+    record = _open_record(_load_plan(path))
     _add_command(record, Command.PAUSE)
     click.echo(f"{record.name}: to be paused")
 
@@ -115,7 +115,7 @@
 @PLAN_ARGUMENT
 @JSON_OPTION
 def back(path: str, as_json: bool) -> None:
-    """Goes back to the old release, without further evidence."""
+    """Rolls back to the old release, without waiting for more evidence."""
     _command_or_run(Command.ROLL_BACK, path, as_json)
 
 
@@ -123,30 +123,30 @@
     try:
         record.add_command(command)
     except ChangeLogError as error:
-        _fail(str(error))
+        _exit_with_error(str(error))
 
 
 def _command_or_run(command: Command, path: str, as_json: bool) -> None:
-    """Leaves a command for the controller that runs; where none does, this process takes over."""
-    loaded = _load(path)
-    record = _open_record(loaded)
+    """Records a command for the running controller; if there is none, runs a controller in this process."""
+    rollout_plan = _load_plan(path)
+    record = _open_record(rollout_plan)
     if not record.change or _has_ended(record):
-        _fail(f"no change is under way in {record.path}")
+        _exit_with_error(f"no change is under way in {record.path}")
     _add_command(record, command)
     if _lock(record.path) is None:
         click.echo(f"{record.name}: told {command}")
         return
-    _run_controller(loaded, record, True, as_json)
+    _run_controller(rollout_plan, record, True, as_json)
 
 
 @rollout.command()
 @PLAN_ARGUMENT
 @JSON_OPTION
 def status(path: str, as_json: bool) -> None:
-    """How far the change is, by its record. Exits with 0 (done), 1 (gone back) or 3 (under way)."""
-    loaded = _load(path)
-    record = _open_record(loaded)
-    machine = StageMachine.replayed(loaded.plan, record.events())
+    """Prints the recorded state of the change. Exits with 0 (done), 1 (rolled back) or 3 (under way)."""
+    rollout_plan = _load_plan(path)
+    record = _open_record(rollout_plan)
+    machine = StageMachine.replayed(rollout_plan.plan, record.events())
     is_running = _lock(record.path) is None
     if as_json:
         click.echo(json.dumps(_status_row(record, machine, is_running)))
@@ -176,7 +176,7 @@
 
 
 def _status_row(record: ChangeLog, machine: StageMachine, is_running: bool) -> dict[str, Any]:
-    """The state of a change as JSON; scripts read these keys."""
+    """Returns the state of a change as a JSON object; operators' scripts read its keys."""
     return {
         "change": record.name,
         "how": _status_text(machine),
@@ -209,19 +209,19 @@
 @PLAN_ARGUMENT
 @JSON_OPTION
 def history(path: str, as_json: bool) -> None:
-    """All that was recorded, the first first."""
-    loaded = _load(path)
-    record = _open_record(loaded)
+    """Prints all recorded events, the oldest first."""
+    rollout_plan = _load_plan(path)
+    record = _open_record(rollout_plan)
     for change in record.changes():
         for event in record.events(change.number):
             if as_json:
                 click.echo(json.dumps(_event_row(event, change.name, change.fence)))
             else:
-                click.echo(f"{change.name}  {event.at / SECOND:.1f}  {describe(event, loaded.plan)}")
+                click.echo(f"{change.name}  {event.at / SECOND:.1f}  {describe(event, rollout_plan.plan)}")
 
 
 def _event_row(event: Event, change: str, fence: int) -> dict[str, Any]:
-    """An event as JSON; scripts read these keys."""
+    """Returns an event as a JSON object; operators' scripts read its keys."""
     row: dict[str, Any] = {
         "change": change,
         "fence": fence,
@@ -233,7 +233,7 @@
 
 
 def _lock(path: str) -> TextIO | None:
-    """The lock of the controller that runs on this record; None where another process holds it."""
+    """Returns the locked file that lets one controller run per record; None if another process holds it."""
     file = Path(f"{path}.lock").open("a")  # noqa: SIM115
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -247,39 +247,39 @@
     """Runs a controller until the change has ended, then exits."""
     lock = _lock(record.path)  # held until the process ends
     if lock is None:
-        _fail(f"another controller runs on {record.path}")
+        _exit_with_error(f"another controller runs on {record.path}")
     from vanerelay.cli import configure_logging
 
-    configure_logging("warning")  # on standard error: what people are told goes to standard output alone
+    configure_logging("warning")  # goes to standard error, apart from the progress on standard output
     from twisted.internet import reactor as installed_reactor
 
     reactor: Any = installed_reactor
     from vanerelay.rollout.controller import Controller, ControllerEnd, ControllerResult
 
-    def say(text: str) -> None:
+    def report(text: str) -> None:
         click.echo(json.dumps({"change": record.name, "told": text}) if as_json else f"{record.name}: {text}")
 
     results = list[ControllerResult]()
-    controller = Controller(reactor, rollout_plan, record, say)
+    controller = Controller(reactor, rollout_plan, record, report)
 
-    def ended(result: Any) -> None:
+    def on_ended(result: Any) -> None:
         if isinstance(result, ControllerResult):
             results.append(result)
         else:
             click.echo(f"vanerelay: {result.getErrorMessage()}", err=True)
         reactor.stop()
 
-    def begin() -> None:
-        controller.start(resumed).addBoth(ended)
+    def run_controller() -> None:
+        controller.start(resumed).addBoth(on_ended)
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(run_controller)
     reactor.run()
     record.close()
     if not results:
         sys.exit(EXIT_UNDER_WAY)
     result = results[0]
     reason = f": {result.reason}" if result.reason else ""
-    say(f"{result.end}{reason}; managers it had reached: {', '.join(result.reached) or 'none'}")
+    report(f"{result.end}{reason}; managers it had reached: {', '.join(result.reached) or 'none'}")
     exit_codes: dict[str, int] = {
         ControllerEnd.DONE: EXIT_DONE,
         ControllerEnd.ROLLED_BACK: EXIT_ROLLED_BACK,
@@ -291,7 +291,7 @@
 @click.command()
 @click.argument("path", metavar="FILE")
 def keep(path: str) -> None:
-    """Keeps one manager running by FILE (HCL), and puts the next release beside it when ordered."""
+    """Supervises one manager as FILE (HCL) describes, and starts the next release beside it when ordered."""
     from twisted.internet import reactor as installed_reactor
     from twisted.internet.error import CannotListenError
 
@@ -301,8 +301,8 @@
 
     configure_logging("info")
     try:
-        one = supervisor.Supervisor(reactor, supervisor.load(path))
-        reactor.callWhenRunning(one.run)
+        gateway_supervisor = supervisor.Supervisor(reactor, supervisor.load(path))
+        reactor.callWhenRunning(gateway_supervisor.run)
     except (plan_reader.OperatorConfigError, OSError, CannotListenError) as error:
-        _fail(str(error))
+        _exit_with_error(str(error))
     reactor.run()
--- a/vanerelay/rollout/config.py
+++ b/vanerelay/rollout/config.py
@@ -1,4 +1,4 @@
-"""The `rollout` block of the operators' file: this gateway follows orders of a rolling change."""
+"""The `rollout` block of the operators' file, which makes this gateway accept orders of rolling changes."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutConfig:
-    """The block's content.
+    """The content of the block.
 
-    `folder`: where the fence and ordered settings are stored; empty: nowhere, and other gateways know the
-    fence.
+    Attributes:
+        folder: The folder for the fence and the ordered settings. If empty, neither is stored, and this
+            gateway learns the fence from other gateways after a restart.
     """
 
     folder: str = ""
 
 
 def read_config(block: Block) -> RolloutConfig:
-    """Reads the block.
+    """Returns the content of the block.
 
     Raises:
-        OperatorConfigError: with the line of what is wrong.
+        OperatorConfigError: The block is invalid; the message names the line.
     """
     config = block.fill(RolloutConfig)
     block.reject_unknown()
--- a/vanerelay/rollout/controller.py
+++ b/vanerelay/rollout/controller.py
@@ -216,7 +216,7 @@
 
     def _claim(self) -> None:
         """Claims a fence above all that are heard of: recorded before it is used, accepted by a majority."""
-        heard, count = self._observer.fences_heard(), self._observer.gateway_count
+        heard, count = self._observer.observed_fences(), self._observer.gateway_count
         if not is_quorum(len(heard), count) or self._is_affirming:
             self._tell(f"{len(heard)} of {count} managers heard: waiting for more than half")
             return
--- a/vanerelay/rollout/event_text.py
+++ b/vanerelay/rollout/event_text.py
@@ -1,4 +1,7 @@
-"""Events of a rolling change as lines for people. Operators' scripts may read them: the texts stay."""
+"""Descriptions of the events of a rolling change.
+
+Operators' scripts may parse these texts, so they must not change.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 def describe(event: Event, plan: Plan) -> str:
-    """One line for an event."""
+    """Returns a description of an event in one line."""
     text = _text(event, _stage_name(event.stage, plan))
     return f"{text} ({event.reason})" if event.reason else text
 
--- a/vanerelay/rollout/extension.py
+++ b/vanerelay/rollout/extension.py
@@ -1,4 +1,4 @@
-"""How the agent of rolling changes joins the served program."""
+"""The extension that adds the agent of rolling changes to the served program."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 
 class RolloutExtension(Extension):
-    """The extension."""
+    """Starts the agent, applies ordered settings and counts queries for the canary analysis."""
 
     def __init__(self, host: ExtensionHost, config: RolloutConfig, fleet: FleetExtension) -> None:
         self._host, self._fleet = host, fleet
         self._store, self._totals = AgentStore(config.folder), ClassTotals()
 
     def initial_settings(self, raw_settings: dict[str, Any]) -> dict[str, Any]:
-        """The settings ordered last, while the configuration is the one that they replaced."""
+        """Returns the settings ordered last if they replaced this configuration and are valid.
+
+        Otherwise returns the settings as configured.
+        """
         ordered = self.reloaded_settings(raw_settings)
         is_valid = (
             settings_validation.find_error(ordered) is None
@@ -31,16 +34,19 @@
         return ordered if is_valid else raw_settings
 
     def reloaded_settings(self, raw_settings: dict[str, Any]) -> dict[str, Any]:
-        """The same on a reload, which checks them itself."""
+        """Returns the settings ordered last if they replaced this configuration, else those configured.
+
+        They are not validated here: the reload does that.
+        """
         ordered = self._store.read_settings(release.settings(raw_settings))
         return release.with_own(ordered, raw_settings) if ordered is not None else raw_settings
 
     def open(self) -> None:
-        """Begins to answer controllers."""
+        """Starts to answer the requests of controllers."""
         RolloutAgent(self._host, self._fleet.fleet, self._totals, self._store)
 
     def query_answered(
         self, service_class: str, earned: float, status: int, duration: int, attempts: int
     ) -> None:
-        """Counts the query for the canary analysis."""
+        """Counts an answered query for the canary analysis."""
         self._totals.query_answered(service_class, earned, status, duration, attempts)
--- a/vanerelay/rollout/fence.py
+++ b/vanerelay/rollout/fence.py
@@ -1,7 +1,7 @@
-"""Whose orders a gateway, or its supervisor, accepts. Pure; `agent_store` keeps what outlives the process.
+"""Decides whose orders a gateway or its supervisor accepts. Pure; `agent_store` stores the fence on disk.
 
-A fence is the fencing token of a controller: each controller takes a higher one than all before it, and one
-fence belongs to one change.
+A fence is the fencing token of a controller. Each controller claims a higher fence than all controllers
+before it, and each fence belongs to one change.
 """
 
 from __future__ import annotations
@@ -11,9 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderId:
-    """What tells an order from others.
+    """The identity of an order.
 
-    `number` is its place in the controller's record; 0 for a claim of the fence, which orders nothing.
+    Attributes:
+        fence: The fence of the controller that gave the order.
+        change: The name of the change.
+        number: The position of the order in the controller's record; 0 for a claim of the fence, which orders
+            nothing.
     """
 
     fence: int
@@ -22,37 +26,47 @@
 
 
 class Fence:
-    """The highest fence that was seen, and the last order under it."""
+    """The highest known fence, and the last order accepted under it.
+
+    Attributes:
+        highest: The highest known fence; 0 if none is known.
+    """
 
     def __init__(self, text: str = "") -> None:
-        """`text` as stored, or as other gateways report it."""
+        """Starts from a fence as stored or as reported by other gateways; an empty text for none."""
         self.highest, self._change = 0, ""
         self._last_order = 0
-        self.learn(text)
+        self.observe(text)
 
     @property
     def last_order(self) -> int:
-        """The number of the last order that this process accepted under the highest fence."""
+        """The number of the last order accepted by this process under the highest fence; 0 if none was."""
         return self._last_order
 
     @property
     def text(self) -> str:
-        """What is stored, and gossiped so that a gateway which lost its disk learns of it from others."""
+        """The fence as text, to be stored and gossiped; empty if none is known.
+
+        It is gossiped so that a gateway that has lost its disk learns it from the others.
+        """
         return f"{self.highest}/{self._change}" if self.highest else ""
 
-    def learn(self, text: str) -> bool:
-        """Takes what others, or our own store, know; whether it was new."""
+    def observe(self, text: str) -> bool:
+        """Adopts a stored or reported fence if it is higher than the known one; returns True if it was."""
         fence, _, change = text.partition("/")
         if not fence.isdecimal() or int(fence) <= self.highest:
             return False
         self.highest, self._change, self._last_order = int(fence), change, 0
         return True
 
-    def refusal(self, order: OrderId, replaced: bool = False, joined: bool = True) -> str | None:
-        """Why an order is refused; None where it is not.
+    def refusal_reason(self, order: OrderId, replaced: bool = False, joined: bool = True) -> str | None:
+        """Returns why an order is refused, or None if it is not.
 
-        `replaced`: another process has this gateway's name. `joined`: other gateways have replied, or the
-        fence was read from disk.
+        Args:
+            order: The order to check.
+            replaced: True if another process has taken over the name of this gateway.
+            joined: True if another gateway has replied, there is no other gateway, or the fence is stored on
+                disk. Otherwise a higher fence may exist that this gateway does not know.
         """
         if replaced:
             return "another process goes by this name"
@@ -71,14 +85,13 @@
         return None
 
     def accept(self, order: OrderId) -> None:
-        """Accepts an order.
+        """Records that an order is accepted; orders with the same or a lower number are refused from now on.
 
-        None that was given before it counts any more: such an order may lie in a socket for as long as this
-        process is frozen.
+        An earlier order can still arrive afterwards: while this process is frozen, orders wait in a socket.
         """
         self._last_order = max(self._last_order, order.number)
 
 
 def fence_text(order: OrderId) -> str:
-    """What is to be stored before an order under a higher fence is accepted."""
+    """Returns the text to store before an order under a higher fence is accepted."""
     return f"{order.fence}/{order.change}"
--- a/vanerelay/rollout/gateway_observer.py
+++ b/vanerelay/rollout/gateway_observer.py
@@ -1,4 +1,4 @@
-"""Observes the gateways of a change: polls their state, and makes samples for the canary analysis of it."""
+"""Polls the state of the gateways in a change, and derives samples for the canary analysis from it."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 from vanerelay.rollout.stage_machine import GatewayStatus
 
 STATE_TIMEOUT_S = 6.0
-"""For a gateway's state: links may be slow."""
+"""How long to wait for the state of a gateway, as links may be slow."""
 STATUS_MAX_AGE = 8 * SECOND
-"""For which a gateway's last state counts."""
+"""The age up to which the last state of a gateway is used."""
 MIN_CORES = 0.01
-"""A gateway that reports fewer is taken to have so many, to divide by."""
+"""Lower bound of a gateway's reported cores: its CPU load is divided by them."""
 SERVING_STATE = "serving"
 
 
 @dataclass(slots=True)
 class _ObservedGateway:
-    """What was heard of one gateway.
+    """What is known of one gateway.
 
     Attributes:
-        state, received_at: the last state.
-        previous, previous_at: the one before, of the same process.
-        is_polling: a request is in flight.
-        deaths: ends of its process that nobody ordered, since the last sample.
-        expected_restarts: restarts that were ordered, and whose new process was not heard yet.
-        sample: what came since the last sample was taken.
-        supervisor_order: fence and number of the last order that its supervisor accepted.
+        state, received_at: The last state, and the time when it arrived.
+        previous, previous_at: The state before it and its time, if it came from the same process.
+        is_polling: True while a request for the state is in flight.
+        deaths: The number of unexpected restarts of its process since the last sample was taken.
+        expected_restarts: The number of restarts that were ordered and whose new process has not replied yet.
+        sample: The sample accumulated since the last one was taken.
+        supervisor_order: The fence and the number of the last order that its supervisor accepted.
     """
 
     state: GatewayState | None = None
@@ -52,23 +52,23 @@
 
 
 class GatewayObserver:
-    """All gateways of a change, as a controller hears them."""
+    """The gateways of a change, as a controller sees them."""
 
-    def __init__(self, node: RpcNode, clock: Clock, rollout_plan: RolloutPlan) -> None:
-        self._node, self._clock, self._rollout_plan = node, clock, rollout_plan
+    def __init__(self, rpc_node: RpcNode, clock: Clock, rollout_plan: RolloutPlan) -> None:
+        self._rpc_node, self._clock, self._rollout_plan = rpc_node, clock, rollout_plan
         self._gateways = {name: _ObservedGateway() for name in rollout_plan.gateways}
 
     @property
     def gateway_count(self) -> int:
-        """How many gateways the plan names."""
+        """The number of gateways in the plan."""
         return len(self._gateways)
 
-    def fences_heard(self) -> list[int]:
-        """The highest fence that each gateway which was ever heard has seen."""
-        return [one.state.fence for one in self._gateways.values() if one.state is not None]
+    def observed_fences(self) -> list[int]:
+        """Returns the highest fence known to each gateway that has ever replied."""
+        return [gateway.state.fence for gateway in self._gateways.values() if gateway.state is not None]
 
     def poll(self) -> None:
-        """Asks each gateway for its state, but for those that have not replied yet."""
+        """Requests the state of each gateway that has no request in flight."""
         for name, address in self._rollout_plan.gateways.items():
             if not self._gateways[name].is_polling:
                 self._poll_one(name, address)
@@ -78,10 +78,12 @@
         gateway.is_polling = True
         request = messages.encode(messages.StateRequest())
         reply: Deferred[Any] = self._request_state(address.address, request)
-        reply.addCallbacks(lambda body: self._state_received(name, body), _ignore)
+        reply.addCallbacks(lambda body: self._state_received(name, body), _ignore_failure)
         if address.supervisor and self._rollout_plan.plan.restarts:
             supervisor_reply: Deferred[Any] = self._request_state(address.supervisor, b"")
-            supervisor_reply.addCallbacks(lambda body: self._supervisor_state_received(name, body), _ignore)
+            supervisor_reply.addCallbacks(
+                lambda body: self._supervisor_state_received(name, body), _ignore_failure
+            )
 
         def finished(_: Any) -> None:
             gateway.is_polling = False
@@ -89,7 +91,7 @@
         reply.addBoth(finished)
 
     def _request_state(self, address: str, body: bytes) -> Deferred[bytes]:
-        return self._node.call(address, messages.STATE_KIND, body, STATE_TIMEOUT_S)
+        return self._rpc_node.call(address, messages.STATE_KIND, body, STATE_TIMEOUT_S)
 
     def _state_received(self, name: str, body: bytes) -> None:
         state, gateway, now = messages.decode(body, GatewayState), self._gateways[name], self._clock.now()
@@ -104,7 +106,7 @@
             previous = None
         if previous is not None:
             gateway.previous, gateway.previous_at = previous, gateway.received_at
-            gateway.sample = _merged(gateway.sample, _sample_between(state, previous))
+            gateway.sample = _merged_samples(gateway.sample, _sample_between(state, previous))
         gateway.state, gateway.received_at = state, now
 
     def _supervisor_state_received(self, name: str, body: bytes) -> None:
@@ -113,19 +115,19 @@
             self._gateways[name].supervisor_order = state.fence, state.last_order
 
     def expect_restart(self, name: str) -> None:
-        """A restart was ordered: the end of the process is no death."""
+        """Notes that a restart was ordered, so that it does not count as a death."""
         self._gateways[name].expected_restarts = 1
 
     def expect_no_restart(self, name: str) -> None:
-        """An order was not followed: the process goes on."""
+        """Notes that an ordered restart was refused or failed: the process keeps running."""
         self._gateways[name].expected_restarts = 0
 
     def awaits_restart(self, name: str) -> bool:
-        """Whether a restart was ordered and the new process was not heard yet."""
+        """Returns True if a restart was ordered and the new process has not replied yet."""
         return self._gateways[name].expected_restarts > 0
 
     def statuses(self) -> dict[str, GatewayStatus]:
-        """The gateways that were heard lately."""
+        """Returns the status of each gateway whose last state is recent enough, by name."""
         now = self._clock.now()
         return {
             name: self._status(gateway, gateway.state)
@@ -137,10 +139,10 @@
         restarts = self._rollout_plan.plan.restarts
         last_order = gateway.supervisor_order if restarts else (state.fence, state.last_order)
         releases = self._rollout_plan.releases_run(state.settings, state.release)
-        return GatewayStatus(releases, state.state == SERVING_STATE, _load(gateway, state), last_order)
+        return GatewayStatus(releases, state.state == SERVING_STATE, _cpu_load(gateway, state), last_order)
 
     def take_samples(self) -> dict[str, GatewaySample]:
-        """What came since this was called last, by gateway."""
+        """Returns the samples accumulated since the last call, by gateway."""
         samples = dict[str, GatewaySample]()
         for name, gateway in self._gateways.items():
             if gateway.sample is None and not gateway.deaths:
@@ -153,12 +155,12 @@
         return samples
 
 
-def _ignore(_: Any) -> None:
-    """No reply: the gateway's last state counts until it is too old."""
+def _ignore_failure(_: Any) -> None:
+    """Ignores a failed request: the last state of the gateway is used until it is too old."""
 
 
-def _load(gateway: _ObservedGateway, state: GatewayState) -> float:
-    """The part of its cores that a gateway used between its last two states."""
+def _cpu_load(gateway: _ObservedGateway, state: GatewayState) -> float:
+    """Returns the fraction of its cores that a gateway used between its last two states."""
     if gateway.previous is None or gateway.received_at <= gateway.previous_at:
         return 0.0
     seconds = (gateway.received_at - gateway.previous_at) / SECOND
@@ -166,33 +168,33 @@
     return used / seconds / max(MIN_CORES, state.cores)
 
 
-def _sample_between(now: GatewayState, before: GatewayState) -> GatewaySample:
-    """What one process did between two states."""
-    old = before.metrics.classes
+def _sample_between(current: GatewayState, previous: GatewayState) -> GatewaySample:
+    """Returns the sample of one process between two of its states."""
+    previous_classes = previous.metrics.classes
     counts = {
-        name: messages.counts_between(metrics, old.get(name, messages.ClassMetrics()))
-        for name, metrics in now.metrics.classes.items()
+        name: messages.counts_between(metrics, previous_classes.get(name, messages.ClassMetrics()))
+        for name, metrics in current.metrics.classes.items()
     }
     ended = sum(count.ended for count in counts.values())
-    share = (now.metrics.engine_share - before.metrics.engine_share) / ended if ended else 0.0
-    return GatewaySample(counts, now.metrics.memory, now.metrics.unreachable_engines, share)
+    share = (current.metrics.engine_share - previous.metrics.engine_share) / ended if ended else 0.0
+    return GatewaySample(counts, current.metrics.memory, current.metrics.unreachable_engines, share)
 
 
-def _merged(one: GatewaySample | None, other: GatewaySample) -> GatewaySample:
-    """Two samples of one gateway, the later one second, as one."""
-    if one is None:
-        return other
+def _merged_samples(earlier: GatewaySample | None, later: GatewaySample) -> GatewaySample:
+    """Returns two samples of one gateway merged into one."""
+    if earlier is None:
+        return later
     return GatewaySample(
-        _merged_counts(one.counts, other.counts),
-        other.memory,
-        other.unreachable_engines,
-        max(one.engine_share, other.engine_share),
-        one.deaths + other.deaths,
+        _merged_counts(earlier.counts, later.counts),
+        later.memory,
+        later.unreachable_engines,
+        max(earlier.engine_share, later.engine_share),
+        earlier.deaths + later.deaths,
     )
 
 
 def _merged_counts(
-    one: Mapping[str, ClassCounts], other: Mapping[str, ClassCounts]
+    earlier: Mapping[str, ClassCounts], later: Mapping[str, ClassCounts]
 ) -> dict[str, ClassCounts]:
     empty = ClassCounts()
-    return {name: one.get(name, empty) + other.get(name, empty) for name in one.keys() | other.keys()}
+    return {name: earlier.get(name, empty) + later.get(name, empty) for name in earlier.keys() | later.keys()}
--- a/vanerelay/rollout/messages.py
+++ b/vanerelay/rollout/messages.py
@@ -1,7 +1,7 @@
-"""Messages between a controller, a gateway's agent and its supervisor, as bytes and back. Pure.
+"""Messages between a controller, a gateway's agent and its supervisor, with their encoding. Pure.
 
-Names on the wire are those of the first release: a field that has another name in Python says so. Messages
-that are arrays on the wire must keep the order of their fields.
+The names on the wire are those of the first release: a field with another name in Python sets `name`.
+Messages that are arrays on the wire must keep the order of their fields.
 """
 
 from __future__ import annotations
@@ -30,33 +30,34 @@
 ]
 
 ORDER_KIND = "order"
-"""An `Order`, answered by an `OrderReply`."""
+"""The kind of request that carries an `Order` and is answered by an `OrderReply`."""
 STATE_KIND = "state"
-"""A `StateRequest`, or nothing, answered by a `GatewayState`."""
+"""The kind of request that carries a `StateRequest` or no body and is answered by a `GatewayState`."""
 
 
 class OrderKind(StrEnum):
-    """What is ordered; the values are sent."""
+    """The kinds of orders. The values are sent on the wire."""
 
     CLAIM = "claim"
-    """Nothing but to accept the fence."""
+    """Accept the fence; nothing else is ordered."""
     SETTINGS = "settings"
-    """To apply the settings in the body (JSON)."""
+    """Apply the settings in the body (JSON)."""
     PROGRAM = "program"
-    """To run the release that the supervisor knows by the name in the body."""
+    """Run the release whose name in the supervisor's configuration is in the body."""
     RESTART = "restart"
-    """To restart as it is."""
+    """Restart the release that runs."""
 
 
 class Order(msgspec.Struct, frozen=True, omit_defaults=True):
     """An order of a controller.
 
     Attributes:
-        fence: the controller's; none lower than the highest seen is accepted.
-        change: the name of the change.
-        kind: of `OrderKind`; a string, as controllers of other releases may know others.
-        body: what the kind says.
-        number: of the order in the record: one that was overtaken is not accepted.
+        fence: The fence of the controller. Orders with a lower fence than the highest known are refused.
+        change: The name of the change.
+        kind: A value of `OrderKind`. A string, because controllers of other releases may know other kinds.
+        body: The content, as described at `OrderKind`.
+        number: The position of the order in the controller's record. An order that arrives after a later one
+            is refused.
     """
 
     fence: int
@@ -70,10 +71,10 @@
     """The reply to an order.
 
     Attributes:
-        fence: the highest seen.
-        accepted: whether the order is followed.
-        failed: it was tried and could not be done.
-        reason: why it is not followed.
+        fence: The highest fence that the replying process knows.
+        accepted: True if the order was carried out.
+        failed: True if carrying out the order was tried and failed.
+        reason: Why the order was refused or failed; empty if it was accepted.
     """
 
     fence: int
@@ -83,13 +84,13 @@
 
 
 class StateRequest(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Asks a gateway for its state, with or without its metrics."""
+    """A request for the state of a gateway, with or without its metrics."""
 
     with_metrics: bool = msgspec.field(default=True, name="figures")
 
 
 class ClassMetrics(msgspec.Struct, frozen=True, array_like=True):
-    """Totals of one service class since the process started; the fields as in `ClassCounts`."""
+    """Totals of one service class since the process started. The fields are those of `ClassCounts`."""
 
     ended: int = 0
     earned: float = 0.0
@@ -101,14 +102,15 @@
 
 
 class GatewayMetrics(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Totals since the process started.
+    """Metrics of a gateway: totals since the process started, unless said otherwise.
 
     Attributes:
-        classes: by service class.
-        memory: in parts of the limit, now.
-        cpu_s: processor time.
-        unreachable_engines: engines that the gateway does not reach, now.
-        engine_share: what part of all engines its memory grants and threads fill, a sum over time.
+        classes: The totals of each service class, by its name.
+        memory: The current resident memory as a fraction of the limit.
+        cpu_s: CPU time in seconds.
+        unreachable_engines: The current number of engines that the gateway cannot reach.
+        engine_share: The fraction of all engines that the gateway's memory grants and threads use, integrated
+            over time in seconds.
     """
 
     classes: dict[str, ClassMetrics] = msgspec.field(default_factory=dict, name="groups")
@@ -122,17 +124,17 @@
     """The state of a gateway, or of its supervisor.
 
     Attributes:
-        name: of the gateway.
-        program: its release.
-        settings: the digest of its settings.
-        state: what it tells the fleet of itself, such as "serving".
-        incarnation: another with each process.
-        fence: the highest that it has seen.
-        last_order: the number of the last order that it accepted under it.
-        sent_at_ms: by its wall clock.
-        release: as its supervisor named it at the start.
-        cores: its limit.
-        metrics: totals since the process started.
+        name: The name of the gateway.
+        program: The version and the digest of its program.
+        settings: The digest of its settings.
+        state: The state that it reports to the fleet, such as "serving".
+        incarnation: A number that differs for each process of the gateway.
+        fence: The highest fence that it knows.
+        last_order: The number of the last order accepted under that fence.
+        sent_at_ms: The time of sending by the sender's wall clock.
+        release: The name under which its supervisor has started the release.
+        cores: The limit of CPU cores.
+        metrics: Metrics of the process; empty if they were not requested.
     """
 
     name: str
@@ -148,16 +150,16 @@
     metrics: GatewayMetrics = msgspec.field(default=GatewayMetrics(), name="figures")
 
 
-def counts_between(now: ClassMetrics, before: ClassMetrics) -> ClassCounts:
-    """What came between two readings of one process."""
-    latencies_before = before.latency_counts or [0] * len(now.latency_counts)
-    latencies = [a - b for a, b in zip(now.latency_counts, latencies_before, strict=False)]
+def counts_between(current: ClassMetrics, previous: ClassMetrics) -> ClassCounts:
+    """Returns the counts that one process added between two of its reports."""
+    previous_latencies = previous.latency_counts or [0] * len(current.latency_counts)
+    latencies = [a - b for a, b in zip(current.latency_counts, previous_latencies, strict=False)]
     return ClassCounts(
-        now.ended - before.ended,
-        now.earned - before.earned,
-        now.failed - before.failed,
-        now.rejected - before.rejected,
-        now.late - before.late,
-        now.attempts - before.attempts,
+        current.ended - previous.ended,
+        current.earned - previous.earned,
+        current.failed - previous.failed,
+        current.rejected - previous.rejected,
+        current.late - previous.late,
+        current.attempts - previous.attempts,
         tuple(latencies),
     )
--- a/vanerelay/rollout/settings_diff.py
+++ b/vanerelay/rollout/settings_diff.py
@@ -1,8 +1,8 @@
-"""Which settings the fleet shares, and which of two values is the stricter. Pure.
+"""The settings that take effect across the whole fleet, and the stricter of two values of each. Pure.
 
-A rule that is a sum over all gateways (4, the slices) or that each keeps for its part (7) holds while
-releases stand beside each other only if everybody goes by the stricter value; the looser comes in force once
-all have it.
+Some rules limit a sum over all gateways (rule 4, the slices), others are kept by each gateway for its own
+part (rule 7). While two releases run side by side, these rules hold only if all gateways apply the stricter
+value. The looser value takes effect once all gateways have it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedSetting:
-    """A setting by its path. `reason`: what it is a part of; `stricter` picks one of two values."""
+    """A setting that the fleet shares.
+
+    Attributes:
+        path: The path of the setting, such as "safety.coldFrom".
+        reason: The rule that the setting belongs to, and what it sets there; printed to operators.
+        stricter: Returns the stricter of two values.
+    """
 
     path: str
     reason: str
@@ -49,14 +55,16 @@
 
 
 def differences(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[SharedSetting]:
-    """The shared settings in which two releases differ."""
-    return [one for one in SHARED_SETTINGS if _value_at(old, one.path) != _value_at(new, one.path)]
+    """Returns the shared settings in which two releases differ."""
+    return [
+        setting for setting in SHARED_SETTINGS if _value_at(old, setting.path) != _value_at(new, setting.path)
+    ]
 
 
 def stricter(base: Mapping[str, Any], other: Mapping[str, Any]) -> dict[str, Any]:
-    """`base` with the stricter value of both in all that is shared.
+    """Returns `base` with the stricter value of `base` and `other` for each shared setting.
 
-    Where only one of them has a value, that one holds.
+    If only one of them has a value, that value is used.
     """
     result: dict[str, Any] = copy.deepcopy(dict(base))
     for setting in differences(base, other):
@@ -66,7 +74,7 @@
     return result
 
 
-def _stricter_value(setting: SharedSetting, one: Any, other: Any) -> Any:
+def _stricter_value(setting: SharedSetting, base: Any, other: Any) -> Any:
     if other is None:
-        return one
-    return other if one is None else setting.stricter(one, other)
+        return base
+    return other if base is None else setting.stricter(base, other)
--- a/vanerelay/rollout/supervisor.py
+++ b/vanerelay/rollout/supervisor.py
@@ -1,7 +1,8 @@
 """`vanerelay keep`: keeps one gateway running, and starts the next release beside it when ordered.
 
-A thin driver; `supervisor_state` decides. The supervisor holds the clients' listening socket and hands it
-down: while one process drains and the next takes over nobody is refused, whichever of them accepts.
+This module does the input and output; `supervisor_state` decides. The supervisor holds the listening socket
+for clients and passes it to its processes. While one process drains and its successor takes over, either of
+them accepts connections, so that no client is refused.
 """
 
 from __future__ import annotations
@@ -35,32 +36,32 @@
 __all__ = ["OperatorConfigError", "Supervisor", "SupervisorFile", "load"]
 
 LISTEN_FD, READY_FD = 3, 4
-"""Descriptors of a process: the clients' socket, and the pipe on which it says that it is ready."""
+"""File descriptors of a gateway process: the listening socket, and the pipe on which it reports readiness."""
 STDERR_FD = 2
-POLL_S = 0.1
-"""Between two looks at what takes too long."""
+POLL_INTERVAL_S = 0.1
+"""Interval at which timeouts are checked."""
 RELEASE_FILE = "release"
-"""The file with the release that is to run."""
+"""The name of the file that stores the release to run."""
 LISTEN_BACKLOG = 1024
 BIND_ATTEMPTS, BIND_RETRY_S = 50, 0.1
-"""A process that an earlier supervisor left behind may hold the socket for a moment."""
+"""Binding is retried because a process left behind by an earlier supervisor may still hold the address."""
 MAX_OUTPUT_BYTES, MAX_LINE_CHARACTERS = 2000, 300
-"""Of a process's last output that is kept, to say how it ended."""
+"""Limits of the output of a process that is kept to explain its exit: of all of it, and of its last line."""
 SUPERVISOR_STATE = "keeps"
-"""The state that a supervisor reports; the value is sent."""
+"""The state that a supervisor reports. The value is sent on the wire."""
 
 log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseConfig:
-    """A program to run.
+    """A `release` block: one release of the program.
 
     Attributes:
-        name: of the release.
-        folder: with the package.
-        config, options: files, as `serve` takes them.
-        python: its interpreter; empty: this one.
+        name: The name of the release.
+        folder: The folder that contains the package.
+        config, options: The paths of the files for `--config` and `--options` of `vanerelay serve`.
+        python: The path of the interpreter; if empty, the one that runs the supervisor.
     """
 
     name: str
@@ -72,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SupervisorConfig:
-    """A supervisor.
+    """The settings of a supervisor.
 
     Attributes:
-        name: of the gateway.
-        listen_address: where orders come.
-        client_address: where clients connect.
-        first_release: the release to begin with.
-        folder: for what outlives the supervisor.
+        name: The name of the gateway.
+        listen_address: The HOST:PORT on which the supervisor accepts orders.
+        client_address: The HOST:PORT to which clients connect.
+        first_release: The release to run if none is stored.
+        folder: The folder for the fence and the release to run; if empty, neither survives a restart.
     """
 
     name: str
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SupervisorFile:
-    """What the operators' file of a supervisor holds."""
+    """The content of a supervisor's configuration file."""
 
     config: SupervisorConfig
     timeouts: Timeouts
@@ -99,10 +100,10 @@
 
 
 def load(path: str) -> SupervisorFile:
-    """Reads the file.
+    """Reads and validates the configuration file of a supervisor.
 
     Raises:
-        OperatorConfigError: with the line of what is wrong.
+        OperatorConfigError: The file is invalid; the message names the line.
     """
     document = read_file(path)
     timeouts_block, release_blocks = document.find_block("patience"), document.blocks("release")
@@ -118,11 +119,11 @@
     return SupervisorFile(config, timeouts, releases)
 
 
-def _listen(host: str, port: int) -> socket.socket:
-    """The clients' socket.
+def _bind_client_socket(host: str, port: int) -> socket.socket:
+    """Returns the listening socket for clients.
 
     Raises:
-        OSError: it can't be bound.
+        OSError: The address cannot be bound.
     """
     for _ in range(BIND_ATTEMPTS):
         try:
@@ -134,8 +135,8 @@
     return socket.create_server((host, port), backlog=LISTEN_BACKLOG)
 
 
-class _ProcessDriver(ProcessProtocol):
-    """One process of the gateway, which says on a pipe of its own that it is ready."""
+class _GatewayProcessProtocol(ProcessProtocol):
+    """The output, the readiness and the exit of one gateway process."""
 
     transport: Any
 
@@ -143,7 +144,7 @@
         self._on_ready, self._on_ended, self._last_output = on_ready, on_ended, b""
 
     def childDataReceived(self, childFD: int, data: bytes) -> None:
-        """The process has written something."""
+        """Handles data from the readiness pipe, or passes output on to standard error."""
         if childFD == READY_FD:
             self._on_ready()
         else:
@@ -151,35 +152,37 @@
             self._last_output = (self._last_output + data)[-MAX_OUTPUT_BYTES:]
 
     def processEnded(self, reason: Any) -> None:
-        """The process has ended, and its output was read."""
+        """Reports the exit of the process with the last line of its output, all of which has been read."""
         lines = self._last_output.decode(errors="replace").strip().splitlines()
         last_line = f": {lines[-1][:MAX_LINE_CHARACTERS]}" if lines else ""
         self._on_ended(f"{reason.getErrorMessage()}{last_line}")
 
 
 class Supervisor:
-    """The supervisor of one gateway, and the process control of its state.
+    """The supervisor of one gateway. It implements `ProcessControl` for its `SupervisorState`.
 
     Attributes:
-        state: which release runs, and what follows it.
+        state: Decides which release runs, and which one next.
     """
 
     def __init__(self, reactor: Any, file: SupervisorFile) -> None:
-        """Binds the clients' socket.
+        """Binds the listening socket for clients.
 
         Raises:
-            OSError: it can't be bound.
+            OSError: The address cannot be bound.
         """
         self._reactor, self._config, self._releases = reactor, file.config, file.releases
-        self._clock, self._node, self._store = Clock(), RpcNode(reactor), AgentStore(file.config.folder)
+        self._clock, self._rpc_node, self._store = Clock(), RpcNode(reactor), AgentStore(file.config.folder)
         self._fence = Fence(self._store.read_fence())
-        self._drivers = dict[GatewayProcess, _ProcessDriver]()
+        self._protocols = dict[GatewayProcess, _GatewayProcessProtocol]()
         first = self._stored_release() or file.config.first_release
         self.state = SupervisorState(self, file.timeouts, frozenset(file.releases), first)
         host, _, port = file.config.client_address.rpartition(":")
-        self._socket = _listen(host, int(port))
-        self._socket.setblocking(False)  # of the socket itself, whoever holds it: or accepting would wait
-        self._node.handlers |= {
+        self._socket = _bind_client_socket(host, int(port))
+        # Non-blocking mode is a property of the socket itself, shared by all processes that hold it. Without
+        # it, accept() would block.
+        self._socket.setblocking(False)
+        self._rpc_node.handlers |= {
             messages.ORDER_KIND: self._answer_order,
             messages.STATE_KIND: self._answer_state,
         }
@@ -187,7 +190,7 @@
 
     def run(self) -> None:
         """Listens for orders and starts the first process."""
-        self._node.listen(self._config.listen_address)
+        self._rpc_node.listen(self._config.listen_address)
         self.state.begin(self._clock.now())
         self._poll()
         self._reactor.addSystemEventTrigger("before", "shutdown", self._stop)
@@ -195,9 +198,9 @@
     def _poll(self) -> None:
         self.state.check_timeouts(self._clock.now())
         if self.state.has_stopped and not self._stopped.called:
-            self._node.stop()
+            self._rpc_node.stop()
             self._stopped.callback(None)
-        self._reactor.callLater(POLL_S, self._poll)
+        self._reactor.callLater(POLL_INTERVAL_S, self._poll)
 
     def _stop(self) -> Deferred[None]:
         self.state.stop(self._clock.now())
@@ -210,7 +213,7 @@
         if order is None:
             raise RequestRefusedError("unreadable")
         order_id = OrderId(order.fence, order.change, order.number)
-        refusal = self._refusal(order_id)
+        refusal = self._check_order(order_id)
         if refusal is not None:
             return self._reply(accepted=False, reason=refusal)
         self._fence.accept(order_id)
@@ -218,13 +221,16 @@
             return self._reply(accepted=order.kind == OrderKind.CLAIM, reason=f"no {order.kind} here")
         return self._run_release(order)
 
-    def _refusal(self, order_id: OrderId) -> str | None:
-        """Why an order is refused; None where it is not, and its fence is stored."""
-        reason = self._fence.refusal(order_id)
+    def _check_order(self, order_id: OrderId) -> str | None:
+        """Returns why an order is refused, or None if it is not.
+
+        A higher fence is stored before its order is accepted.
+        """
+        reason = self._fence.refusal_reason(order_id)
         if reason is None and order_id.fence > self._fence.highest:
             reason = self._store.write_fence(fence_text(order_id))
             if reason is None:
-                self._fence.learn(fence_text(order_id))
+                self._fence.observe(fence_text(order_id))
                 self.state.forget_failures()
         return reason
 
@@ -232,7 +238,7 @@
         return messages.encode(messages.OrderReply(self._fence.highest, accepted, failed, reason))
 
     def _run_release(self, order: messages.Order) -> Deferred[bytes]:
-        """Starts the ordered release; replies once it has taken over, or has failed."""
+        """Starts the ordered release. The reply is sent once it has taken over or has failed."""
         is_program = order.kind == OrderKind.PROGRAM
         release = order.body.decode(errors="replace") if is_program else self.state.current
         reply: Deferred[bytes] = Deferred()
@@ -241,13 +247,13 @@
             if failure is None:
                 log.info("release taken over", release=release, change=order.change)
             else:
-                log.warning("order failed", release=release, change=order.change, reason=failure)
+                log.warning("rollout order failed", release=release, change=order.change, reason=failure)
             has_failed = failure is not None
             reply.callback(self._reply(not has_failed, has_failed, failure or ""))
 
         serving = self.state.serving
         if is_program and serving is not None and serving.is_ready and serving.release == release:
-            finished(None)  # an order that came twice
+            finished(None)  # a repeated order
         else:
             self.state.order(self._clock.now(), release, finished)
         return reply
@@ -268,18 +274,18 @@
     # Process control.
 
     def start(self, process: GatewayProcess) -> None:
-        """Starts a process with the clients' socket and a pipe on which it says that it is ready."""
+        """Starts a process and passes it the listening socket and the pipe on which it reports readiness."""
         release = self._releases[process.release]
         python = release.python or sys.executable
-        driver = _ProcessDriver(
+        protocol = _GatewayProcessProtocol(
             lambda: self.state.process_ready(self._clock.now(), process),
-            lambda how: self._process_ended(process, how),
+            lambda exit_reason: self._process_ended(process, exit_reason),
         )
-        self._drivers[process] = driver
-        log.info("gateway process starts", release=process.release)
+        self._protocols[process] = protocol
+        log.info("starting gateway process", release=process.release)
         environment = {**os.environ, RELEASE_VARIABLE: process.release, "PYTHONPATH": release.folder}
         self._reactor.spawnProcess(
-            driver,
+            protocol,
             python,
             self._command_line(python, release),
             environment,
@@ -288,43 +294,46 @@
         )
 
     def _command_line(self, python: str, release: ReleaseConfig) -> list[str]:
-        line = [python, "-m", "vanerelay", "serve"]
-        line += ["--config", release.config]
-        line += ["--listen", self._config.client_address]
-        line += ["--name", self._config.name]
-        line += ["--listen-fd", str(LISTEN_FD)]
-        line += ["--ready-fd", str(READY_FD)]
+        command = [python, "-m", "vanerelay", "serve"]
+        command += ["--config", release.config]
+        command += ["--listen", self._config.client_address]
+        command += ["--name", self._config.name]
+        command += ["--listen-fd", str(LISTEN_FD)]
+        command += ["--ready-fd", str(READY_FD)]
         if release.options:
-            line += ["--options", release.options]
-        return line
+            command += ["--options", release.options]
+        return command
 
-    def _process_ended(self, process: GatewayProcess, how: str) -> None:
-        self._drivers.pop(process, None)
-        log.info("gateway process ended", release=process.release, how=how)
-        self.state.process_ended(self._clock.now(), process, how)
+    def _process_ended(self, process: GatewayProcess, exit_reason: str) -> None:
+        self._protocols.pop(process, None)
+        log.info("gateway process ended", release=process.release, how=exit_reason)
+        self.state.process_ended(self._clock.now(), process, exit_reason)
 
     def terminate(self, process: GatewayProcess) -> None:
-        """Sends SIGTERM."""
+        """Sends SIGTERM to a process that still runs."""
         self._signal(process, "TERM")
 
     def kill(self, process: GatewayProcess) -> None:
-        """Sends SIGKILL."""
+        """Sends SIGKILL to a process that still runs."""
         self._signal(process, "KILL")
 
     def _signal(self, process: GatewayProcess, name: str) -> None:
-        driver = self._drivers.get(process)
-        if driver is not None:
+        protocol = self._protocols.get(process)
+        if protocol is not None:
             try:
-                driver.transport.signalProcess(name)
+                protocol.transport.signalProcess(name)
             except ProcessExitedAlready:
                 return
 
     def save_release(self, release: str) -> None:
-        """Stores the release that is to run after a restart of the supervisor itself."""
+        """Stores the release to run after a restart of the supervisor."""
         if self._config.folder:
             reason = self._store.write_file(RELEASE_FILE, release)
             if reason is not None:
-                log.warning("release not stored", reason=reason)
+                log.warning(
+                    "cannot store the release to run, a restarted supervisor may run another one",
+                    reason=reason,
+                )
 
     def _stored_release(self) -> str:
         path = Path(self._config.folder, RELEASE_FILE) if self._config.folder else None
--- a/vanerelay/rollout/supervisor_state.py
+++ b/vanerelay/rollout/supervisor_state.py
@@ -1,6 +1,6 @@
-"""Which release a supervisor runs, what follows it, and when it goes back. Pure.
+"""Decides which release a supervisor runs, when a successor takes over, and when to roll back. Pure.
 
-It is told the time and what happens to the processes, and acts through `ProcessControl`.
+The caller passes in the time and the events of the processes; actions are taken through `ProcessControl`.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from vanerelay.interface import SECOND, Duration
 
 MIN_BACKOFF, MAX_BACKOFF = SECOND // 5, 5 * SECOND
-"""Until a process that ended by itself is started again; doubled each time."""
+"""Delay before a process that exited unexpectedly is restarted; doubled each time."""
 BACKOFF_RESET_AFTER = 30 * SECOND
-"""A process that ran so long is started again after the shortest backoff."""
+"""A process that ran for longer than this is restarted after the minimum backoff."""
 MAX_FAILURES = 2
-"""Ends by itself within the probation after which a release goes back: one is chance."""
+"""Unexpected exits within the probation that roll a release back. A single one may be chance."""
 NOT_SET = -1
-"""A moment that has not come."""
+"""The value of a time that is not set."""
 
 OrderCallback = Callable[[str | None], None]
-"""Takes why an order failed; None where the successor has taken over."""
+"""Is called with the reason why an order failed, or with None once the successor has taken over."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timeouts:
-    """How long a supervisor waits.
+    """The timeouts of a supervisor; the `patience` block of its configuration file.
 
     Attributes:
-        ready: for a successor to accept queries.
-        probation: after it took over, within which two ends by itself bring the previous release back.
-        shutdown: for a process to end after SIGTERM; then it is killed.
+        ready: The time within which a successor must accept queries.
+        probation: The time after a takeover within which two unexpected exits roll the release back.
+        shutdown: The time within which a process must exit after SIGTERM, before it is killed.
     """
 
     ready: Duration = 30 * SECOND
@@ -45,11 +45,11 @@
     """One process of the gateway.
 
     Attributes:
-        release: by its name.
-        started_at: when it was started.
-        is_ready: it accepts queries.
-        stopping_since: when it was told to shut down.
-        took_over_at: when it became the one that serves.
+        release: The name of the release that it runs.
+        started_at: The time when it was started.
+        is_ready: True if it accepts queries.
+        stopping_since: The time when it was told to shut down, or `NOT_SET`.
+        took_over_at: The time when it became the serving process, or `NOT_SET`.
     """
 
     release: str
@@ -60,14 +60,14 @@
 
 
 class ProcessControl(Protocol):
-    """What a supervisor can do."""
+    """The actions of a supervisor."""
 
     def start(self, process: GatewayProcess) -> None:
         """Starts a process."""
         ...
 
     def terminate(self, process: GatewayProcess) -> None:
-        """Tells a process to shut down."""
+        """Tells a process to shut down gracefully."""
         ...
 
     def kill(self, process: GatewayProcess) -> None:
@@ -75,7 +75,7 @@
         ...
 
     def save_release(self, release: str) -> None:
-        """Stores the release that is to run after a restart of the supervisor itself."""
+        """Stores the release to run after a restart of the supervisor."""
         ...
 
 
@@ -83,17 +83,19 @@
     """The state of one supervisor.
 
     Attributes:
-        current, previous: the release that is to run, and the one before it.
-        serving: the process that serves.
-        successor: the one that is to take over once it is ready.
-        failed_releases: releases that went back, and why.
-        is_stopping: the supervisor ends.
+        timeouts: The timeouts.
+        current, previous: The release to run, and the one that it replaced; `previous` is empty if there is
+            none to roll back to.
+        serving: The process that serves queries; None before the start, after a failure and on shutdown.
+        successor: The process that takes over once it is ready.
+        failed_releases: The releases that were rolled back, with the reason.
+        is_stopping: True if the supervisor is shutting down.
     """
 
     def __init__(
         self, control: ProcessControl, timeouts: Timeouts, releases: frozenset[str], first: str
     ) -> None:
-        """`first` is the release to begin with."""
+        """Creates the state before the first process is started, which runs the release `first`."""
         self._control, self.timeouts, self._releases = control, timeouts, releases
         self.current, self.previous = first, ""
         self.serving: GatewayProcess | None = None
@@ -116,9 +118,9 @@
     # Orders.
 
     def order(self, now: int, release: str, callback: OrderCallback) -> None:
-        """Starts another release, or the same afresh, beside the process that serves until it is ready.
+        """Starts a release as the successor of the serving process, which serves until that is ready.
 
-        `callback` is called once.
+        The release may be the current one, which is then restarted. `callback` is called once.
         """
         if release not in self._releases:
             callback(f"no release {release}, expected one of {', '.join(sorted(self._releases))}")
@@ -134,13 +136,13 @@
             self._control.start(self.successor)
 
     def forget_failures(self) -> None:
-        """Another change has begun: a release that failed before may be tried again."""
+        """Allows failed releases to be ordered again; called when another change has begun."""
         self.failed_releases.clear()
 
-    # What happens to processes.
+    # Events of processes.
 
     def process_ready(self, now: int, process: GatewayProcess) -> None:
-        """A process accepts queries: a successor takes over."""
+        """Notes that a process accepts queries. If it is the successor, it takes over."""
         process.is_ready = True
         if process is not self.successor:
             return
@@ -155,39 +157,45 @@
             self._terminate(now, old)
         self._finish_order(None)
 
-    def process_ended(self, now: int, process: GatewayProcess, how: str) -> None:
-        """A process has ended; `how` says its exit code or signal."""
+    def process_ended(self, now: int, process: GatewayProcess, exit_reason: str) -> None:
+        """Handles the exit of a process; `exit_reason` names its exit code or signal."""
         if process in self._stopping:
             self._stopping.remove(process)
         elif process is self.successor:
             self.successor = None
-            self._finish_order(f"{process.release} ended before it was ready: {how}")
+            self._finish_order(f"{process.release} ended before it was ready: {exit_reason}")
         elif process is self.serving and not self.is_stopping:
             self.serving = None
-            self._process_failed(now, process, how)
+            self._process_failed(now, process, exit_reason)
 
-    def _process_failed(self, now: int, process: GatewayProcess, how: str) -> None:
-        """The serving process ended by itself: soon after it took over, that may be the release's doing."""
+    def _process_failed(self, now: int, process: GatewayProcess, exit_reason: str) -> None:
+        """Schedules a restart of the serving process after an unexpected exit, or rolls its release back.
+
+        Exits soon after a takeover may be caused by the release.
+        """
         in_probation = now - process.took_over_at < self.timeouts.probation
         self._failures = self._failures + 1 if self.previous and in_probation else 0
         if self._failures >= MAX_FAILURES:
-            self._go_back(now, process.release, how)
+            self._roll_back(now, process.release, exit_reason)
             return
         if now - process.started_at > BACKOFF_RESET_AFTER:
             self._backoff = MIN_BACKOFF
         self._restart_at = now + self._backoff
         self._backoff = min(MAX_BACKOFF, 2 * self._backoff)
 
-    def _go_back(self, now: int, release: str, how: str) -> None:
+    def _roll_back(self, now: int, release: str, exit_reason: str) -> None:
         self.failed_releases[release] = (
-            f"{release} ended by itself {self._failures} times soon after it took over: {how}"
+            f"{release} ended by itself {self._failures} times soon after it took over: {exit_reason}"
         )
         self.current, self.previous, self._failures = self.previous, "", 0
         self._control.save_release(self.current)
         self._start(now)
 
     def check_timeouts(self, now: int) -> None:
-        """Starts what is due, and kills what takes too long; called regularly."""
+        """Restarts a failed process when its backoff has passed, and kills processes that exceed a timeout.
+
+        Called at regular intervals.
+        """
         if self._restart_at >= 0 and now >= self._restart_at and not self.is_stopping:
             self._start(now)
         successor = self.successor
@@ -202,7 +210,7 @@
                 self._control.kill(process)
 
     def stop(self, now: int) -> None:
-        """The supervisor ends, and its processes with it."""
+        """Begins to shut down the supervisor with all its processes."""
         self.is_stopping = True
         if self.successor is not None:
             self._kill_successor(self.successor)
@@ -213,7 +221,7 @@
 
     @property
     def has_stopped(self) -> bool:
-        """Whether the supervisor ends and all its processes have ended."""
+        """True if the supervisor is shutting down and all its processes have ended."""
         return self.is_stopping and not self._stopping
 
     def _kill_successor(self, successor: GatewayProcess) -> None:
