--- a/vanerelay/rollout/supervisor_state.py
+++ b/vanerelay/rollout/supervisor_state.py
@@ -83,7 +83,7 @@
     """The state of one supervisor.
 
     Attributes:
-        timeouts: The timeouts.
+        timeouts: The limits for readiness, probation and shutdown.
         current, previous: The release to run, and the one that it replaced; `previous` is empty if there is
             none to roll back to.
         serving: The process that serves queries; None before the start, after a failure and on shutdown.
