--- a/vanerelay/rollout/controller.py
+++ b/vanerelay/rollout/controller.py
@@ -245,7 +245,7 @@
 
         The fence is recorded before it is used, and counts once a majority of gateways has accepted it.
         """
-        reported_fences, gateway_count = self._observer.fences_heard(), self._observer.gateway_count
+        reported_fences, gateway_count = self._observer.observed_fences(), self._observer.gateway_count
         if not is_quorum(len(reported_fences), gateway_count) or self._is_checking_fence:
             self._report(
                 f"{len(reported_fences)} of {gateway_count} managers heard: waiting for more than half"
