--- a/bench/membership.py
+++ b/bench/membership.py
@@ -46,18 +46,18 @@
 from vanerelay.net.gateway_service import GatewayService
 from vanerelay.net.reactor import Reactor
 
-def listed(self, change, listed=GatewayService.listed):
+def listed(self, change, listed=GatewayService.apply_engine_list_change):
     began = time.monotonic()
     listed(self, change)
     took = time.monotonic() - began
     print(json.dumps({"at": time.time(), "members": len(change.engines), "took": took}), flush=True)
 
-def latest(self, latest=Reactor.latest):
+def latest(self, latest=Reactor.take_max_delay_s):
     late = latest(self)
     print(json.dumps({"late": late}), flush=True)
     return late
 
-GatewayService.listed, Reactor.latest = listed, latest
+GatewayService.apply_engine_list_change, Reactor.take_max_delay_s = listed, latest
 from vanerelay.cli import main
 main()
 """
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -484,7 +484,7 @@
     """The program runs without automatic collections: what a query leaves must go by itself."""
     served = Served()
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-    served.service.listed(EngineListChange(1, True, [member]))
+    served.service.apply_engine_list_change(EngineListChange(1, True, [member]))
     served.ask(1)
     protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
     protocol.makeConnection(wire)
@@ -517,7 +517,7 @@
         served.advance(0.2)
     else:
         member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-        served.service.listed(EngineListChange(1, True, [member]))
+        served.service.apply_engine_list_change(EngineListChange(1, True, [member]))
         served.ask(1, service="load")
         monkeypatch.setattr(gateway._feedback, "engine_responded", fault)
         protocol, wire = served.reactor.tcpClients[0][2].buildProtocol(None), Wire()
@@ -684,7 +684,7 @@
     served = Served()
 
     def change(number, whole=False, **states):
-        served.service.listed(
+        served.service.apply_engine_list_change(
             EngineListChange(
                 number,
                 whole,
@@ -736,7 +736,7 @@
     peers.transport.write = fails
     peers.send(peer, b"x" * size)  # lost, and nobody meets a fault
     peers.transport.write = sending
-    peers.received = lambda number, data: heard.append((number, len(data)))
+    peers.on_received = lambda number, data: heard.append((number, len(data)))
     for host, port in (("127.0.0.3", 7), ("127.0.0.3", 8), ("127.0.0.4", 7)):
         peers.datagramReceived(b"\xff" * 2000, (host, port))
     assert heard == [(1, 256)]  # by its address; who else speaks counts for nothing
@@ -799,9 +799,9 @@
 
 def test_a_subsystem_that_fails_at_queries_costs_no_query_that_it_does_not_lead():
     served = Served()
-    served.service.join([Failing()])
+    served.service.add_extensions([Failing()])
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-    served.service.listed(EngineListChange(1, True, [member]))
+    served.service.apply_engine_list_change(EngineListChange(1, True, [member]))
     served.ask(1)
     assert served.answers() == [(1, AnswerStatus.FAILED)]  # whether it may be served, nobody could say
     served.ask(2, service="load")
@@ -831,7 +831,7 @@
 
 
 class Loop(MemoryReactorClock):
-    def latest(self):
+    def take_max_delay_s(self):
         return 0.0
 
 
@@ -843,7 +843,11 @@
     told = {"limits": {}, "feed": "127.0.0.1:1", "settings": SETTINGS, "known": {"n": 1, "events": events}}
     reactor = Loop()
     made = Server(
-        reactor, Clock(reactor.seconds), Configuration(told), "127.0.0.1:0", join=lambda host: [Faulty()]
+        reactor,
+        Clock(reactor.seconds),
+        Configuration(told),
+        "127.0.0.1:0",
+        make_extensions=lambda host: [Faulty()],
     )
     yield made, told
     gc.enable()
@@ -891,7 +895,7 @@
         (["check", "missing.json"], 2, "missing.json"),
         (["check", "good.json"], 0, "engines known: 1"),
         (["serve"], 2, "--config"),
-        (["check", "empty.json"], 2, "nothing told under"),
+        (["check", "empty.json"], 2, "required keys are missing"),
         (["--help"], 0, "serve"),
     ],
 )
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -166,7 +166,10 @@
     new.events.extend(old.events)
     told = json.loads(node.config.read_text())
     report = {**told["settings"]["classes"][0], "name": "report", "kindsOnly": [0]}
-    for change, line in (({"safety": {"fallMultiple": 0.5}}, "not read again"), ({"kinds": []}, "restart")):
+    for change, line in (
+        ({"safety": {"fallMultiple": 0.5}}, "configuration reload failed, settings unchanged"),
+        ({"kinds": []}, "restart"),
+    ):
         node.config.write_text(json.dumps({**told, "settings": {**told["settings"], **change}}))
         node.process.send_signal(signal.SIGHUP)
         until(lambda line=line: line in node.log.read_text(), "the line of the log")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -24,7 +24,9 @@
     faults, log = Faults(tmp_path / "faults", socket=1.0), tmp_path / "log"
 
     def mend():
-        until(lambda: log.exists() and "cannot listen yet" in log.read_text(), "the failure")
+        until(
+            lambda: log.exists() and "opening a port failed, trying again" in log.read_text(), "the failure"
+        )
         faults.set(socket=0.0)
 
     mending = threading.Thread(target=mend, daemon=True)
--- a/vanerelay/cli.py
+++ b/vanerelay/cli.py
@@ -245,7 +245,7 @@
         if suspect is not None:
             raise StartupError(f"configuration {config}: {suspect}")
         service_classes = settings.service_classes(configuration.raw_settings)
-        changes = discovery_codec.parse(configuration.known_list, {}, {})
+        changes = discovery_codec.parse(configuration.initial_list, {}, {})
     except (StartupError, KeyError, TypeError, ValueError, AttributeError) as error:
         _exit_with_error(str(error))
     if isinstance(changes, discovery_codec.Unreadable):
--- a/vanerelay/net/__init__.py
+++ b/vanerelay/net/__init__.py
@@ -1,1 +1,1 @@
-"""The workload manager on sockets: machines fed bytes, thin drivers, the service joining them."""
+"""The gateway process: protocol state machines, their sockets, and the service that connects them."""
--- a/vanerelay/net/attempt_results.py
+++ b/vanerelay/net/attempt_results.py
@@ -15,7 +15,7 @@
 from vanerelay.net import load_reports
 from vanerelay.net.deadlines import Deadlines
 from vanerelay.net.decisions import Decisions
-from vanerelay.net.extensions import Extensions, guarded
+from vanerelay.net.extensions import Extensions, call_extension
 from vanerelay.net.held_queries import ClientQuery, OpenQueries
 from vanerelay.net.query_answers import QueryAnswers
 from vanerelay.net.resp_codec import Note
@@ -58,7 +58,7 @@
         if query.guard_record is not None:
             self._guard.attempt_ended(query.guard_record, number, outcome, work)
         if outcome is Outcome.COMPLETED and not query.ended:
-            if self._extensions.watches_runs:
+            if self._extensions.has_run_listeners:
                 self._report_run(query, engine, work)
             self._answers.answer(query, AnswerStatus.COMPLETED, fields, end.rows)
         if query.handle is not None:
@@ -87,7 +87,7 @@
         if constraint is None or query.ended:
             return outcome, {}
         if outcome is not Outcome.COMPLETED:
-            guarded(constraint.attempt_failed, engine, outcome)
+            call_extension(constraint.attempt_failed, engine, outcome)
             return outcome, {}
         fields = self._accepted_fields(constraint, engine, end.fields)
         return (Outcome.MALFORMED, {}) if fields is None else (outcome, fields)
@@ -111,4 +111,4 @@
             work=work,
             internal=query.is_internal,
         )
-        self._extensions.ran(run)
+        self._extensions.notify_engine_ran(run)
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -17,7 +17,7 @@
 from vanerelay.net.engine_list_updates import EngineListUpdates
 from vanerelay.net.engine_pool import EnginePool
 from vanerelay.net.events import EventLog, LogEventKind
-from vanerelay.net.extensions import guarded
+from vanerelay.net.extensions import call_extension
 from vanerelay.net.held_queries import ClientQuery
 from vanerelay.net.resp_codec import QueryCommand
 from vanerelay.net.service_settings import SettingsInForce
@@ -106,7 +106,7 @@
 
     def _begin(self, query: ClientQuery, attempt: Attempt, engine: int, wait: int) -> None:
         if query.constraint is not None:
-            guarded(query.constraint.attempt_sent, engine)
+            call_extension(query.constraint.attempt_sent, engine)
         self._engines.send(engine, attempt, wait / SECOND)
 
     def _begin_late(self, query: ClientQuery, number: int, attempt: Attempt, engine: int, until: int) -> None:
--- a/vanerelay/net/decisions.py
+++ b/vanerelay/net/decisions.py
@@ -1,4 +1,4 @@
-"""The way to the decisions: the gateway in force, those of earlier settings, and what a fault in one does."""
+"""Calls of the decisions: those under the current and earlier settings, and the handling of their errors."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
 
 
 class Decisions:
-    """Calls the decisions, so that a fault in them costs one query at most.
+    """Calls the decisions, so that an exception in them fails one query at most.
 
     Attributes:
-        now: The present moment, as the decisions see it during a call.
+        now: The time that the decisions see during a call, in ticks.
     """
 
     def __init__(self, clock: Clock, answers: QueryAnswers) -> None:
         self._clock = clock
         self._answers = answers
         self._current: Gateway | None = None
-        self._earlier = list[Gateway]()  # of earlier settings, that have not finished all they took
+        self._superseded = list[Gateway]()  # of earlier settings, with queries that have not ended
         self.now = clock.now()
 
     @property
     def current(self) -> Gateway | None:
-        """The decisions in force; None before the first settings are."""
+        """The decisions under the current settings; None before the first settings are applied."""
         return self._current
 
     def read_clock(self) -> int:
-        """Brings the present moment up to date."""
+        """Updates `now` and returns it."""
         self.now = self._clock.now()
         return self.now
 
     def replace(self, gateway: Gateway) -> None:
-        """Puts other decisions in force. Queries taken before end with those that took them."""
-        former = self._current
-        if former is not None:
-            gateway.take_over(former)
-            self._earlier.append(former)
+        """Replaces the decisions. Queries submitted earlier stay with the previous ones."""
+        previous = self._current
+        if previous is not None:
+            gateway.take_over(previous)
+            self._superseded.append(previous)
         self._current = gateway
 
     def submit(self, query: ClientQuery) -> None:
-        """Hands a query to the decisions in force."""
+        """Submits a query to the current decisions."""
 
         def submit() -> None:
             if self._current is not None and query.arrival is not None:
@@ -60,18 +60,18 @@
         self.call(query, submit)
 
     def update_engines(self, entries: Sequence[EngineEntry], complete: bool) -> None:
-        """Hands a change of the engine list to all that still have queries."""
-        self._earlier = [gateway for gateway in self._earlier if not gateway.is_finished()]
-        for gateway in (self._current, *self._earlier):
+        """Passes a change of the engine list to the current decisions and earlier ones with open queries."""
+        self._superseded = [gateway for gateway in self._superseded if not gateway.is_finished()]
+        for gateway in (self._current, *self._superseded):
             if gateway is not None:
                 self.call(None, gateway.update_engines, entries, complete)
 
     def may_begin(self, query: ClientQuery, number: int) -> bool:
-        """Whether a planned attempt may still begin, as the decisions see it."""
+        """Returns True if the decisions still allow a planned attempt to begin."""
         self.read_clock()
         if query.ended:
             return False
-        # The first attempt is planned while its query is submitted, when there is no handle yet.
+        # The first attempt is planned while the query is being submitted, before its handle is set.
         return query.handle is None or query.handle.may_begin(number)
 
     def call(
@@ -79,16 +79,16 @@
         query: ClientQuery | None,
         method: Callable[Arguments, None],
         *arguments: Arguments.args,
-        **named: Arguments.kwargs,
+        **keywords: Arguments.kwargs,
     ) -> bool:
-        """Calls the decisions. A fault in them is logged, and the query at hand is answered all the same.
+        """Calls the decisions. An exception in them is logged, and `query` is answered as failed.
 
         Returns:
-            Whether there was no fault.
+            True if the call raised no exception.
         """
         self.read_clock()
         try:
-            method(*arguments, **named)
+            method(*arguments, **keywords)
         except Exception:
             log.exception("error in the decisions")
             if query is not None and not query.ended:
--- a/vanerelay/net/engine_list_updates.py
+++ b/vanerelay/net/engine_list_updates.py
@@ -62,7 +62,7 @@
             self.gone = self.names.all() - present
         self.received = True
         self._decisions.update_engines(entries, change.complete)
-        self._extensions.listed(change)
+        self._extensions.notify_engines_changed(change)
 
     def sweep(self) -> None:
         """Lets go of connections that the engines are about to close, and of engines that are gone."""
--- a/vanerelay/net/extensions.py
+++ b/vanerelay/net/extensions.py
@@ -1,4 +1,4 @@
-"""The extensions that joined the served program: each is called for what it overrides, and may fail alone."""
+"""Calls of the extensions: only methods that they override are called, and an error affects no other part."""
 
 from __future__ import annotations
 
@@ -13,40 +13,40 @@
     from vanerelay.engine_list import EngineListChange
     from vanerelay.interface import AnswerStatus
 
-FAULT = "a subsystem met a fault"
-"""The log line. It is on the wire as well, as the explanation for a client whose query meets the error."""
+EXTENSION_ERROR = "a subsystem met a fault"
+"""The log event. It is also sent, as the explanation to a client whose query fails because of the error."""
 Arguments = ParamSpec("Arguments")
 Result = TypeVar("Result")
 
 log = structlog.get_logger()
 
 
-def guarded(
-    call: Callable[Arguments, Result], *arguments: Arguments.args, **named: Arguments.kwargs
+def call_extension(
+    call: Callable[Arguments, Result], *arguments: Arguments.args, **keywords: Arguments.kwargs
 ) -> Result | None:
-    """Calls an extension; None where it fails, which is logged."""
+    """Calls an extension. Returns None if it raises an exception, which is logged."""
     try:
-        return call(*arguments, **named)
+        return call(*arguments, **keywords)
     except Exception:
-        log.exception(FAULT)
+        log.exception(EXTENSION_ERROR)
         return None
 
 
 class Extensions:
-    """All that joined, by what each wants to know, so that nothing is worked out for nobody."""
+    """All extensions, by the methods that they override, so that nothing is computed without a listener."""
 
     def __init__(self) -> None:
         self._list_listeners = list[Extension]()
-        self._constraining = list[Extension]()
+        self._constraining_extensions = list[Extension]()
         self._answer_listeners = list[Extension]()
         self._run_listeners = list[Extension]()
 
-    def join(self, extensions: Iterable[Extension]) -> None:
+    def add(self, extensions: Iterable[Extension]) -> None:
         """Calls these extensions from now on."""
         for extension in extensions:
             for method, listeners in (
                 ("engines_changed", self._list_listeners),
-                ("constrain", self._constraining),
+                ("constrain", self._constraining_extensions),
                 ("query_answered", self._answer_listeners),
                 ("engine_ran", self._run_listeners),
             ):
@@ -55,44 +55,52 @@
 
     @property
     def has_constraints(self) -> bool:
-        """Whether an extension may constrain queries."""
-        return bool(self._constraining)
+        """True if an extension may constrain queries."""
+        return bool(self._constraining_extensions)
 
     @property
-    def counts(self) -> bool:
-        """Whether an extension wants to know what became of queries."""
+    def has_answer_listeners(self) -> bool:
+        """True if an extension is notified of the answers of queries."""
         return bool(self._answer_listeners)
 
     @property
-    def watches_runs(self) -> bool:
-        """Whether an extension wants to know what engines ran."""
+    def has_run_listeners(self) -> bool:
+        """True if an extension is notified of the runs of queries on engines."""
         return bool(self._run_listeners)
 
-    def listed(self, change: EngineListChange) -> None:
-        """A change of the engine list is in force."""
+    def notify_engines_changed(self, change: EngineListChange) -> None:
+        """Notifies extensions that a change of the engine list has been applied."""
         for extension in self._list_listeners:
-            guarded(extension.engines_changed, change)
+            call_extension(extension.engines_changed, change)
 
     def constrain(self, query: QueryInfo) -> QueryConstraint | str | None:
-        """The constraint of a query; an explanation for its client where it can't be served as it asks."""
-        for extension in self._constraining:
+        """Returns the constraint of a query or None; or, if it must fail, the explanation for its client."""
+        for extension in self._constraining_extensions:
             try:
-                found = extension.constrain(query)
+                constraint = extension.constrain(query)
             except Exception:
-                log.exception(FAULT)
-                return FAULT
-            if found is not None:
-                return found
+                log.exception(EXTENSION_ERROR)
+                return EXTENSION_ERROR
+            if constraint is not None:
+                return constraint
         return None
 
-    def answered(
+    def notify_query_answered(
         self, service_class: str, earned: float, status: AnswerStatus, duration: int, attempts: int
     ) -> None:
-        """A query has its final answer."""
+        """Notifies extensions that a query has its final answer.
+
+        Args:
+            service_class: The name of the service class.
+            earned: The fraction of its value that the answer earned.
+            status: The status of the answer.
+            duration: The time from the request to the answer, in ticks.
+            attempts: The number of attempts.
+        """
         for extension in self._answer_listeners:
-            guarded(extension.query_answered, service_class, earned, status, duration, attempts)
+            call_extension(extension.query_answered, service_class, earned, status, duration, attempts)
 
-    def ran(self, run: EngineRun) -> None:
-        """An engine has completed a query."""
+    def notify_engine_ran(self, run: EngineRun) -> None:
+        """Notifies extensions that an engine has completed a query."""
         for extension in self._run_listeners:
-            guarded(extension.engine_ran, run)
+            call_extension(extension.engine_ran, run)
--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -1,13 +1,14 @@
-"""Joins clients, engines and the engine list to the decisions, and carries out what these order.
+"""Connects clients, engines and the engine list to the decisions, and carries out the calls of the decisions.
 
-The work is done in modules of its own, in the order in which a query meets them:
+The decisions are a `policy.gateway.Gateway`. The work is done in other modules, in the order in which a
+query passes through them:
 
-- `query_intake`: decode, validate, admit or reject, hold, submit to the decisions;
-- `attempt_sender`: what the decisions order goes to engines;
-- `attempt_results`: what engines answer goes to the client and to the decisions;
-- `query_answers`: the one answer of each query;
-- `query_ends`, `deadlines`: clients that leave, and deadlines that come;
-- `engine_list_updates`: which engines there are.
+- `query_intake`: decodes, validates, admits or rejects, holds and submits queries to the decisions;
+- `attempt_sender`: sends attempts to engines when the decisions order it;
+- `attempt_results`: passes the results of engines on to the client and the decisions;
+- `query_answers`: sends the one answer of each query;
+- `query_ends`, `deadlines`: handle clients that disconnect, and deadlines that pass;
+- `engine_list_updates`: applies changes of the engine list.
 """
 
 from __future__ import annotations
@@ -46,12 +47,16 @@
 
 
 class GatewayService:
-    """The Transport of the decisions on sockets. `apply_settings` is called once its parts stand.
+    """The Transport of the decisions on sockets. `apply_settings` has to be called after construction.
 
     Attributes:
-        queries: The queries held.
-        engine_list: The engines listed.
-        draining: Whether the program is shutting down, so that nothing new is begun.
+        events: The log of events that occur often.
+        guard: Checks the invariants of queries and attempts.
+        settings: The current settings.
+        queries: The open queries.
+        deadlines: The deadlines of open queries.
+        engine_list: The engine list.
+        draining: True if the process is shutting down, so that no new work is begun.
     """
 
     def __init__(
@@ -64,7 +69,7 @@
         statement_bytes: int,
         events: EventLog | None = None,
     ) -> None:
-        """`statement_bytes`: how much the statements of open queries may take together."""
+        """`statement_bytes` is the limit for the statements of all open queries together."""
         self._reactor = reactor
         self._engines = engines
         self._peers = peers
@@ -83,10 +88,10 @@
         self.engine_list = EngineListUpdates(
             clock, engines, self.guard, self._decisions, self._extensions, self.events
         )
-        self._join_query_path(clock)
+        self._make_query_path(clock)
 
-    def _join_query_path(self, clock: Clock) -> None:
-        """Makes what a query passes on its way to an engine and back."""
+    def _make_query_path(self, clock: Clock) -> None:
+        """Creates the parts that a query passes on its way to an engine and back."""
         self._intake = QueryIntake(
             clock,
             self.settings,
@@ -122,51 +127,51 @@
         )
 
     def apply_settings(self, seed: int, raw_settings: RawSettings) -> None:
-        """Goes on under these settings. Queries taken before end under the settings of then."""
+        """Replaces the current settings. Queries accepted earlier end under the settings they began with."""
         self._decisions.read_clock()
         gateway = settings.open_gateway(self, seed, raw_settings)
         self._decisions.replace(gateway)
         self.settings.replace(raw_settings)
         self.guard.update_terms(settings.guard_terms(raw_settings))
         if self._peers is not None:
-            self._peers.received = lambda peer, data: self._received_from(gateway, peer, data)
+            self._peers.on_received = lambda peer, data: self._receive_from_peer(gateway, peer, data)
 
     @property
     def gateway(self) -> Gateway:
-        """The decisions in force, for subsystems that hand them on."""
+        """The decisions under the current settings, for extensions."""
         gateway = self._decisions.current
         assert gateway is not None
         self._decisions.read_clock()
         return gateway
 
-    def join(self, extensions: Iterable[Extension]) -> None:
-        """Lets subsystems know from now on what they want to know."""
-        self._extensions.join(extensions)
+    def add_extensions(self, extensions: Iterable[Extension]) -> None:
+        """Calls these extensions from now on."""
+        self._extensions.add(extensions)
 
-    # For clients' connections.
+    # Called by client connections.
 
     def ready(self) -> bool:
-        """Whether queries can be taken."""
+        """Returns True if queries can be accepted."""
         return self.engine_list.received and self._decisions.current is not None and not self.draining
 
     def may_close(self, unanswered: int) -> bool:
-        """Whether a client's connection may be closed as it stands."""
+        """Returns True if a client connection with this number of unanswered queries may be closed."""
         return self.guard.may_close(unanswered)
 
     def request(
         self, client: ClientConnection, frame: frames.Frame, received_after: int
     ) -> ClientQuery | RequestResult:
-        """Takes a query, unless it is answered at once. Nothing of it had come before `received_after`."""
+        """Accepts a query or answers it at once. No part of it had arrived before `received_after`."""
         return self._intake.accept(client, frame, received_after)
 
-    # For the sources of the engine list, and for subsystems.
+    # Called by the sources of the engine list, by the server and by extensions.
 
-    def listed(self, change: EngineListChange) -> None:
+    def apply_engine_list_change(self, change: EngineListChange) -> None:
         """Applies a change of the engine list."""
         self.engine_list.apply(change)
 
     def sweep(self) -> None:
-        """Lets go of idle connections, and of engines that are gone."""
+        """Closes idle connections to engines and removes engines that are gone."""
         self.engine_list.sweep()
 
     def submit_internal(
@@ -178,15 +183,15 @@
         memory: float,
         max_duration: int,
     ) -> InternalQuery | None:
-        """Takes a query of the gateway itself, to one engine; None where it cannot be taken."""
+        """Submits a query of this gateway itself to one engine. Returns None if it cannot be accepted."""
         if self.draining:
             return None
         return self._intake.submit_internal(reference, service_class, statement, engine, memory, max_duration)
 
-    def _received_from(self, gateway: Gateway, peer: int, data: bytes) -> None:
+    def _receive_from_peer(self, gateway: Gateway, peer: int, data: bytes) -> None:
         self._decisions.call(None, gateway.receive_from_peer, peer, data)
 
-    # What the decisions order: the Transport.
+    # Called by the decisions: the Transport.
 
     @property
     def now(self) -> int:
@@ -198,28 +203,28 @@
         self._sender.send(self.queries.at(query), engine, timeout)
 
     def grant_memory(self, query: int, memory: float, priority: int) -> None:
-        """See `Transport.grant_memory`. What the engines do not heed is not sent."""
-        held = self.queries.at(query)
+        """See `Transport.grant_memory`. Values that the engines do not support are not sent."""
+        client_query = self.queries.at(query)
         allowed = self.settings.current
-        held.memory_grant = round(memory) if allowed.sends_memory_grants else 0
-        held.priority = priority if allowed.sends_priorities else 0
+        client_query.memory_grant = round(memory) if allowed.sends_memory_grants else 0
+        client_query.priority = priority if allowed.sends_priorities else 0
 
     def reject(self, query: int, retry_after: int) -> None:
         """See `Transport.reject`."""
-        held = self.queries.at(query)
-        if not held.ended:
-            self._answers.note_rejection(held, "rejected by the decisions")
+        client_query = self.queries.at(query)
+        if not client_query.ended:
+            self._answers.note_rejection(client_query, "rejected by the decisions")
             fields = request_codec.retry_after_fields(retry_after)
-            self._answers.answer(held, AnswerStatus.REJECTED, fields)
-        self.queries.settle(held)  # rejected in the admission queue, nothing else comes for it
+            self._answers.answer(client_query, AnswerStatus.REJECTED, fields)
+        self.queries.settle(client_query)  # rejected from the admission queue: nothing further can arrive for it
 
     def fail(self, query: int) -> None:
         """See `Transport.fail`."""
-        held = self.queries.at(query)
-        if not held.ended:
-            self._answers.note_rejection(held, "failed by the decisions")
-            self._answers.answer(held, AnswerStatus.FAILED)
-        self.queries.settle(held)
+        client_query = self.queries.at(query)
+        if not client_query.ended:
+            self._answers.note_rejection(client_query, "failed by the decisions")
+            self._answers.answer(client_query, AnswerStatus.FAILED)
+        self.queries.settle(client_query)
 
     def cancel_attempt(self, query: int, attempt: int) -> None:
         """See `Transport.cancel_attempt`."""
@@ -228,7 +233,7 @@
             self._reactor.callLater(0, running.give_up, EndCause.CANCELLED)
 
     def send_to_peers(self, peer: int | None, data: bytes) -> None:
-        """See `Transport.send_to_peers`. A gateway that drains sends nothing: others may count it as gone."""
+        """See `Transport.send_to_peers`. Sends nothing while draining: peers may treat this gateway as gone."""
         if self._peers is not None and not self.draining:
             self._peers.send(peer, data)
 
@@ -237,7 +242,7 @@
         self._engines.probe(engine)
 
     def subscribe_to_engine_list(self) -> None:
-        """See `Transport.subscribe_to_engine_list`. The list is followed from the start."""
+        """See `Transport.subscribe_to_engine_list`. Does nothing: updates are always received."""
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         """See `Transport.call_later`."""
@@ -245,7 +250,8 @@
 
     def _call_back(self, delay: int, callback: Callable[[], None]) -> None:
         if not self._decisions.call(None, callback):
-            # A periodic call that failed would not set its next one, and a gateway that calls nothing stops.
+            # A periodic callback schedules its next call itself. If it failed before that, it would never run
+            # again, and the gateway would stop working.
             self.call_later(delay, callback)
 
     def log(self, text: str) -> None:
--- a/vanerelay/net/peer_gossip.py
+++ b/vanerelay/net/peer_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between gateways: datagrams of at most 256 bytes, where the settings permit them."""
+"""Gossip between gateways: datagrams of at most 256 bytes, if the settings permit it."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 Address = tuple[str, int]
 
 
-def _address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def _ignore(_peer: int, _data: bytes) -> None:
-    """Takes what comes before anybody listens."""
+    """Discards datagrams that arrive before `on_received` is set."""
 
 
 class PeerGossip(DatagramProtocol):
-    """The datagrams between this gateway and its peers.
+    """Sends datagrams to the peers of this gateway and receives theirs.
 
     Attributes:
-        received: Called with the number of the peer and its datagram.
+        on_received: Is called with the number of the peer and each datagram from it.
     """
 
     transport: Any
 
-    def __init__(self, listen: str, addresses: list[str], everyone: str) -> None:
-        """`addresses` are those of the peers by their numbers; `everyone` is one that reaches all of them."""
-        self._listen = _address(listen)
-        self._everyone = _address(everyone)
-        self._addresses = [_address(address) for address in addresses]
-        self._numbers = {address: number for number, address in enumerate(self._addresses)}
-        self.received: Callable[[int, bytes], None] = _ignore
+    def __init__(self, listen: str, addresses: list[str], broadcast_address: str) -> None:
+        """`addresses` are the peers' by their numbers; `broadcast_address` reaches all of them."""
+        self._listen = _parse_address(listen)
+        self._broadcast_address = _parse_address(broadcast_address)
+        self._addresses = [_parse_address(address) for address in addresses]
+        self._peer_numbers = {address: number for number, address in enumerate(self._addresses)}
+        self.on_received: Callable[[int, bytes], None] = _ignore
 
     def open(self, reactor: Any) -> None:
-        """Opens the port."""
+        """Opens the UDP port."""
         reactor.listenUDP(self._listen[1], self, interface=self._listen[0])
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Sends a datagram to a peer, or to all of them."""
+        """Sends a datagram to a peer, or to all peers if `peer` is None."""
         if self.transport is not None and len(data) <= MAX_DATAGRAM_BYTES:
-            # It may be lost anyway: that the system does not take it must not end the periodic sending.
+            # Datagrams may be lost anyway, and an error of the system must not stop periodic sending.
             with contextlib.suppress(OSError):
-                self.transport.write(data, self._everyone if peer is None else self._addresses[peer])
+                self.transport.write(data, self._broadcast_address if peer is None else self._addresses[peer])
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Hands on the datagrams of peers, and of nobody else."""
-        peer = self._numbers.get(addr)
+        """Passes on datagrams from known peers; others are ignored."""
+        peer = self._peer_numbers.get(addr)
         if peer is not None:
-            self.received(peer, datagram[:MAX_DATAGRAM_BYTES])
+            self.on_received(peer, datagram[:MAX_DATAGRAM_BYTES])
--- a/vanerelay/net/query_answers.py
+++ b/vanerelay/net/query_answers.py
@@ -8,7 +8,7 @@
 from vanerelay.interface import SECOND, AnswerStatus
 from vanerelay.invariants import Invariant, InvariantGuard
 from vanerelay.net.events import EventLog, LogEventKind
-from vanerelay.net.extensions import Extensions, guarded
+from vanerelay.net.extensions import Extensions, call_extension
 from vanerelay.net.held_queries import ClientQuery, OpenQueries
 from vanerelay.net.service_settings import SettingsInForce
 
@@ -54,7 +54,7 @@
 
     def report_unheld(self, service_class: str, status: AnswerStatus) -> None:
         """Reports a query that was answered at once, without being held."""
-        self._extensions.answered(service_class, 0.0, status, 0, 0)
+        self._extensions.notify_query_answered(service_class, 0.0, status, 0, 0)
 
     def note_rejection(self, query: ClientQuery, why: str) -> None:
         """Logs that a query is rejected or fails."""
@@ -71,15 +71,15 @@
     def _close(self, query: ClientQuery) -> None:
         self._queries.close(query)
         if query.constraint is not None:
-            guarded(query.constraint.finished)
+            call_extension(query.constraint.finished)
 
     def _report(self, query: ClientQuery, status: AnswerStatus, client_waited: bool) -> None:
         """Reports what became of a query to the extensions that want to know it."""
-        if not self._extensions.counts or query.is_internal:
+        if not self._extensions.has_answer_listeners or query.is_internal:
             return
         name = query.service_class.decode()
         duration = self._clock.now() - query.received_after
         earned = 0.0
         if status is AnswerStatus.COMPLETED and client_waited:
             earned = self._settings.current.value_earned(name, duration)
-        self._extensions.answered(name, earned, status, duration, len(query.attempts))
+        self._extensions.notify_query_answered(name, earned, status, duration, len(query.attempts))
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -152,7 +152,7 @@
         """Takes in a query of the gateway itself, to one engine; None where it cannot be taken."""
         now = self._decisions.read_clock()
         settings = self._settings.current
-        row = settings.rows.get(service_class)
+        row = settings.service_class_indexes.get(service_class)
         body = statement.encode()
         if row is None or not self._has_capacity(len(body)) or self._queries.is_open(reference):
             return None
@@ -203,7 +203,7 @@
         if query.handle is not None:
             return
         # Other settings may have come into force while it waited.
-        service_class = self._settings.current.rows.get(query.service_class.decode())
+        service_class = self._settings.current.service_class_indexes.get(query.service_class.decode())
         if service_class is None:
             self._answers.note_rejection(query, "service class removed")
             self._answers.answer(query, AnswerStatus.REJECTED)
@@ -242,10 +242,10 @@
     def _usable_for(self, request: QueryRequest) -> int | None:
         """The row of the service class that the request belongs to; None where an engine could not use it."""
         settings = self._settings.current
-        row = settings.rows.get(request.service_class)
+        row = settings.service_class_indexes.get(request.service_class)
         if row is None:
             return None
-        known_tenant = not settings.tenants or request.tenant in settings.tenants
+        known_tenant = not settings.tenant_indexes or request.tenant in settings.tenant_indexes
         in_range = request.time_limit <= LONGEST_WAIT * settings.service_classes[row].deadline
         usable = known_tenant and in_range and not self._queries.is_open(request.reference)
         return row if usable else None
@@ -302,7 +302,7 @@
         return QueryArrival(
             index=query.index,
             service_class=admitted.service_class,
-            tenant=self._settings.current.tenants.get(request.tenant, 0),
+            tenant=self._settings.current.tenant_indexes.get(request.tenant, 0),
             order_key=stable_hash(request.order_key, 0) if request.order_key else None,
             deadline=admitted.deadline,
             estimated_cost=request.estimated_cost,
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -1,4 +1,4 @@
-"""The served program: joins its parts, runs them, and is what its extensions see of it."""
+"""The server of a gateway process: creates and runs its parts, and is the host of its extensions."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 from vanerelay.net.startup import Configuration, DescriptorShares, PortOpener, SupervisorSockets
 from vanerelay.policy.gateway import Gateway
 
-JoinExtensions = Callable[[ExtensionHost], list[Extension]]
-"""Makes the extensions that the operators switched on."""
+ExtensionFactory = Callable[[ExtensionHost], list[Extension]]
+"""Creates the extensions that the operators enabled."""
 
-SWEEP_S = 1.0
-STALL_S = 0.05
-"""A pass that is later than this is logged: as much as the clients' protocol adds to each time limit."""
+SWEEP_INTERVAL_S = 1.0
+STALL_THRESHOLD_S = 0.05
+"""A longer delay of an event loop pass is logged: the clients' protocol adds this much to each time limit."""
 
 log = structlog.get_logger()
 
 
 class Server:
-    """The parts of one gateway process, each made with its own few settings."""
+    """A gateway process with all its parts."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
         listen: str,
         name: str = "",
         sockets: SupervisorSockets | None = None,
-        join: JoinExtensions | None = None,
+        make_extensions: ExtensionFactory | None = None,
     ) -> None:
-        """Makes all parts and opens the ports. Raises StartupError.
+        """Creates all parts and opens the ports.
 
         Args:
             reactor: The event loop.
@@ -57,8 +57,11 @@
             configuration: The configuration file.
             listen: Host and port for clients.
             name: The name of this gateway.
-            sockets: What a supervisor hands down; None without one.
-            join: Makes the extensions; None where none is switched on.
+            sockets: The descriptors that a supervisor passes on; None without a supervisor.
+            make_extensions: Creates the extensions; None if none is enabled.
+
+        Raises:
+            StartupError: A part cannot be created or a port cannot be opened.
         """
         self.reactor = reactor
         self.clock = clock
@@ -66,29 +69,29 @@
         self.limits: Mapping[str, Any] = configuration.limits
         self._sockets = sockets or SupervisorSockets()
         self.supervised = self._sockets.listen_fd is not None
-        self._internal_queries = int(clock.now())  # a number for the next reference
-        self._failure: str | None = None  # found while running, which ends the program
+        self._internal_query_number = int(clock.now())  # makes each reference unique
+        self._failure: str | None = None  # an error found while running that ends the process
         self._pool = Pool()
         self.events = EventLog(reactor)
         self._shares = DescriptorShares.divide(configuration.descriptors)
         self._make_service(configuration)
         self.seed = configuration.seed
-        self.zones = startup.rows(configuration.raw_settings.get("failureDomains"))
-        self.machine_kinds = startup.rows(configuration.raw_settings.get("kinds"))
-        self._extensions: Sequence[Extension] = join(self) if join is not None else []
-        self._put_settings_in_force(configuration)
+        self.zones = startup.index_by_name(configuration.raw_settings.get("failureDomains"))
+        self.machine_kinds = startup.index_by_name(configuration.raw_settings.get("kinds"))
+        self._extensions: Sequence[Extension] = make_extensions(self) if make_extensions is not None else []
+        self._apply_initial_settings(configuration)
         self.clients: ClientListener = self._make_clients()
         self._garbage = GarbageCollection(configuration.memory_bytes)
         self._termination = Termination(reactor)
         self._shutdown = GracefulShutdown(
             reactor, self.service, self.clients, self.discovery, self._engines, self._extensions
         )
-        self._apply_known_list(configuration)
+        self._apply_initial_list(configuration)
         self._open_extensions()
         self._open_ports(listen)
 
     def _make_service(self, configuration: Configuration) -> None:
-        """The connections to engines and peers, and what joins them to the decisions."""
+        """Creates the connections to engines and peers, and the service that uses them."""
         self._engines = startup.make_engine_pool(
             self.reactor, self.clock, self._pool, configuration.raw_settings, self._shares, self.events
         )
@@ -99,7 +102,7 @@
             configuration.raw_settings,
             self._engines,
             self._peers,
-            configuration.memory_bytes // startup.STATEMENT_SHARE,
+            configuration.memory_bytes // startup.STATEMENT_MEMORY_DIVISOR,
             self.events,
         )
 
@@ -109,8 +112,8 @@
         )
         opener.open(listen, self._peers)
 
-    def _put_settings_in_force(self, configuration: Configuration) -> None:
-        """The settings to start with, and what follows the discovery service under them."""
+    def _apply_initial_settings(self, configuration: Configuration) -> None:
+        """Applies the initial settings and creates the client of the discovery service."""
         raw_settings = configuration.raw_settings
         for extension in self._extensions:
             raw_settings = extension.initial_settings(raw_settings)
@@ -121,12 +124,12 @@
             self.seed,
             raw_settings,
         )
-        self.service.join(self._extensions)
+        self.service.add_extensions(self._extensions)
         self.service.apply_settings(self.seed, raw_settings)
         self.discovery = self._make_discovery(configuration)
 
     def _make_discovery(self, configuration: Configuration) -> DiscoveryClient:
-        on_change: ListListener = self.service.listed
+        on_change: ListListener = self.service.apply_engine_list_change
         on_answer: DiscoveryAnswerListener | None = None
         for extension in self._extensions:
             on_change, on_answer = extension.wrap_discovery(on_change, on_answer)
@@ -154,13 +157,13 @@
         )
 
     def _has_spare_descriptor(self) -> bool:
-        used = self.clients.descriptor_count + self._engines.connections() + startup.OWN_DESCRIPTORS
+        used = self.clients.descriptor_count + self._engines.connections() + startup.RESERVED_DESCRIPTORS
         return used < self._shares.total
 
-    def _apply_known_list(self, configuration: Configuration) -> None:
-        error = self.discovery.apply(configuration.known_list)
+    def _apply_initial_list(self, configuration: Configuration) -> None:
+        error = self.discovery.apply(configuration.initial_list)
         if error is not None:
-            raise StartupError(f"the list known at the start: {error}")
+            raise StartupError(f"initial engine list in the configuration cannot be used: {error}")
 
     def _open_extensions(self) -> None:
         for extension in self._extensions:
@@ -169,12 +172,12 @@
             extension.start()
 
     def run(self) -> None:
-        """Serves until a signal ends the program. Raises StartupError where a port could not be opened."""
+        """Runs until a signal ends the process. Raises StartupError if retries to open a port failed."""
         self.discovery.follow()
         self._sweep()
         self.reactor.addSystemEventTrigger("before", "shutdown", self._shutdown.begin)
         log.info("serving")
-        self._garbage.take_over()
+        self._garbage.disable_automatic()
         for extension in self._extensions:
             extension.loop_starting()
         self.reactor.callWhenRunning(self._termination.handle_signals)
@@ -192,24 +195,24 @@
             raise StartupError(self._failure)
 
     def reload(self, path: str) -> None:
-        """Reads the configuration again, for SIGHUP."""
-        self._reload.read_again(path)
+        """Reloads the configuration file, as SIGHUP requests."""
+        self._reload.reload_file(path)
 
     def _fail(self, why: str) -> None:
         self._failure = why
         self._termination.request()
 
     def _sweep(self) -> None:
-        self.reactor.callLater(SWEEP_S, self._sweep)  # first: an error below must not be the last sweep
+        self.reactor.callLater(SWEEP_INTERVAL_S, self._sweep)  # first, so that sweeps go on after an error
         self.service.sweep()
         self.events.sweep()
-        late_s = self.reactor.latest()
-        if late_s > STALL_S:
-            log.warning("event loop stalled", ms=round(late_s * 1000))
+        delay_s = self.reactor.take_max_delay_s()
+        if delay_s > STALL_THRESHOLD_S:
+            log.warning("event loop stalled", ms=round(delay_s * 1000))
         busy = any(extension.busy for extension in self._extensions)
         self._garbage.sweep(self.service.queries.open_count, bool(self._extensions), busy)
 
-    # What extensions see: see `ExtensionHost`.
+    # The rest implements `ExtensionHost`.
 
     @property
     def settings(self) -> dict[str, Any]:
@@ -235,8 +238,8 @@
         self, service_class: str, statement: str, engine: int, memory: float, max_duration: int
     ) -> InternalQuery | None:
         """See `ExtensionHost.submit_internal`."""
-        self._internal_queries += 1
-        reference = f"{stable_hash(self.name, self._internal_queries):016x}"
+        self._internal_query_number += 1
+        reference = f"{stable_hash(self.name, self._internal_query_number):016x}"
         return self.service.submit_internal(reference, service_class, statement, engine, memory, max_duration)
 
     def apply_settings(self, settings: dict[str, Any]) -> str | None:
@@ -245,4 +248,4 @@
 
     def large_list_applied(self) -> None:
         """See `ExtensionHost.large_list_applied`."""
-        self._garbage.leave_out_present()
+        self._garbage.freeze_existing()
--- a/vanerelay/net/settings_reload.py
+++ b/vanerelay/net/settings_reload.py
@@ -1,4 +1,4 @@
-"""The change to other settings while the program serves: read again on SIGHUP, or ordered by an extension."""
+"""Changes of the settings while the process serves: a reload on SIGHUP, or a request of an extension."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class SettingsReload:
-    """Puts other settings in force, where nothing in them takes a restart.
+    """Replaces the current settings, unless a changed setting requires a restart.
 
     Attributes:
-        settings: The settings in force, as the JSON object that was read.
+        settings: The current settings, as the JSON object that was read.
     """
 
     def __init__(
@@ -31,43 +31,44 @@
         seed: int,
         raw_settings: RawSettings,
     ) -> None:
-        """`move_discovery`: polls another address from now on; raises ValueError where it is none."""
+        """`move_discovery` sets the address to poll from now on, and raises ValueError if it is not valid."""
         self._service = service
         self._move_discovery = move_discovery
         self._extensions = extensions
         self._seed = seed
         self.settings = raw_settings
 
-    def read_again(self, path: str) -> None:
-        """Follows a discovery service that has moved, and goes on under the settings of the file.
+    def reload_file(self, path: str) -> None:
+        """Reloads the configuration file: the address of the discovery service, and the settings.
 
-        A wrong configuration changes nothing; settings that take a restart stay as they are.
+        A configuration that is not valid changes nothing. If a changed setting requires a restart, all
+        settings stay as they are.
         """
         try:
             configuration = read_configuration(path)
             self._move_discovery(configuration.discovery_address)
         except (StartupError, ValueError) as error:
-            log.warning("configuration not read again", why=str(error))
+            log.warning("configuration reload failed, settings unchanged", why=str(error))
             return
         raw_settings = configuration.raw_settings
         try:
             for extension in self._extensions:
                 raw_settings = extension.reloaded_settings(raw_settings)
         except Exception as error:
-            log.warning("configuration not read again", why=_describe(error))
+            log.warning("configuration reload failed, settings unchanged", why=_describe(error))
             return
         why = self.apply(raw_settings)
         if why is not None:
             log.warning("settings stay until a restart", why=why)
 
     def apply(self, raw_settings: RawSettings) -> str | None:
-        """Goes on under other settings; the reason where it cannot."""
+        """Replaces the current settings. Returns None, or the reason why they cannot be replaced."""
         try:
-            return settings_validation.find_error(raw_settings) or self._switch(raw_settings)
+            return settings_validation.find_error(raw_settings) or self._replace(raw_settings)
         except (TypeError, ValueError, KeyError, AttributeError) as error:
             return _describe(error)
 
-    def _switch(self, raw_settings: RawSettings) -> str | None:
+    def _replace(self, raw_settings: RawSettings) -> str | None:
         if raw_settings == self.settings:
             return None
         why = settings_validation.find_restart_setting(self.settings, raw_settings)
@@ -77,11 +78,11 @@
             return why
         self._service.apply_settings(self._seed, raw_settings)
         self.settings = raw_settings
-        noted: dict[str, Any] = {}
+        log_fields: dict[str, Any] = {}
         for extension in self._extensions:
-            noted |= extension.settings_applied(raw_settings)
+            log_fields |= extension.settings_applied(raw_settings)
         names = [str(service_class["name"]) for service_class in raw_settings["classes"]]
-        log.info("settings switched", service_classes=names, **noted)
+        log.info("settings switched", service_classes=names, **log_fields)
         return None
 
 
--- a/vanerelay/net/shutdown.py
+++ b/vanerelay/net/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the program: the signals that begin it, and the graceful shutdown, in its order."""
+"""The end of a gateway process: the signals that request it, and the steps of a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -14,65 +14,67 @@
 from vanerelay.net.client_listener import ClientListener
 from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.engine_pool import EnginePool
-from vanerelay.net.extensions import guarded
+from vanerelay.net.extensions import call_extension
 from vanerelay.net.gateway_service import GatewayService
 
-CONNECTIONS_S, REQUESTS_S = 0.5, 0.7
-"""How long connections and queries are taken after SIGTERM.
+ACCEPT_CONNECTIONS_S, ACCEPT_QUERIES_S = 0.5, 0.7
+"""How long new connections and new queries are accepted after SIGTERM.
 
-New connections come for up to 0.4 s, and requests on open ones for 0.2 s more; the clients' protocol counts
-what comes within 0.7 s.
+Clients open new connections for up to 0.4 s, and send requests on open ones for 0.2 s more. The clients'
+protocol requires an answer to every request that arrives within 0.7 s.
 """
-ANSWERS_CHECK_S = 0.01
+ANSWERS_CHECK_INTERVAL_S = 0.01
 TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-PARENT_DEATH_SIGNAL = 1
-"""The option of prctl that sets the signal which comes when the parent dies."""
+PR_SET_PDEATHSIG = 1
+"""The option of prctl(2) that sets the signal sent to this process when its parent dies."""
 
 log = structlog.get_logger()
 
 
 class Termination:
-    """Ends the event loop once, however often a signal asks for it."""
+    """Stops the event loop once, however many signals request it."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         self._requested = False
 
     def request(self) -> None:
-        """Ends the event loop, which begins the graceful shutdown."""
+        """Stops the event loop, which begins the graceful shutdown."""
         if not self._requested:
             self._requested = True
             self._reactor.stop()
 
     def handle_signals(self) -> None:
-        """Takes the signals that end the program.
+        """Installs the handlers of the signals that end the process.
 
-        One may come again, also in the same pass, and Twisted takes a second stop for an error.
+        Several signals may arrive, even in one pass of the event loop, and Twisted raises an error if it is
+        stopped twice.
         """
-        for number in TERMINATION_SIGNALS:
-            signal.signal(number, lambda *_: self._reactor.callFromThread(self.request))
+        for signal_number in TERMINATION_SIGNALS:
+            signal.signal(signal_number, lambda *_: self._reactor.callFromThread(self.request))
 
     def end_with_parent(self) -> None:
-        """Ends the program when its parent dies.
+        """Ends this process when its parent dies.
 
-        The supervisor holds the socket that clients come by: without it no client would find this process.
+        The supervisor holds the listening socket for clients: without the supervisor no client would reach
+        this process.
         """
         import ctypes
 
         parent = os.getppid()
-        ctypes.CDLL(None, use_errno=True).prctl(PARENT_DEATH_SIGNAL, signal.SIGTERM, 0, 0, 0)
-        if os.getppid() != parent:  # it had died already
+        ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGTERM, 0, 0, 0)
+        if os.getppid() != parent:  # the parent died before prctl was called
             self._reactor.callWhenRunning(self.request)
 
 
 def ignore_signals() -> None:
-    """Ignores signals from now on: the interpreter takes its handlers down, but not this."""
-    for number in (signal.SIGHUP, *TERMINATION_SIGNALS):
-        signal.signal(number, signal.SIG_IGN)
+    """Ignores signals from now on. The interpreter removes its handlers when it exits, but keeps SIG_IGN."""
+    for signal_number in (signal.SIGHUP, *TERMINATION_SIGNALS):
+        signal.signal(signal_number, signal.SIG_IGN)
 
 
 class GracefulShutdown:
-    """Answers what was taken, and takes connections and queries for as long as the clients' protocol says."""
+    """Answers all accepted queries; accepts new ones for as long as the clients' protocol requires."""
 
     def __init__(
         self,
@@ -92,14 +94,14 @@
         self._done = Deferred[None]()
 
     def begin(self) -> Deferred[None]:
-        """Begins to drain. Fires once all is answered and the extensions have ended."""
+        """Begins to drain. The result fires once all queries are answered and the extensions have stopped."""
         log.info("draining", open=self._service.queries.open_count)
         self._service.draining = True
-        self._reactor.callLater(CONNECTIONS_S, self._refuse_connections)
-        self._reactor.callLater(REQUESTS_S, self._refuse_queries)
+        self._reactor.callLater(ACCEPT_CONNECTIONS_S, self._refuse_connections)
+        self._reactor.callLater(ACCEPT_QUERIES_S, self._refuse_queries)
         self._clients.each(lambda client: client.stop_requests())
         for extension in self._extensions:
-            guarded(extension.draining)
+            call_extension(extension.draining)
         return self._done
 
     def _refuse_connections(self) -> None:
@@ -117,11 +119,11 @@
 
     def _await_answers(self) -> None:
         if self._clients.descriptor_count:
-            self._reactor.callLater(ANSWERS_CHECK_S, self._await_answers)
+            self._reactor.callLater(ANSWERS_CHECK_INTERVAL_S, self._await_answers)
             return
         self._discovery.stop()
-        # An extension that depends on others ends before them.
-        stopped = [guarded(extension.stop) for extension in reversed(self._extensions)]
+        # In reverse order, as an extension may depend on earlier ones and has to stop before them.
+        stopped = [call_extension(extension.stop) for extension in reversed(self._extensions)]
         self._engines.close()
         pending = [deferred for deferred in stopped if deferred is not None]
         if pending:
