--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -216,7 +216,7 @@
             self._answers.note_rejection(client_query, "rejected by the decisions")
             fields = request_codec.retry_after_fields(retry_after)
             self._answers.answer(client_query, AnswerStatus.REJECTED, fields)
-        self.queries.settle(client_query)  # rejected from the admission queue: nothing further can arrive for it
+        self.queries.settle(client_query)  # it was in the admission queue: nothing further arrives for it
 
     def fail(self, query: int) -> None:
         """See `Transport.fail`."""
@@ -233,7 +233,7 @@
             self._reactor.callLater(0, running.give_up, EndCause.CANCELLED)
 
     def send_to_peers(self, peer: int | None, data: bytes) -> None:
-        """See `Transport.send_to_peers`. Sends nothing while draining: peers may treat this gateway as gone."""
+        """See `Transport.send_to_peers`. Sends nothing while draining, as peers may drop this gateway."""
         if self._peers is not None and not self.draining:
             self._peers.send(peer, data)
 
