--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, as Linux documents them: nothing taken is lost, nobody crashes."""
+"""Transient errors of system calls, as documented for Linux: no accepted query is lost, no process ends."""
 
 from __future__ import annotations
 
@@ -19,69 +19,69 @@
 from vanerelay.net.client_listener import ClientListener
 
 
-def test_a_start_goes_on_while_no_socket_can_be_had(started, tmp_path):
-    """The program ended with 2, for want of a socket in that moment."""
+def test_start_is_retried_while_sockets_cannot_be_created(started, tmp_path):
+    """Guards against an exit with code 2 after a transient error of socket(2)."""
     faults, log = Faults(tmp_path / "faults", socket=1.0), tmp_path / "log"
 
-    def mend():
+    def clear_fault():
         until(
             lambda: log.exists() and "opening a port failed, trying again" in log.read_text(), "the failure"
         )
         faults.set(socket=0.0)
 
-    mending = threading.Thread(target=mend, daemon=True)
-    mending.start()
-    node = started(member(started.engine(returns)), faults=faults)
-    mending.join()
-    client = joined(node)
+    clearing = threading.Thread(target=clear_fault, daemon=True)
+    clearing.start()
+    gateway = started(member(started.engine(returns)), faults=faults)
+    clearing.join()
+    client = joined(gateway)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0)
 
 
-@pytest.mark.parametrize("leaves", [cancels, closes])
-def test_a_client_that_left_is_noticed_though_reads_are_short(started, tmp_path, leaves):
-    """Its query was read in pieces, and began before the rest, which told that it had left."""
+@pytest.mark.parametrize("disconnect", [cancels, closes])
+def test_disconnect_is_noticed_before_an_attempt_when_reads_are_short(started, tmp_path, disconnect):
+    """The query was read in pieces, and an attempt began before the rest was read, with the disconnect."""
     faults, engine = Faults(tmp_path / "faults"), started.engine(returns)
-    node = started(member(engine), faults=faults)
-    client, other = joined(node), joined(node)
+    gateway = started(member(engine), faults=faults)
+    client, other = joined(gateway), joined(gateway)
     other.ask(1, "b1")
-    assert other.answer()[:2] == (1, 0)  # there is a connection to the engine, over which all goes at once
+    assert other.answer()[:2] == (1, 0)  # the engine connection is up now: attempts are sent at once
 
     def meanwhile():
         client.ask(1, "a1")
-        leaves(client)
+        disconnect(client)
         faults.set(short=1.0)
 
-    pause_process(node, meanwhile, 0.1)
+    pause_process(gateway, meanwhile, 0.1)
     settle(other)
     faults.set(short=0.0)
     other.ask(2, "b2")
     assert other.answer()[:2] == (2, 0) and engine.served() == ["b1", "b2"]
 
 
-@pytest.mark.parametrize("leaves", [cancels, closes])
-def test_a_client_that_left_before_it_could_be_accepted_gets_no_attempt(started, tmp_path, leaves):
-    """Its query was read long after it had come, and began before the rest was read."""
+@pytest.mark.parametrize("disconnect", [cancels, closes])
+def test_client_that_disconnects_before_it_is_accepted_gets_no_attempt(started, tmp_path, disconnect):
+    """The query was read long after it had arrived, and an attempt began before the rest was read."""
     faults, engine = Faults(tmp_path / "faults"), started.engine(returns)
-    node = started(member(engine), faults=faults)
-    other = joined(node)
+    gateway = started(member(engine), faults=faults)
+    other = joined(gateway)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0)
     faults.set(accept=1.0)
-    client = node.client()
+    client = gateway.client()
     client.ask(1, "a1")
     over = time.monotonic() + 0.2
     until(lambda: time.monotonic() > over, "some time")
-    leaves(client)
+    disconnect(client)
     settle(other)
     faults.set(accept=0.0)
-    joined(node)  # accepted after it, and heard
+    joined(gateway)  # accepted after the first client, whose input has therefore been read
     other.ask(2, "b2")
     assert other.answer()[:2] == (2, 0) and engine.served() == ["b1", "b2"]
 
 
-class Failing:
-    """A listening socket whose accept fails as told before it goes on."""
+class FailingListener:
+    """A listening socket whose accept fails with these errors, one per call; 0 stands for a success."""
 
     def __init__(self, listener, faults):
         self._listener, self._faults = listener, list(faults)
@@ -103,54 +103,55 @@
         (errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH, errno.ENETUNREACH),
     ],
 )
-def test_who_waits_when_the_port_closes_is_accepted_though_accept_fails(faults):
-    """The first failure ended the look, and the close reset all that still waited."""
-    served = Served()
-    clients = ClientListener(MemoryReactorClock(), served.clock, served.service, Pool(), 100, lambda: True)
+def test_waiting_clients_are_accepted_when_the_port_closes_although_accept_fails(faults):
+    """If the first error ended the loop, closing the port would reset all connections that still wait."""
+    harness = Served()
+    clients = ClientListener(MemoryReactorClock(), harness.clock, harness.service, Pool(), 100, lambda: True)
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
     waiting = [socket.create_connection((address.host, address.port)) for _ in range(5)]
-    port.socket = Failing(port.socket, faults)
+    port.socket = FailingListener(port.socket, faults)
     clients.stop_listening()
     assert clients.descriptor_count == len(waiting)
-    for one in waiting:
-        one.close()
+    for connection in waiting:
+        connection.close()
 
 
-def test_without_a_descriptor_a_client_waits_and_is_not_shut():
-    """Its request may have come already: shut unread it would be lost."""
-    served, reactor = Served(), MemoryReactorClock()
-    clients = ClientListener(reactor, served.clock, served.service, Pool(), 100, lambda: True)
+def test_client_waits_in_the_accept_queue_while_no_descriptor_is_free():
+    """Its request may have arrived already, and would be lost if the connection were closed unread."""
+    harness, reactor = Served(), MemoryReactorClock()
+    clients = ClientListener(reactor, harness.clock, harness.service, Pool(), 100, lambda: True)
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
     with socket.create_connection((address.host, address.port)):
-        served.look()
-        came, port.socket = served.clock.previous_poll_at, Failing(port.socket, [errno.EMFILE, errno.ENFILE])
+        harness.look()
+        polled_at, port.socket = (
+            harness.clock.previous_poll_at,
+            FailingListener(port.socket, [errno.EMFILE, errno.ENFILE]),
+        )
         port.doRead()
         assert clients.descriptor_count == 0 and port not in reactor.getReaders()
         while not clients.descriptor_count:
-            served.advance(0.2)
-            served.look()
+            harness.advance(0.2)
+            harness.look()
             reactor.advance(0.2)
         assert port in reactor.getReaders() and clients.descriptor_count == 1
         client = next(iter(clients.all()))
-        assert (
-            client.received_after() == came
-        )  # when its first request may have come: its time runs from then
+        assert client.received_after() == polled_at  # the earliest time at which its request may have arrived
     port.stopListening()
 
 
-def test_an_attempt_whose_answer_was_unreadable_ends_once():
-    """Its time-out came before the end of its connection, and met a fault."""
-    fleet = Fleet()
-    attempt = fleet.send("a", time_out=0.5)
-    wire = fleet.connect()
-    wire.leave()
-    fleet.say(b"what is this\r\n" * 3)
-    fleet.reactor.advance(1.0)
+def test_attempt_with_a_malformed_answer_ends_once():
+    """Its timeout before the end of its connection raised an exception."""
+    harness = Fleet()
+    attempt = harness.send("a", time_out=0.5)
+    transport = harness.connect()
+    transport.leave()
+    harness.say(b"what is this\r\n" * 3)
+    harness.reactor.advance(1.0)
     attempt.give_up(EndCause.CANCELLED)
-    assert fleet.ends == [] and wire.aborted
-    fleet.lose()
-    assert fleet.ends == [("a", EndCause.MALFORMED, AttemptStage.WRITTEN)]
+    assert harness.ends == [] and transport.aborted
+    harness.lose()
+    assert harness.ends == [("a", EndCause.MALFORMED, AttemptStage.WRITTEN)]
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,6 +1,6 @@
-"""Processes whose machine's wall clock is stepped: spans, deadlines, windows and graces are real time.
+"""Steps of the wall clock while a process runs: durations, deadlines and windows follow the monotonic clock.
 
-The shim steps the calendar clock of one real process; its monotonic clock runs on, as on any machine.
+The shim steps the wall clock of one real process; its monotonic clock is not affected, as on any machine.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from tests.helpers import SETTINGS, WAIT_TIMEOUT_S, FakeDiscoveryService, member, reset, until
 from tests.test_crossings import classes, flood, joined, returns, settle
 
-HOUR = 3600.0
-STEPS = [-HOUR, -5.0, 5.0, HOUR]
+HOUR_S = 3600.0
+STEPS_S = [-HOUR_S, -5.0, 5.0, HOUR_S]
 
 
 @pytest.fixture
@@ -24,44 +24,44 @@
     return Faults(tmp_path / "faults")
 
 
-def silent(engine, connection, ident):
+def never_reply(engine, connection, query_id):
     pass
 
 
-def test_a_drain_on_a_silent_watch_is_heard_though_the_clock_is_stepped_back(started, faults):
-    """Rule 3: the watch's time-out was a timer on the wall clock, and came an hour late."""
+def test_drain_is_received_after_a_hanging_poll_when_the_clock_is_stepped_back(started, faults):
+    """Rule 3. With a timeout on the wall clock, the hanging poll would be given up an hour late."""
     feed, one, two = FakeDiscoveryService(), started.engine(returns), started.engine(returns)
-    node = started(member(one, "s-1"), member(two, "s-2"), feed=feed, faults=faults)
+    gateway = started(member(one, "s-1"), member(two, "s-2"), feed=feed, faults=faults)
     feed.polls_to_hang = 1
     until(lambda: not feed.polls_to_hang, "a poll that hangs")
-    faults.step(-HOUR)
+    faults.step(-HOUR_S)
     feed.wait_for_poll(feed.publish(member(one, "s-1", "DRAINING")))
-    client = joined(node)
+    client = joined(gateway)
     for stream in range(1, 21):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 0)
     assert one.served() == [] and len(two.served()) == 20
 
 
-def test_lines_of_the_log_keep_their_order_though_the_clock_is_stepped(started, faults):
-    """In the incident they could not be put in order: their time is the wall clock's."""
-    node = started(member(started.engine(returns)), faults=faults)
-    for span in STEPS:
-        faults.step(span)
-        joined(node).send(b"\0\0\0\0")
-    node.process.send_signal(signal.SIGTERM)
-    assert node.process.wait(WAIT_TIMEOUT_S) == 0
-    lines = [json.loads(line) for line in node.log.read_text().splitlines()]
-    told = [line["up_s"] for line in lines]
-    assert len(told) >= 4 and told == sorted(told) and told[-1] < 2 * WAIT_TIMEOUT_S
+def test_log_lines_can_be_ordered_by_uptime_when_the_clock_is_stepped(started, faults):
+    """In an incident the lines could not be ordered, as their time is that of the wall clock."""
+    gateway = started(member(started.engine(returns)), faults=faults)
+    for step in STEPS_S:
+        faults.step(step)
+        joined(gateway).send(b"\0\0\0\0")
+    gateway.process.send_signal(signal.SIGTERM)
+    assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
+    lines = [json.loads(line) for line in gateway.log.read_text().splitlines()]
+    uptimes = [line["up_s"] for line in lines]
+    assert len(uptimes) >= 4 and uptimes == sorted(uptimes) and uptimes[-1] < 2 * WAIT_TIMEOUT_S
 
 
-def test_steps_forward_do_not_renew_the_retry_budget(started, faults):
-    """Rule 7: each step emptied the window that retries are counted in."""
+def test_retry_budget_is_not_renewed_by_steps_forward(started, faults):
+    """Rule 7. With the wall clock, each step would empty the window in which retries are counted."""
     engine = started.engine(lambda e, c, i: e.reply(c, i, "ERR"))
     safety = {**SETTINGS["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
-    node = started(member(engine), faults=faults, settings={"safety": safety})
-    client = joined(node)
+    gateway = started(member(engine), faults=faults, settings={"safety": safety})
+    client = joined(gateway)
     for stream in range(1, 13):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 1)
@@ -69,106 +69,111 @@
     assert 12 <= len(engine.served()) <= 12 + 2
 
 
-def test_a_deadline_comes_though_the_clock_is_stepped_back(started, faults):
-    """Rule 1: the timer of the deadline was one on the wall clock."""
-    engine = started.engine(silent)
+def test_deadline_passes_in_time_when_the_clock_is_stepped_back(started, faults):
+    """Rule 1. A deadline timer on the wall clock would fire late."""
+    engine = started.engine(never_reply)
     client = joined(started(member(engine), faults=faults))
     began = time.monotonic()
     client.ask(1, "a1", "load", allow="600")
     until(engine.served, "the attempt")
-    faults.step(-HOUR)
+    faults.step(-HOUR_S)
     assert client.answer()[:2] == (1, 2) and time.monotonic() - began < WAIT_TIMEOUT_S / 2
 
 
-@pytest.mark.parametrize("span", STEPS)
-def test_a_query_that_runs_is_not_ended_by_a_step(started, faults, span):
-    """Rule 1, and what an engine has done is not lost: a step forward ended all that was out."""
+@pytest.mark.parametrize("step", STEPS_S)
+def test_running_query_is_not_ended_by_a_step(started, faults, step):
+    """Rule 1. With the wall clock, a step forward would end all running attempts and lose their results."""
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
-    node = started(member(engine), faults=faults)
-    client, other = joined(node), joined(node)
+    gateway = started(member(engine), faults=faults)
+    client, other = joined(gateway), joined(gateway)
     client.ask(1, "a1", "load")
     until(lambda: held, "the attempt")
-    faults.step(span)
+    faults.step(step)
     settle(other)
     engine.return_result(*held[0])
     assert client.answer()[:2] == (1, 0) and engine.served() == ["a1"]
 
 
-def test_the_window_for_repeats_runs_on_though_the_clock_is_stepped_back(started, faults):
-    """Rule 2: the clock stood still for the time that it was stepped back, and the window with it."""
-    first, second = started.engine(silent), started.engine(returns)
+def test_retry_window_of_idempotency_keys_ends_when_the_clock_is_stepped_back(started, faults):
+    """Rule 2. A clock that stands still for the time of the step would extend the window by it."""
+    first, second = started.engine(never_reply), started.engine(returns)
     settings = classes(semantics="token", dedupScope="all", windowUs=600_000)
-    node = started(member(first, "s-1"), settings=settings, faults=faults)
-    client = joined(node)
+    gateway = started(member(first, "s-1"), settings=settings, faults=faults)
+    client = joined(gateway)
     client.ask(1, "a1")
     until(first.served, "the attempt")
-    faults.step(-HOUR)
+    faults.step(-HOUR_S)
     over = time.monotonic() + 0.7
     until(lambda: time.monotonic() > over, "the end of the window")
-    node.feed.wait_for_poll(node.feed.publish(member(first, "s-1", "DRAINING"), member(second, "s-2")))
+    gateway.feed.wait_for_poll(gateway.feed.publish(member(first, "s-1", "DRAINING"), member(second, "s-2")))
     reset(first.connections[0])
     assert client.answer()[:2] == (1, 1) and second.served() == []
 
 
-@pytest.mark.parametrize("span", STEPS)
-def test_a_process_that_is_terminated_ends_though_its_clock_is_stepped(started, faults, span):
-    node = started(member(started.engine(returns)), faults=faults)
-    client = joined(node)
-    node.process.send_signal(signal.SIGTERM)
+@pytest.mark.parametrize("step", STEPS_S)
+def test_terminated_process_ends_in_time_when_the_clock_is_stepped(started, faults, step):
+    gateway = started(member(started.engine(returns)), faults=faults)
+    client = joined(gateway)
+    gateway.process.send_signal(signal.SIGTERM)
     assert client.read() == (64, 0, b"")
-    faults.step(span)
-    assert node.process.wait(WAIT_TIMEOUT_S / 2) == 0
+    faults.step(step)
+    assert gateway.process.wait(WAIT_TIMEOUT_S / 2) == 0
 
 
-@pytest.mark.parametrize("span", STEPS)
-@pytest.mark.parametrize("early", [True, False])
-def test_a_cold_engine_is_cold_whatever_the_wall_clock_says(started, faults, span, early):
-    """Rule 4: its start is told as a moment of the calendar. `early`: stepped before the process starts."""
+@pytest.mark.parametrize("step", STEPS_S)
+@pytest.mark.parametrize("before_start", [True, False])
+def test_new_engine_counts_as_cold_when_the_clock_is_stepped(started, faults, step, before_start):
+    """Rule 4. The start of an engine is given as wall clock time.
 
-    def completes(engine, connection, ident):
-        engine.reply(connection, ident, "OK", "total=1,elapsed=1200,rss=40", b"a\tb\tc\n")
+    `before_start`: the clock is stepped before the process starts.
+    """
+
+    def complete(engine, connection, query_id):
+        engine.reply(connection, query_id, "OK", "total=1,elapsed=1200,rss=40", b"a\tb\tc\n")
 
     cold = {"coldFrom": 0.3, "coldUs": 600_000_000, "fallMultiple": 2, "overloadForUs": 20_000_000}
-    former, fresh = started.engine(completes), started.engine(completes)
-    if early:
-        faults.step(span)
-    node = started(member(former, "s-1"), settings={"safety": cold}, faults=faults)
-    if not early:
-        faults.step(span)
-    joined(node)
+    former, fresh = started.engine(complete), started.engine(complete)
+    if before_start:
+        faults.step(step)
+    gateway = started(member(former, "s-1"), settings={"safety": cold}, faults=faults)
+    if not before_start:
+        faults.step(step)
+    joined(gateway)
     row = member(fresh, "s-2", started=int(time.time() * 1000))
-    node.feed.wait_for_poll(node.feed.publish(member(former, "s-1", "DELETED"), row))
-    flood(node, "a")
+    gateway.feed.wait_for_poll(gateway.feed.publish(member(former, "s-1", "DELETED"), row))
+    flood(gateway, "a")
     allowed = 2 * 0.3 * 16 * 20 / 1.2
     assert 0 < len(fresh.served()) <= allowed + 2 * allowed**0.5 + 2
 
 
-@pytest.mark.parametrize("span", STEPS)
-def test_an_engine_listed_again_after_a_step_is_the_same_process(started, faults, span):
-    """Else all that is out on it is lost, and it counts as cold again."""
+@pytest.mark.parametrize("step", STEPS_S)
+def test_engine_listed_again_after_a_step_counts_as_the_same_process(started, faults, step):
+    """Otherwise its running attempts are lost, and it counts as cold again."""
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
     row = member(engine, started=int(time.time() * 1000))
-    node = started(row, faults=faults)
-    client = joined(node)
+    gateway = started(row, faults=faults)
+    client = joined(gateway)
     client.ask(1, "a1", "load")
     until(lambda: held, "the attempt")
-    faults.step(span)
-    node.feed.wait_for_poll(node.feed.publish(row))
+    faults.step(step)
+    gateway.feed.wait_for_poll(gateway.feed.publish(row))
     engine.return_result(*held[0])
     assert client.answer()[:2] == (1, 0) and engine.served() == ["a1"]
 
 
-@pytest.mark.parametrize("span", STEPS)
-def test_resting_connections_are_let_go_of_by_real_time(started, faults, span):
-    """A step forward ended each as long idle; after one back none was, and engines closed them first."""
+@pytest.mark.parametrize("step", STEPS_S)
+def test_idle_connections_are_closed_after_real_time_when_the_clock_is_stepped(started, faults, step):
+    """With the wall clock, a step forward would close all idle connections at once, and a step back would
+    keep them open until the engines close them.
+    """
     engine = started.engine(returns)
-    node = started(member(engine), faults=faults, limits={"connIdleUs": 1_600_000})
-    client = joined(node)
+    gateway = started(member(engine), faults=faults, limits={"connIdleUs": 1_600_000})
+    client = joined(gateway)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0)
-    faults.step(span)
+    faults.step(step)
     client.ask(2, "a2")
     assert client.answer()[:2] == (2, 0) and len(engine.connections) == 1
-    until(lambda: engine.connections[0].fileno() < 0, "the end of the resting connection")
+    until(lambda: engine.connections[0].fileno() < 0, "the end of the idle connection")
