--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -158,10 +158,8 @@
     first = [harness.submit(order_key=key, memory=10.0, cost=10) for key in (8, 9)]
     harness.engine(0).slow_start.record_sent(harness.now, 10**9)
     old, second = replace_gateway(harness, ordered=True), [harness.submit(order_key=8, memory=10.0)]
-    for gateway, known in (
-        (old, [0]),
-        (harness.gateway, [0, 1]),
-    ):  # the old gateway sends nothing to new engines
+    # The old gateway sends nothing to new engines.
+    for gateway, known in ((old, [0]), (harness.gateway, [0, 1])):
         gateway.update_engines([entry(1)], False)
         assert sorted(gateway._engines._engines) == known and not gateway._engines.get(0).slow_start.allows(
             harness.now, 1
