--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -89,7 +89,7 @@
     assert engine.health.level == pytest.approx(level, abs=0.01)
     engine.health.level = 0.0
     engine.health.run_observed(1.0, 1.0)
-    assert engine.health.pace == 0.0  # a run on an ejected engine replaces all earlier ones
+    assert engine.health.mean_log_slowdown == 0.0  # a run on an ejected engine replaces all earlier ones
 
 
 @pytest.mark.parametrize(("is_load", "used", "threshold"), [(False, 1, 150), (True, 4, 30)])
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,7 +15,7 @@
 from tests.helpers import FakeDiscoveryService, member, pause_process, ref, reset, start_program, until
 
 
-def complete(engine, connection, query_id):
+def send_result(engine, connection, query_id):
     engine.return_result(connection, query_id)
 
 
@@ -100,7 +100,7 @@
 def test_non_idempotent_query_is_retried_when_the_engine_refuses_the_connection(started):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         closed_port = listener.getsockname()[1]
-    engine = started.engine(complete)
+    engine = started.engine(send_result)
     client = started(member(closed_port, "s-0"), member(engine, "s-1")).client()
     for stream in range(1, 9):
         client.ask(stream, f"a{stream}", "load")
@@ -109,7 +109,7 @@
 
 
 def test_draining_engine_gets_no_queries(started):
-    one, two = started.engine(complete), started.engine(complete)
+    one, two = started.engine(send_result), started.engine(send_result)
     gateway = started(member(one, "s-1"), member(two, "s-2"))
     gateway.feed.wait_for_poll(gateway.feed.publish(member(one, "s-1", "DRAINING")))
     client = gateway.client()
@@ -130,7 +130,7 @@
     ],
 )
 def test_discovery_service_is_polled_again_and_the_list_kept_after_a_malformed_answer(started, raw_answer):
-    feed, one, two = FakeDiscoveryService(), started.engine(complete), started.engine(complete)
+    feed, one, two = FakeDiscoveryService(), started.engine(send_result), started.engine(send_result)
     feed.raw_answers.extend([raw_answer, raw_answer])
     gateway = started(member(one, "s-1"), feed=feed)
     client = gateway.client()
@@ -142,7 +142,7 @@
 
 
 def test_discovery_service_is_polled_again_when_a_poll_hangs(started):
-    feed, one, two = FakeDiscoveryService(), started.engine(complete), started.engine(complete)
+    feed, one, two = FakeDiscoveryService(), started.engine(send_result), started.engine(send_result)
     feed.polls_to_hang = 1
     gateway = started(member(one, "s-1"), feed=feed)
     until(lambda: feed.polls_to_hang == 0, "the poll that hangs")
@@ -159,7 +159,7 @@
     accepted before the reload are answered once, later ones follow the new settings.
     """
     held, old, new = [], FakeDiscoveryService(), FakeDiscoveryService()
-    one, two = started.engine(lambda e, c, i: held.append((c, i))), started.engine(complete)
+    one, two = started.engine(lambda e, c, i: held.append((c, i))), started.engine(send_result)
     old.polls_to_hang = 1
     gateway = started(member(one, "s-1"), feed=old)
     until(lambda: old.polls_to_hang == 0, "the poll that hangs")
@@ -205,7 +205,7 @@
     client = gateway.client()
     client.ask(1, "a1", "load")
     until(old.served, "the attempt")
-    old.script = complete
+    old.script = send_result
     gateway.feed.wait_for_poll(gateway.feed.publish(member(old, started=1_700_000_000_000)))
     assert client.answer()[:2] == (1, 2)
     client.ask(2, "a2")
@@ -213,7 +213,7 @@
 
 
 def test_new_engine_at_the_address_of_a_deleted_one_gets_a_new_connection(started):
-    one = started.engine(complete)
+    one = started.engine(send_result)
     gateway = started(member(one, "s-1"))
     client = gateway.client()
     client.ask(1, "a1")
@@ -347,7 +347,7 @@
 
 
 def test_connection_is_ended_after_32_unusable_requests_in_a_row(started):
-    client = started(member(started.engine(complete))).client()
+    client = started(member(started.engine(send_result))).client()
     for stream in range(1, 33):
         client.ask(stream, "a1", "none")
     assert [client.answer()[:2] for _ in range(32)] == [(stream, 2) for stream in range(1, 33)]
@@ -368,7 +368,7 @@
 
 
 def test_longest_idle_connection_is_closed_when_clients_use_all_their_descriptors(started):
-    engine = started.engine(complete)
+    engine = started.engine(send_result)
     gateway = started(member(engine), sockets=48)  # clients hold 16 at most
     idle = [gateway.client() for _ in range(16)]
     idle[0].ask(1, "a1")
@@ -411,7 +411,7 @@
     for connection, query_id in held:
         engine.return_result(connection, query_id)
     assert client.answer()[:2] == (1, 0) and late_client.answer()[:2] == (1, 0)
-    for other in (idle, partial):  # connections without a complete request do not delay the end
+    for other in (idle, partial):  # connections without a send_result request do not delay the end
         assert other.read() == (64, 0, b"")
         assert other.read() in ((4, 0, b"\2\0"), None)
     assert gateway.process.wait(30) == 0
@@ -430,7 +430,7 @@
 
 
 def test_query_whose_deadline_passed_while_suspended_is_answered_without_an_attempt(started):
-    engine = started.engine(complete)
+    engine = started.engine(send_result)
     gateway = started(member(engine))
     client = gateway.client()
     client.ask(1, "a1")
@@ -440,7 +440,7 @@
 
 
 def test_killed_process_can_be_restarted_on_its_address(started, tmp_path):
-    engine = started.engine(complete)
+    engine = started.engine(send_result)
     gateway = started(member(engine))
     client = gateway.client()
     client.ask(1, "a1")
@@ -452,7 +452,7 @@
 
 
 def test_process_listens_only_on_its_configured_address(started):
-    gateway = started(member(started.engine(complete)))
+    gateway = started(member(started.engine(send_result)))
     with open(f"/proc/{gateway.process.pid}/net/tcp") as file:
         rows = [line.split() for line in file][1:]
     inodes = set()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,10 +12,10 @@
 
 from tests.faults import Faults
 from tests.helpers import member, pause_process, until
-from tests.test_crossings import cancels, closes, joined, returns, settle
-from tests.test_drivers import Fleet, Served
+from tests.test_crossings import cancel_query, close_connection, connect_client, send_result, wait_until_read
+from tests.test_drivers import EngineHarness, ServiceHarness
 from vanerelay.attempt_outcome import AttemptStage, EndCause
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.client_listener import ClientListener
 
 
@@ -31,19 +31,19 @@
 
     clearing = threading.Thread(target=clear_fault, daemon=True)
     clearing.start()
-    gateway = started(member(started.engine(returns)), faults=faults)
+    gateway = started(member(started.engine(send_result)), faults=faults)
     clearing.join()
-    client = joined(gateway)
+    client = connect_client(gateway)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0)
 
 
-@pytest.mark.parametrize("disconnect", [cancels, closes])
+@pytest.mark.parametrize("disconnect", [cancel_query, close_connection])
 def test_disconnect_is_noticed_before_an_attempt_when_reads_are_short(started, tmp_path, disconnect):
     """The query was read in pieces, and an attempt began before the rest was read, with the disconnect."""
-    faults, engine = Faults(tmp_path / "faults"), started.engine(returns)
+    faults, engine = Faults(tmp_path / "faults"), started.engine(send_result)
     gateway = started(member(engine), faults=faults)
-    client, other = joined(gateway), joined(gateway)
+    client, other = connect_client(gateway), connect_client(gateway)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0)  # the engine connection is up now: attempts are sent at once
 
@@ -53,18 +53,18 @@
         faults.set(short=1.0)
 
     pause_process(gateway, meanwhile, 0.1)
-    settle(other)
+    wait_until_read(other)
     faults.set(short=0.0)
     other.ask(2, "b2")
     assert other.answer()[:2] == (2, 0) and engine.served() == ["b1", "b2"]
 
 
-@pytest.mark.parametrize("disconnect", [cancels, closes])
+@pytest.mark.parametrize("disconnect", [cancel_query, close_connection])
 def test_client_that_disconnects_before_it_is_accepted_gets_no_attempt(started, tmp_path, disconnect):
     """The query was read long after it had arrived, and an attempt began before the rest was read."""
-    faults, engine = Faults(tmp_path / "faults"), started.engine(returns)
+    faults, engine = Faults(tmp_path / "faults"), started.engine(send_result)
     gateway = started(member(engine), faults=faults)
-    other = joined(gateway)
+    other = connect_client(gateway)
     other.ask(1, "b1")
     assert other.answer()[:2] == (1, 0)
     faults.set(accept=1.0)
@@ -73,9 +73,9 @@
     over = time.monotonic() + 0.2
     until(lambda: time.monotonic() > over, "some time")
     disconnect(client)
-    settle(other)
+    wait_until_read(other)
     faults.set(accept=0.0)
-    joined(gateway)  # accepted after the first client, whose input has therefore been read
+    connect_client(gateway)  # accepted after the first client, whose input has therefore been read
     other.ask(2, "b2")
     assert other.answer()[:2] == (2, 0) and engine.served() == ["b1", "b2"]
 
@@ -105,8 +105,10 @@
 )
 def test_waiting_clients_are_accepted_when_the_port_closes_although_accept_fails(faults):
     """If the first error ended the loop, closing the port would reset all connections that still wait."""
-    harness = Served()
-    clients = ClientListener(MemoryReactorClock(), harness.clock, harness.service, Pool(), 100, lambda: True)
+    harness = ServiceHarness()
+    clients = ClientListener(
+        MemoryReactorClock(), harness.clock, harness.service, BufferPool(), 100, lambda: True
+    )
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
@@ -120,13 +122,13 @@
 
 def test_client_waits_in_the_accept_queue_while_no_descriptor_is_free():
     """Its request may have arrived already, and would be lost if the connection were closed unread."""
-    harness, reactor = Served(), MemoryReactorClock()
-    clients = ClientListener(reactor, harness.clock, harness.service, Pool(), 100, lambda: True)
+    harness, reactor = ServiceHarness(), MemoryReactorClock()
+    clients = ClientListener(reactor, harness.clock, harness.service, BufferPool(), 100, lambda: True)
     clients.listen("127.0.0.1", 0)
     port = clients._port
     address = port.getHost()
     with socket.create_connection((address.host, address.port)):
-        harness.look()
+        harness.next_pass()
         polled_at, port.socket = (
             harness.clock.previous_poll_at,
             FailingListener(port.socket, [errno.EMFILE, errno.ENFILE]),
@@ -135,23 +137,23 @@
         assert clients.descriptor_count == 0 and port not in reactor.getReaders()
         while not clients.descriptor_count:
             harness.advance(0.2)
-            harness.look()
+            harness.next_pass()
             reactor.advance(0.2)
         assert port in reactor.getReaders() and clients.descriptor_count == 1
-        client = next(iter(clients.all()))
+        client = next(iter(clients.connections()))
         assert client.received_after() == polled_at  # the earliest time at which its request may have arrived
     port.stopListening()
 
 
 def test_attempt_with_a_malformed_answer_ends_once():
     """Its timeout before the end of its connection raised an exception."""
-    harness = Fleet()
+    harness = EngineHarness()
     attempt = harness.send("a", time_out=0.5)
     transport = harness.connect()
-    transport.leave()
-    harness.say(b"what is this\r\n" * 3)
+    transport.flush()
+    harness.receive(b"what is this\r\n" * 3)
     harness.reactor.advance(1.0)
     attempt.give_up(EndCause.CANCELLED)
     assert harness.ends == [] and transport.aborted
-    harness.lose()
+    harness.lose_connection()
     assert harness.ends == [("a", EndCause.MALFORMED, AttemptStage.WRITTEN)]
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,7 +13,7 @@
 
 from tests.faults import Faults
 from tests.helpers import SETTINGS, WAIT_TIMEOUT_S, FakeDiscoveryService, member, reset, until
-from tests.test_crossings import classes, flood, joined, returns, settle
+from tests.test_crossings import connect_client, flood, send_result, settings_with_class, wait_until_read
 
 HOUR_S = 3600.0
 STEPS_S = [-HOUR_S, -5.0, 5.0, HOUR_S]
@@ -30,13 +30,13 @@
 
 def test_drain_is_received_after_a_hanging_poll_when_the_clock_is_stepped_back(started, faults):
     """Rule 3. With a timeout on the wall clock, the hanging poll would be given up an hour late."""
-    feed, one, two = FakeDiscoveryService(), started.engine(returns), started.engine(returns)
+    feed, one, two = FakeDiscoveryService(), started.engine(send_result), started.engine(send_result)
     gateway = started(member(one, "s-1"), member(two, "s-2"), feed=feed, faults=faults)
     feed.polls_to_hang = 1
     until(lambda: not feed.polls_to_hang, "a poll that hangs")
     faults.step(-HOUR_S)
     feed.wait_for_poll(feed.publish(member(one, "s-1", "DRAINING")))
-    client = joined(gateway)
+    client = connect_client(gateway)
     for stream in range(1, 21):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 0)
@@ -45,10 +45,10 @@
 
 def test_log_lines_can_be_ordered_by_uptime_when_the_clock_is_stepped(started, faults):
     """In an incident the lines could not be ordered, as their time is that of the wall clock."""
-    gateway = started(member(started.engine(returns)), faults=faults)
+    gateway = started(member(started.engine(send_result)), faults=faults)
     for step in STEPS_S:
         faults.step(step)
-        joined(gateway).send(b"\0\0\0\0")
+        connect_client(gateway).send(b"\0\0\0\0")
     gateway.process.send_signal(signal.SIGTERM)
     assert gateway.process.wait(WAIT_TIMEOUT_S) == 0
     lines = [json.loads(line) for line in gateway.log.read_text().splitlines()]
@@ -61,7 +61,7 @@
     engine = started.engine(lambda e, c, i: e.reply(c, i, "ERR"))
     safety = {**SETTINGS["safety"], "ratioSpanUs": 60_000_000, "minExtra": 2, "extraRatio": 0.0}
     gateway = started(member(engine), faults=faults, settings={"safety": safety})
-    client = joined(gateway)
+    client = connect_client(gateway)
     for stream in range(1, 13):
         client.ask(stream, f"a{stream}")
         assert client.answer()[:2] == (stream, 1)
@@ -72,7 +72,7 @@
 def test_deadline_passes_in_time_when_the_clock_is_stepped_back(started, faults):
     """Rule 1. A deadline timer on the wall clock would fire late."""
     engine = started.engine(never_reply)
-    client = joined(started(member(engine), faults=faults))
+    client = connect_client(started(member(engine), faults=faults))
     began = time.monotonic()
     client.ask(1, "a1", "load", allow="600")
     until(engine.served, "the attempt")
@@ -86,21 +86,21 @@
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
     gateway = started(member(engine), faults=faults)
-    client, other = joined(gateway), joined(gateway)
+    client, other = connect_client(gateway), connect_client(gateway)
     client.ask(1, "a1", "load")
     until(lambda: held, "the attempt")
     faults.step(step)
-    settle(other)
+    wait_until_read(other)
     engine.return_result(*held[0])
     assert client.answer()[:2] == (1, 0) and engine.served() == ["a1"]
 
 
 def test_retry_window_of_idempotency_keys_ends_when_the_clock_is_stepped_back(started, faults):
     """Rule 2. A clock that stands still for the time of the step would extend the window by it."""
-    first, second = started.engine(never_reply), started.engine(returns)
-    settings = classes(semantics="token", dedupScope="all", windowUs=600_000)
+    first, second = started.engine(never_reply), started.engine(send_result)
+    settings = settings_with_class(semantics="token", dedupScope="all", windowUs=600_000)
     gateway = started(member(first, "s-1"), settings=settings, faults=faults)
-    client = joined(gateway)
+    client = connect_client(gateway)
     client.ask(1, "a1")
     until(first.served, "the attempt")
     faults.step(-HOUR_S)
@@ -113,8 +113,8 @@
 
 @pytest.mark.parametrize("step", STEPS_S)
 def test_terminated_process_ends_in_time_when_the_clock_is_stepped(started, faults, step):
-    gateway = started(member(started.engine(returns)), faults=faults)
-    client = joined(gateway)
+    gateway = started(member(started.engine(send_result)), faults=faults)
+    client = connect_client(gateway)
     gateway.process.send_signal(signal.SIGTERM)
     assert client.read() == (64, 0, b"")
     faults.step(step)
@@ -129,17 +129,17 @@
     `before_start`: the clock is stepped before the process starts.
     """
 
-    def complete(engine, connection, query_id):
+    def send_result_of_1200_ms(engine, connection, query_id):
         engine.reply(connection, query_id, "OK", "total=1,elapsed=1200,rss=40", b"a\tb\tc\n")
 
     cold = {"coldFrom": 0.3, "coldUs": 600_000_000, "fallMultiple": 2, "overloadForUs": 20_000_000}
-    former, fresh = started.engine(complete), started.engine(complete)
+    former, fresh = started.engine(send_result_of_1200_ms), started.engine(send_result_of_1200_ms)
     if before_start:
         faults.step(step)
     gateway = started(member(former, "s-1"), settings={"safety": cold}, faults=faults)
     if not before_start:
         faults.step(step)
-    joined(gateway)
+    connect_client(gateway)
     row = member(fresh, "s-2", started=int(time.time() * 1000))
     gateway.feed.wait_for_poll(gateway.feed.publish(member(former, "s-1", "DELETED"), row))
     flood(gateway, "a")
@@ -154,7 +154,7 @@
     engine = started.engine(lambda e, c, i: held.append((c, i)))
     row = member(engine, started=int(time.time() * 1000))
     gateway = started(row, faults=faults)
-    client = joined(gateway)
+    client = connect_client(gateway)
     client.ask(1, "a1", "load")
     until(lambda: held, "the attempt")
     faults.step(step)
@@ -168,9 +168,9 @@
     """With the wall clock, a step forward would close all idle connections at once, and a step back would
     keep them open until the engines close them.
     """
-    engine = started.engine(returns)
+    engine = started.engine(send_result)
     gateway = started(member(engine), faults=faults, limits={"connIdleUs": 1_600_000})
-    client = joined(gateway)
+    client = connect_client(gateway)
     client.ask(1, "a1")
     assert client.answer()[:2] == (1, 0)
     faults.step(step)
--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -200,35 +200,37 @@
 
     def send_attempt(self, query: int, engine: int, timeout: int) -> None:
         """See `Transport.send_attempt`."""
-        self._sender.send(self.queries.at(query), engine, timeout)
+        self._sender.send(self.queries.by_index(query), engine, timeout)
 
     def grant_memory(self, query: int, memory: float, priority: int) -> None:
         """See `Transport.grant_memory`. Values that the engines do not support are not sent."""
-        client_query = self.queries.at(query)
+        client_query = self.queries.by_index(query)
         allowed = self.settings.current
         client_query.memory_grant = round(memory) if allowed.sends_memory_grants else 0
         client_query.priority = priority if allowed.sends_priorities else 0
 
     def reject(self, query: int, retry_after: int) -> None:
         """See `Transport.reject`."""
-        client_query = self.queries.at(query)
+        client_query = self.queries.by_index(query)
         if not client_query.ended:
             self._answers.note_rejection(client_query, "rejected by the decisions")
             fields = request_codec.retry_after_fields(retry_after)
             self._answers.answer(client_query, AnswerStatus.REJECTED, fields)
-        self.queries.settle(client_query)  # it was in the admission queue: nothing further arrives for it
+        self.queries.discard_if_done(
+            client_query
+        )  # it was in the admission queue: nothing further arrives for it
 
     def fail(self, query: int) -> None:
         """See `Transport.fail`."""
-        client_query = self.queries.at(query)
+        client_query = self.queries.by_index(query)
         if not client_query.ended:
             self._answers.note_rejection(client_query, "failed by the decisions")
             self._answers.answer(client_query, AnswerStatus.FAILED)
-        self.queries.settle(client_query)
+        self.queries.discard_if_done(client_query)
 
     def cancel_attempt(self, query: int, attempt: int) -> None:
         """See `Transport.cancel_attempt`."""
-        running = self.queries.at(query).attempts[attempt]
+        running = self.queries.by_index(query).attempts[attempt]
         if running is not None:
             self._reactor.callLater(0, running.give_up, EndCause.CANCELLED)
 
--- a/vanerelay/net/server.py
+++ b/vanerelay/net/server.py
@@ -14,7 +14,7 @@
 from vanerelay.estimation import stable_hash
 from vanerelay.extension import DiscoveryAnswerListener, Extension, ExtensionHost, ListListener, StartupError
 from vanerelay.net import startup
-from vanerelay.net.buffers import Pool
+from vanerelay.net.buffers import BufferPool
 from vanerelay.net.client_listener import ClientListener
 from vanerelay.net.discovery_client import DiscoveryClient
 from vanerelay.net.events import EventLog
@@ -71,7 +71,7 @@
         self.supervised = self._sockets.listen_fd is not None
         self._internal_query_number = int(clock.now())  # makes each reference unique
         self._failure: str | None = None  # an error found while running that ends the process
-        self._pool = Pool()
+        self._pool = BufferPool()
         self.events = EventLog(reactor)
         self._shares = DescriptorShares.divide(configuration.descriptors)
         self._make_service(configuration)
@@ -119,7 +119,7 @@
             raw_settings = extension.initial_settings(raw_settings)
         self._reload = SettingsReload(
             self.service,
-            lambda address: self.discovery.move(address),
+            lambda address: self.discovery.change_address(address),
             self._extensions,
             self.seed,
             raw_settings,
@@ -157,7 +157,7 @@
         )
 
     def _has_spare_descriptor(self) -> bool:
-        used = self.clients.descriptor_count + self._engines.connections() + startup.RESERVED_DESCRIPTORS
+        used = self.clients.descriptor_count + self._engines.connection_count() + startup.RESERVED_DESCRIPTORS
         return used < self._shares.total
 
     def _apply_initial_list(self, configuration: Configuration) -> None:
@@ -173,7 +173,7 @@
 
     def run(self) -> None:
         """Runs until a signal ends the process. Raises StartupError if retries to open a port failed."""
-        self.discovery.follow()
+        self.discovery.start()
         self._sweep()
         self.reactor.addSystemEventTrigger("before", "shutdown", self._shutdown.begin)
         log.info("serving")
--- a/vanerelay/net/shutdown.py
+++ b/vanerelay/net/shutdown.py
@@ -99,7 +99,7 @@
         self._service.draining = True
         self._reactor.callLater(ACCEPT_CONNECTIONS_S, self._refuse_connections)
         self._reactor.callLater(ACCEPT_QUERIES_S, self._refuse_queries)
-        self._clients.each(lambda client: client.stop_requests())
+        self._clients.for_each(lambda client: client.send_go_away())
         for extension in self._extensions:
             call_extension(extension.draining)
         return self._done
@@ -107,12 +107,12 @@
     def _refuse_connections(self) -> None:
         self._log_step("no new connections from now on")
         self._clients.stop_listening()
-        self._clients.each(lambda client: client.stop_requests())
+        self._clients.for_each(lambda client: client.send_go_away())
 
     def _refuse_queries(self) -> None:
         self._log_step("no new queries from now on")
         self._reactor.callLater(0, self._await_answers)
-        self._clients.each(lambda client: client.end_when_answered())
+        self._clients.for_each(lambda client: client.end_when_answered())
 
     def _log_step(self, event: str) -> None:
         log.info(event, clients=self._clients.descriptor_count, open=self._service.queries.open_count)
