--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -129,11 +129,11 @@
     `before_start`: the clock is stepped before the process starts.
     """
 
-    def send_result_of_1200_ms(engine, connection, query_id):
+    def send_slow_result(engine, connection, query_id):
         engine.reply(connection, query_id, "OK", "total=1,elapsed=1200,rss=40", b"a\tb\tc\n")
 
     cold = {"coldFrom": 0.3, "coldUs": 600_000_000, "fallMultiple": 2, "overloadForUs": 20_000_000}
-    former, fresh = started.engine(send_result_of_1200_ms), started.engine(send_result_of_1200_ms)
+    former, fresh = started.engine(send_slow_result), started.engine(send_slow_result)
     if before_start:
         faults.step(step)
     gateway = started(member(former, "s-1"), settings={"safety": cold}, faults=faults)
