--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -572,7 +572,7 @@
         member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
         harness.service.apply_engine_list_change(EngineListChange(1, True, [member]))
         harness.send_query(1, service="load")
-        monkeypatch.setattr(gateway._feedback, "engine_responded", fail)
+        monkeypatch.setattr(gateway._report_dispatcher, "engine_responded", fail)
         protocol, transport = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
         protocol.makeConnection(transport)
         protocol.dataReceived(command(b"%016x" % 1, b"ERR", b"-", b""))
