--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -1,4 +1,4 @@
-"""Reads a rolling change as operators write it (HCL): the plan, and all that a controller needs beside it."""
+"""Reads the plan of a rolling change from an operator's HCL file, with all that a controller needs for it."""
 
 from __future__ import annotations
 
@@ -24,15 +24,22 @@
 
 T = TypeVar("T")
 
-DEFAULT_MAX_AWAY = 60 * SECOND
+DEFAULT_MAX_CONFIRMATION_TIME = 60 * SECOND
 DEFAULT_BASELINE_TIME = 20 * SECOND
 STAGE_SIZES = {"managers": "gateways", "part": "fraction", "domain": "domain"}
-"""Keys of a stage, one of which says how far it goes, with the fields that they fill."""
+"""The keys of a stage that give its size, of which exactly one is expected, and the fields they fill."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayAddress:
-    """A gateway: where its fleet listener is, and its supervisor's, if it has one."""
+    """The addresses of a gateway.
+
+    Attributes:
+        name: The name of the gateway.
+        address: The address of its fleet listener.
+        domain: Its failure domain.
+        supervisor: The address of its supervisor; empty if it has none.
+    """
 
     name: str
     address: str
@@ -42,13 +49,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What changes: settings, or the program.
+    """The content of a change: either settings or a program.
 
     Attributes:
-        settings: the file with the new settings.
-        old_settings: the file with those of now, a configuration or settings alone.
-        program: the new release, as supervisors know it.
-        old_program: the release to go back to.
+        settings: The path of the file with the new settings.
+        old_settings: The path of the file with the present settings, alone or within a configuration.
+        program: The supervisors' name for the new release of the program.
+        old_program: The supervisors' name for the release to return to in a rollback.
     """
 
     settings: str = ""
@@ -59,20 +66,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutPlan:
-    """A change that is ready to go.
+    """A change that has been read and checked.
 
     Attributes:
-        plan: what the stage machine goes by.
-        terms, guards: what the canary analysis goes by.
-        gateways: by name.
-        change: what changes.
-        bodies: what is ordered for each release: settings as JSON, or the program's name.
-        digests: by which a gateway is known to run each release.
-        baseline_time: how long all are observed before anything is changed.
-        record_path: the controller's record.
-        text: the plan as it was read.
-        shared_settings: those that differ, for people.
-        leases: the lease under which one of all controllers acts; None: by a majority of gateways.
+        plan: The plan for the stage machine.
+        terms: The parameters of the canary analysis.
+        guards: The limits of the canary analysis, by service class.
+        gateways: The addresses of the gateways, by name.
+        change: The content of the change.
+        bodies: The body of an order for each release: settings as JSON, or the program's name.
+        digests: The digest of settings, or the program's name, that a gateway on each release reports.
+        baseline_time: The time for which all gateways are observed before the first one is changed.
+        record_path: The path of the controller's record.
+        text: The plan as it was read.
+        shared_settings: The settings shared by the fleet that differ, in text for operators.
+        leases: The configuration of the lease under which one controller acts at a time. If None, a majority
+            of gateways decides which controller acts.
     """
 
     plan: Plan
@@ -88,35 +97,35 @@
     shared_settings: tuple[str, ...] = ()
     leases: LeasesConfig | None = None
 
-    def releases_run(self, settings: str, program: str) -> frozenset[str]:
-        """Which releases a gateway runs that reports this settings digest and this program."""
+    def matching_releases(self, settings: str, program: str) -> frozenset[str]:
+        """Returns the releases that match a gateway's report of its settings digest and program."""
         reported = program if self.change.program else settings
         return frozenset(name for name, digest in self.digests.items() if digest == reported)
 
 
 def load(path: str) -> RolloutPlan:
-    """Reads and checks everything before anything moves.
+    """Reads and checks the plan at `path` and all files that it names, before any gateway is changed.
 
     Raises:
-        OperatorConfigError: with the line of what is wrong.
+        OperatorConfigError: The plan or a file is invalid; the message gives the line in the plan.
     """
     document = read_file(path)
-    change_block, members = document.find_block("change"), document.blocks("member")
+    change_block, member_blocks = document.find_block("change"), document.blocks("member")
     stage_blocks, guard_blocks = document.blocks("stage"), document.blocks("guard")
-    if change_block is None or not members or not stage_blocks:
+    if change_block is None or not member_blocks or not stage_blocks:
         raise document.error("no change, member or stage, expected one change and at least one of each")
-    gateways = {block.label: _filled(block, GatewayAddress, name=block.label) for block in members}
-    change = _filled(change_block, Change)
+    gateways = {block.label: _fill(block, GatewayAddress, name=block.label) for block in member_blocks}
+    change = _fill(change_block, Change)
     old, new = _read_releases(change_block, change, Path(path).parent)
     stages = tuple(_read_stage(block, gateways) for block in stage_blocks)
-    terms = _only(document, "judge", AnalysisTerms, stages=len(stages))
-    limits = _only(document, "away", AvailabilityLimits)
-    bodies, digests = _orders(change, old, new)
+    terms = _read_optional(document, "judge", AnalysisTerms, stages=len(stages))
+    limits = _read_optional(document, "away", AvailabilityLimits)
+    bodies, digests = _order_bodies(change, old, new)
     name = document.attribute("name", str, Path(path).stem)
     leases = document.find_block("leases")
     plan = Plan(
         name=name,
-        gateways=tuple((one.name, one.domain) for one in gateways.values()),
+        gateways=tuple((gateway.name, gateway.domain) for gateway in gateways.values()),
         stages=stages,
         limits=limits,
         on_worse=_failure_action(document, "worse", FailureAction.ROLL_BACK),
@@ -125,10 +134,10 @@
         restarts=bool(change.program),
         control_restarts=document.attribute("control", int, 1 if change.program else 0),
         max_stage_time=terms.max_stage_time,
-        max_away_time=document.attribute("away_for", Duration, DEFAULT_MAX_AWAY),
+        max_confirmation_time=document.attribute("away_for", Duration, DEFAULT_MAX_CONFIRMATION_TIME),
     )
-    class_names = [str(one["name"]) for one in (new or old or {}).get("classes", ())]
-    loaded = RolloutPlan(
+    class_names = [str(service_class["name"]) for service_class in (new or old or {}).get("classes", ())]
+    rollout_plan = RolloutPlan(
         plan=plan,
         terms=terms,
         guards=_read_guards(guard_blocks, class_names),
@@ -143,28 +152,30 @@
         shared_settings=_shared_settings(old, new),
     )
     document.reject_unknown()
-    return loaded
+    return rollout_plan
 
 
 def _shared_settings(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[str, ...]:
     if not old or not new:
         return ()
-    return tuple(f"{one.path}: {one.reason}" for one in settings_diff.differences(old, new))
+    return tuple(
+        f"{difference.path}: {difference.reason}" for difference in settings_diff.differences(old, new)
+    )
 
 
 def _read_releases(block: Block, change: Change, folder: Path) -> tuple[dict[str, Any], dict[str, Any]]:
-    """The settings of the old and of the new release; empty where the change names none."""
+    """Returns the settings of the old and of the new release; both empty if the change names none."""
     if bool(change.settings) == bool(change.program):
-        raise block.error("change: settings or program, expected one of them")
+        raise block.error("change: expected exactly one of settings and program")
     if change.program:
         if not change.old_program:
-            raise block.error("change: no back, expected the release to go back to")
+            raise block.error("change: back is missing, expected the release to return to in a rollback")
         if not change.old_settings:
             return {}, {}
         settings = _read_settings(block, folder, "before", change.old_settings)
         return settings, settings
     if not change.old_settings:
-        raise block.error("change: no before, expected the file with the settings of now")
+        raise block.error("change: before is missing, expected the file with the present settings")
     old = _read_settings(block, folder, "before", change.old_settings)
     new = _read_settings(block, folder, "settings", change.settings)
     reason = settings_validation.find_restart_setting(old, new)
@@ -176,7 +187,7 @@
 
 
 def _read_settings(block: Block, folder: Path, key: str, path: str) -> dict[str, Any]:
-    """Settings, alone or in a configuration."""
+    """Returns the settings of a file, which has them alone or within a configuration."""
     try:
         content = json.loads((folder / path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -188,10 +199,10 @@
     return dict(settings)
 
 
-def _orders(
+def _order_bodies(
     change: Change, old: dict[str, Any], new: dict[str, Any]
 ) -> tuple[Mapping[str, bytes], Mapping[str, str]]:
-    """What is ordered for each release, and by which digest a gateway is known to run it."""
+    """Returns the body of an order for each release, and the digest that a gateway on it reports."""
     if change.program:
         programs: dict[str, str] = {
             Release.OLD: change.old_program,
@@ -206,52 +217,52 @@
         Release.NEW_STRICT: settings_diff.stricter(new, old),
         Release.NEW: new,
     }
-    bodies = {name: _shared_body(one) for name, one in settings.items()}
-    return bodies, {name: release.settings(one) for name, one in settings.items()}
+    bodies = {name: _encode_shared_settings(content) for name, content in settings.items()}
+    return bodies, {name: release.settings(content) for name, content in settings.items()}
 
 
-def _shared_body(settings: Mapping[str, Any]) -> bytes:
-    """Settings as they are ordered: without those that each gateway has of its own."""
+def _encode_shared_settings(settings: Mapping[str, Any]) -> bytes:
+    """Encodes the body of an order for settings, without those that differ between gateways."""
     return json.dumps({key: value for key, value in settings.items() if key not in release.OWN}).encode()
 
 
 def _read_stage(block: Block, gateways: Mapping[str, GatewayAddress]) -> Stage:
-    stage = _filled(block, Stage, name=block.label)
-    given = [key for key, field in STAGE_SIZES.items() if getattr(stage, field)]
-    if len(given) != 1:
+    stage = _fill(block, Stage, name=block.label)
+    given_sizes = [key for key, field in STAGE_SIZES.items() if getattr(stage, field)]
+    if len(given_sizes) != 1:
         raise block.error(f"stage {block.label}: expected one of managers, part, domain")
-    if stage.domain and stage.domain not in {one.domain for one in gateways.values()}:
-        raise block.error(f"domain: {stage.domain!r}, expected that of a member", "domain")
+    if stage.domain and stage.domain not in {gateway.domain for gateway in gateways.values()}:
+        raise block.error(f"domain: {stage.domain!r}, expected the domain of a member", "domain")
     if stage.fraction > 1.0:
         raise block.error(f"part: {stage.fraction}, expected 1 at most", "part")
     return stage
 
 
 def _read_guards(blocks: list[Block], class_names: list[str]) -> dict[str, Guard]:
-    """Of the classes named; where none is, the same for all classes of the settings."""
+    """Returns the limits of the service classes in the plan; by default the same for all classes."""
     if not blocks:
         return {name: Guard() for name in class_names}
     guards = dict[str, Guard]()
     for block in blocks:
         if class_names and block.label not in class_names:
             raise block.error(f"guard {block.label!r}, expected one of {', '.join(class_names)}")
-        guards[block.label] = _filled(block, Guard)
+        guards[block.label] = _fill(block, Guard)
     return guards
 
 
 def _failure_action(document: Block, key: str, default: FailureAction) -> FailureAction:
-    written = document.attribute(key, str, default.value)
-    if written not in {action.value for action in FailureAction}:
-        raise document.error(f"{key}: {written!r}, expected back or hold", key)
-    return FailureAction(written)
+    action_name = document.attribute(key, str, default.value)
+    if action_name not in {action.value for action in FailureAction}:
+        raise document.error(f"{key}: {action_name!r}, expected back or hold", key)
+    return FailureAction(action_name)
 
 
-def _only(document: Block, name: str, kind: type[T], **given: Any) -> T:
+def _read_optional(document: Block, name: str, kind: type[T], **fields: Any) -> T:
     block = document.find_block(name)
-    return _filled(block, kind, **given) if block is not None else kind(**given)
+    return _fill(block, kind, **fields) if block is not None else kind(**fields)
 
 
-def _filled(block: Block, kind: type[T], **given: Any) -> T:
-    filled = block.fill(kind, **given)
+def _fill(block: Block, kind: type[T], **fields: Any) -> T:
+    instance = block.fill(kind, **fields)
     block.reject_unknown()
-    return filled
+    return instance
