--- a/tests/message_samples.py
+++ b/tests/message_samples.py
@@ -1,7 +1,7 @@
-"""One message of each kind that gateways, controllers and supervisors send each other.
+"""A sample of each kind of message between gateways, controllers and supervisors.
 
-The values are given by position, so that renaming a field changes nothing here: the bytes on the wire are
-what `tests/data/messages.json` holds, as an earlier release wrote them.
+The values are positional, so that the samples do not depend on the names of fields.
+`tests/data/messages.json` holds the encoded samples as an earlier release wrote them.
 """
 
 from __future__ import annotations
@@ -18,30 +18,34 @@
 from vanerelay.rollout.events import Event
 from vanerelay.warming import messages as warming
 
-MEMBER = fleet.Row("m1", 1700000000001, 5, 2, "east", "127.0.0.1:7946", "0.2.0-abc", "def", "serving", "7/c")
-FEW = fleet.Row("m2", 3)
+MEMBER = fleet.MemberRow(
+    "m1", 1700000000001, 5, 2, "east", "127.0.0.1:7946", "0.2.0-abc", "def", "serving", "7/c"
+)
+MINIMAL_MEMBER = fleet.MemberRow("m2", 3)
 BALLOT = Ballot(4, "m1", 991)
 GRANT = Grant(2**32 + 6, "m1", 991, 30000, BALLOT)
-GROUP = rollout.ClassMetrics(9, 7.5, 1, 2, 3, 11, [0, 4, 2])
-FIGURES = rollout.GatewayMetrics({"look": GROUP, "order": rollout.ClassMetrics()}, 0.25, 12.5, 3, 4.75)
+CLASS_METRICS = rollout.ClassMetrics(9, 7.5, 1, 2, 3, 11, [0, 4, 2])
+GATEWAY_METRICS = rollout.GatewayMetrics(
+    {"look": CLASS_METRICS, "order": rollout.ClassMetrics()}, 0.25, 12.5, 3, 4.75
+)
 
 
 def msgpack_samples() -> dict[str, Any]:
-    """Messages packed as MessagePack; `.least`: with all that has a default left at it."""
+    """Returns the messages encoded as MessagePack; those named `.least` have defaults where possible."""
     return {
         "fleet.row": MEMBER,
-        "fleet.row.least": FEW,
-        "fleet.ping": fleet.Ping("prod", MEMBER, [FEW], True),
-        "fleet.ping.least": fleet.Ping("prod", FEW),
+        "fleet.row.least": MINIMAL_MEMBER,
+        "fleet.ping": fleet.Ping("prod", MEMBER, [MINIMAL_MEMBER], True),
+        "fleet.ping.least": fleet.Ping("prod", MINIMAL_MEMBER),
         "fleet.through": fleet.IndirectPing("prod", "m2", "127.0.0.1:7947"),
-        "fleet.heard": fleet.PingReply([MEMBER, FEW], False),
+        "fleet.heard": fleet.PingReply([MEMBER, MINIMAL_MEMBER], False),
         "fleet.heard.least": fleet.PingReply(),
-        "fleet.view": fleet.View("m1", "prod", [MEMBER, FEW], True, 8, 9),
+        "fleet.view": fleet.View("m1", "prod", [MEMBER, MINIMAL_MEMBER], True, 8, 9),
         "leases.ask": leases.VoteRequest(2, [("tidy", BALLOT)], [("tidy", GRANT)], True, "tidy"),
         "leases.ask.least": leases.VoteRequest(),
         **{
-            f"leases.replied.{at}": leases.ReplyMessage(said, GRANT, 700, BALLOT)
-            for at, said in enumerate(VoterAnswer)
+            f"leases.replied.{index}": leases.ReplyMessage(answer, GRANT, 700, BALLOT)
+            for index, answer in enumerate(VoterAnswer)
         },
         "leases.told": leases.RecordMessage("tidy", BALLOT, GRANT),
         "leases.answer": leases.VoteResponse(
@@ -94,18 +98,28 @@
         "rollout.taken.least": rollout.OrderReply(7),
         "rollout.asked": rollout.StateRequest(False),
         "rollout.asked.least": rollout.StateRequest(),
-        "rollout.group": GROUP,
-        "rollout.figures": FIGURES,
+        "rollout.group": CLASS_METRICS,
+        "rollout.figures": GATEWAY_METRICS,
         "rollout.figures.least": rollout.GatewayMetrics(),
         "rollout.state": rollout.GatewayState(
-            "m1", "0.2.0-abc", "def", "serving", 1700000000001, 7, 3, 1700000009999, "new", 2.0, FIGURES
+            "m1",
+            "0.2.0-abc",
+            "def",
+            "serving",
+            1700000000001,
+            7,
+            3,
+            1700000009999,
+            "new",
+            2.0,
+            GATEWAY_METRICS,
         ),
         "rollout.state.least": rollout.GatewayState("m1", "", "", "keeps", 0),
     }
 
 
 def json_samples() -> dict[str, Any]:
-    """What is stored or said as JSON."""
+    """Returns the records and requests encoded as JSON."""
     return {
         "rollout.event": Event("ordered", 1234567, "m1", 7, 3, "new strict", 2, "why"),
         "rollout.event.least": Event("begun", 5),
@@ -116,7 +130,7 @@
     }
 
 
-# Kinds of question that each side answers, as `callRemote` names them.
+# Kinds of request that each subsystem answers, by their names on the wire.
 KINDS = {
     "fleet": ["ping", "through", "view"],
     "leases": ["lease", "lease-free", "leases"],
--- a/tests/store_samples.py
+++ b/tests/store_samples.py
@@ -1,6 +1,6 @@
-"""Writes one file of each store with fixed content, and says what an earlier release's file has to give back.
+"""Writes a file of each store with fixed content, which is also the content expected from stored files.
 
-`tests/data/stores/` holds these files as the release before the code was renamed wrote them.
+`tests/data/stores/` holds these files as an earlier release wrote them.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 import msgspec
 
 from tests import message_samples
-from vanerelay.fleet import messages as fleet_words
-from vanerelay.leases import messages as lease_words
+from vanerelay.fleet import messages as fleet_messages
+from vanerelay.leases import messages as lease_messages
 from vanerelay.leases.durable_store import DurableStore
 from vanerelay.leases.voter_service import META_KEY, VOTES_SPACE
 from vanerelay.membership import list_codec
@@ -24,7 +24,7 @@
 from vanerelay.rollout.agent_store import AgentStore
 from vanerelay.rollout.change_log import ChangeLog
 
-LIST = {
+ENGINE_LIST = {
     "revision": 7,
     "members": [
         {
@@ -49,7 +49,7 @@
 
 
 class DirectReactor:
-    """Calls from threads at once; `wait` until the one that was expected has come."""
+    """Runs calls from threads immediately, in the calling thread; `wait` blocks until there was a call."""
 
     def __init__(self) -> None:
         self._called = threading.Event()
@@ -62,25 +62,25 @@
         assert self._called.wait(10)
 
 
-def write_promises(folder: Path) -> None:
-    """What a voter keeps: its meta record and one task."""
+def write_voter_database(folder: Path) -> None:
+    """Writes the database of a voter: its meta record and the record of one task."""
     reactor = DirectReactor()
-    disk = DurableStore(reactor, str(folder))
-    told = lease_words.RecordMessage("tidy", message_samples.BALLOT, message_samples.GRANT)
-    disk.put(VOTES_SPACE, {META_KEY: msgspec.msgpack.encode((3, 2)), "tidy": fleet_words.encode(told)})
+    store = DurableStore(reactor, str(folder))
+    record = lease_messages.RecordMessage("tidy", message_samples.BALLOT, message_samples.GRANT)
+    store.put(VOTES_SPACE, {META_KEY: msgspec.msgpack.encode((3, 2)), "tidy": fleet_messages.encode(record)})
     reactor.wait()
-    disk.close()
+    store.close()
 
 
 def write_membership(folder: Path) -> None:
-    found = list_codec.read(json.dumps(LIST).encode(), LOCATIONS, KINDS)
+    engine_list = list_codec.read(json.dumps(ENGINE_LIST).encode(), LOCATIONS, KINDS)
     store = open_store(str(folder), 50)
-    store.save("main", 7, 1700000000000, "accepted", {"/engines.json": found}, ["here"], ["k"])
+    store.save("main", 7, 1700000000000, "accepted", {"/engines.json": engine_list}, ["here"], ["k"])
     store.pin("main", 7)
     store.close()
 
 
-def write_record(folder: Path) -> None:
+def write_change_log(folder: Path) -> None:
     record = ChangeLog(str(folder / "change.record"))
     record.begin("change", PLAN, 3)
     record.set_fence(4)
@@ -91,7 +91,7 @@
     record.close()
 
 
-def write_orders(folder: Path) -> None:
+def write_agent_files(folder: Path) -> None:
     store = AgentStore(str(folder))
     store.read_settings("0123456789ab")
     store.write_fence("7/change")
@@ -99,12 +99,14 @@
     store.write_file("release", "new")
 
 
-def rows(path: Path) -> list[str]:
-    """Tables and rows of a database, as SQL; large blobs by their digest."""
-    base = sqlite3.connect(f"file:{path}?mode=ro&immutable=1", uri=True)
-    found = [
-        line if len(line) < 500 else hashlib.sha256(line.encode()).hexdigest() for line in base.iterdump()
+def dump_rows(path: Path) -> list[str]:
+    """Returns the tables and rows of a database as SQL lines, long lines as their digest, and two pragmas."""
+    database = sqlite3.connect(f"file:{path}?mode=ro&immutable=1", uri=True)
+    lines = [
+        line if len(line) < 500 else hashlib.sha256(line.encode()).hexdigest() for line in database.iterdump()
+    ]
+    pragmas = [
+        database.execute(f"pragma {name}").fetchone()[0] for name in ("application_id", "user_version")
     ]
-    pragmas = [base.execute(f"pragma {name}").fetchone()[0] for name in ("application_id", "user_version")]
-    base.close()
-    return [*found, *map(str, pragmas)]
+    database.close()
+    return [*lines, *map(str, pragmas)]
--- a/tests/test_compatibility_messages.py
+++ b/tests/test_compatibility_messages.py
@@ -1,6 +1,6 @@
-"""Messages between gateways stay byte for byte what earlier releases send and read.
+"""Messages between gateways keep the encoding of earlier releases, byte for byte.
 
-`tests/data/messages.json` was written by the release before the code was renamed; it is never written anew.
+`tests/data/messages.json` was written by an earlier release and is never regenerated.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from tests import message_samples
 from tests.helpers import ROOT
 from vanerelay.clock import Clock
-from vanerelay.fleet import config as fleet_parts
+from vanerelay.fleet import config as fleet_config
 from vanerelay.fleet import rpc
 from vanerelay.fleet.service import FleetService
 from vanerelay.freshness import config as freshness_config
 from vanerelay.freshness.service import FreshnessService
-from vanerelay.leases import config as lease_parts
+from vanerelay.leases import config as lease_config
 from vanerelay.leases.service import Leases
 from vanerelay.leases.voter import LeaseTerms, Voters
 from vanerelay.rollout.agent import RolloutAgent
@@ -35,96 +35,96 @@
 JSON = message_samples.json_samples()
 
 
-def packed(body: Any) -> str:
+def msgpack_hex(body: Any) -> str:
     return msgspec.msgpack.encode(body).hex()
 
 
-def test_every_message_has_its_bytes_kept():
+def test_each_sample_has_an_encoding_of_an_earlier_release():
     assert set(GOLDEN["msgpack"]) == set(MSGPACK) and set(GOLDEN["json"]) == set(JSON)
 
 
 @pytest.mark.parametrize("name", GOLDEN["msgpack"])
-def test_a_message_is_written_and_read_as_by_earlier_releases(name):
+def test_a_msgpack_message_is_encoded_and_decoded_as_by_earlier_releases(name):
     golden, sample = GOLDEN["msgpack"][name], MSGPACK[name]
-    assert packed(sample) == golden
+    assert msgpack_hex(sample) == golden
     assert msgspec.msgpack.decode(bytes.fromhex(golden), type=type(sample)) == sample
 
 
 @pytest.mark.parametrize("name", GOLDEN["json"])
-def test_what_is_stored_as_json_is_written_and_read_as_by_earlier_releases(name):
+def test_a_json_record_is_encoded_and_decoded_as_by_earlier_releases(name):
     golden, sample = GOLDEN["json"][name], JSON[name]
     assert msgspec.json.encode(sample).decode() == golden
     assert msgspec.json.decode(golden, type=type(sample)) == sample
 
 
-def link_to(handlers: dict[str, Any]) -> tuple[Any, StringTransport]:
-    everyone = rpc.RpcNode(FakeReactor())
-    everyone.handlers |= handlers
-    link, transport = rpc.RpcConnection(everyone), StringTransport()
-    link.makeConnection(transport)
-    return link, transport
+def connection_to(handlers: dict[str, Any]) -> tuple[Any, StringTransport]:
+    node = rpc.RpcNode(FakeReactor())
+    node.handlers |= handlers
+    connection, transport = rpc.RpcConnection(node), StringTransport()
+    connection.makeConnection(transport)
+    return connection, transport
 
 
-def test_a_question_has_the_command_and_arguments_of_earlier_releases():
-    link, transport = link_to({})
-    link.callRemote(rpc.Call, kind="ping", body=b"\x01\x02").addErrback(lambda _: None)
+def test_a_request_has_the_command_and_arguments_of_earlier_releases():
+    connection, transport = connection_to({})
+    connection.callRemote(rpc.Call, kind="ping", body=b"\x01\x02").addErrback(lambda _: None)
     assert transport.value().hex() == GOLDEN["amp"]["question"]
 
 
 @pytest.mark.parametrize("name", ["answer", "unknown", "refused"])
-def test_an_answer_has_the_keys_and_error_codes_of_earlier_releases(name):
+def test_a_reply_has_the_keys_and_error_codes_of_earlier_releases(name):
     def refuse(body: bytes) -> bytes:
         raise rpc.RequestRefusedError("no")
 
-    link, transport = link_to({"ping": lambda body: body[::-1], "order": refuse})
-    link.dataReceived(bytes.fromhex(GOLDEN["amp"][f"{name}.asked"]))
+    connection, transport = connection_to({"ping": lambda body: body[::-1], "order": refuse})
+    connection.dataReceived(bytes.fromhex(GOLDEN["amp"][f"{name}.asked"]))
     assert transport.value().hex() == GOLDEN["amp"][name]
 
 
-def fleet() -> FleetService:
-    parts = fleet_parts.FleetConfig("127.0.0.1:7946")
-    return FleetService(FakeReactor(), Clock(), parts, "m1", "program", "settings", 1)
+def new_fleet_service() -> FleetService:
+    config = fleet_config.FleetConfig("127.0.0.1:7946")
+    return FleetService(FakeReactor(), Clock(), config, "m1", "program", "settings", 1)
 
 
 def leases_of(fleet: FleetService) -> Leases:
-    parts = lease_parts.LeasesConfig(Voters(1, ("m1", "m2", "m3"), ()), terms=LeaseTerms())
-    return Leases(FakeReactor(), fleet, parts, MagicMock(), 1, None)
+    config = lease_config.LeasesConfig(Voters(1, ("m1", "m2", "m3"), ()), terms=LeaseTerms())
+    return Leases(FakeReactor(), fleet, config, MagicMock(), 1, None)
 
 
 def fleet_kinds() -> set[str]:
-    return set(fleet().rpc.handlers)
+    return set(new_fleet_service().rpc.handlers)
 
 
 def lease_kinds() -> set[str]:
-    one = fleet()
-    leases_of(one)
-    return set(one.rpc.handlers) - fleet_kinds()
+    service = new_fleet_service()
+    leases_of(service)
+    return set(service.rpc.handlers) - fleet_kinds()
 
 
 def freshness_kinds() -> set[str]:
-    one = fleet()
+    service = new_fleet_service()
     watch = freshness_config.WatchConfig(("copies", "@ID@"))
-    leases = leases_of(one)
-    before = set(one.rpc.handlers)
-    FreshnessService(FakeReactor(), one, leases, freshness_config.FreshnessConfig(watch))
-    return set(one.rpc.handlers) - before
+    leases = leases_of(service)
+    before = set(service.rpc.handlers)
+    FreshnessService(FakeReactor(), service, leases, freshness_config.FreshnessConfig(watch))
+    return set(service.rpc.handlers) - before
 
 
 def rollout_kinds() -> set[str]:
-    one, host = fleet(), MagicMock()
+    service, host = new_fleet_service(), MagicMock()
     host.limits = {}
     host.gateway.held_share.return_value = 0.0
-    before = set(one.rpc.handlers)
-    RolloutAgent(host, one, ClassTotals(), AgentStore(""))
-    return set(one.rpc.handlers) - before
+    before = set(service.rpc.handlers)
+    RolloutAgent(host, service, ClassTotals(), AgentStore(""))
+    return set(service.rpc.handlers) - before
 
 
 def warming_kinds() -> set[str]:
-    host, joined = MagicMock(), MagicMock()
-    joined.fleet.rpc.handlers = handlers = {}
+    host, fleet_extension = MagicMock(), MagicMock()
+    fleet_extension.fleet.rpc.handlers = handlers = {}
     host.settings, host.zones = {"classes": [{"name": "warm"}]}, {}
-    parts = warming_extension.WarmingConfig("warm", "SELECT @GROUP@")
-    warming_extension.WarmingExtension(host, parts, joined, MagicMock(), None).open()
+    config = warming_extension.WarmingConfig("warm", "SELECT @GROUP@")
+    warming_extension.WarmingExtension(host, config, fleet_extension, MagicMock(), None).open()
     return set(handlers)
 
 
@@ -138,12 +138,12 @@
         ("warming", warming_kinds),
     ],
 )
-def test_each_side_answers_the_kinds_of_question_that_earlier_releases_ask(subsystem, kinds):
+def test_a_subsystem_answers_the_kinds_of_request_of_earlier_releases(subsystem, kinds):
     assert sorted(kinds()) == message_samples.KINDS[subsystem]
 
 
-def test_each_figure_of_a_service_class_has_its_place_in_the_array():
-    tally = ClassTotals()
+def test_class_metrics_are_encoded_in_the_order_of_earlier_releases():
+    totals = ClassTotals()
     for code, value, answered_after in ((0, 1.0, 20), (0, 0.5, 90), (1, 0.25, 5), (2, 0.0, 5), (2, 0.0, 5)):
-        tally.query_answered("look", value, code, answered_after, 3)
-    assert packed(tally.metrics()) == GOLDEN["tally"]
+        totals.query_answered("look", value, code, answered_after, 3)
+    assert msgpack_hex(totals.metrics()) == GOLDEN["tally"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Failure detection: seeded fleets in virtual time, and what the detector must not do."""
+"""Tests of failure detection on simulated fleets, of the lease overview, and of a gateway in a fleet."""
 
 from __future__ import annotations
 
@@ -38,11 +38,16 @@
 
 
 class SimulatedFleet:
-    """Gateways of one fleet under one clock: `is_cut(one, other)` says whether a link drops messages."""
+    """Gateways of one fleet in virtual time; a link drops all messages while `is_cut(sender, receiver)`."""
 
     def __init__(self, count, seed=1, loss=0.0):
         self.now, self.random, self.loss, self.messages = 0, random.Random(seed), loss, 0
-        self.is_cut, self.down, self.due, self.serial = lambda one, other: False, set(), [], itertools.count()
+        self.is_cut, self.down, self.due, self.serial = (
+            lambda sender, receiver: False,
+            set(),
+            [],
+            itertools.count(),
+        )
         self.nodes = {}
         for number in range(count):
             self.start(f"m{number}", 1000 + number, [f"m{n}" for n in range(count)])
@@ -58,16 +63,21 @@
             self.due, (self.now + self.random.randrange(CONFIG.probe_interval), next(self.serial), name, node)
         )
 
-    def reaches(self, one, other):
-        """Whether a request and its reply pass; gateways that are down receive nothing."""
+    def reaches(self, sender_name, receiver_name):
+        """Returns True if a request and its reply arrive; gateways that are down receive nothing."""
         self.messages += 1
         lost = self.random.random() < 1 - (1 - self.loss) ** 2
-        return not (lost or self.is_cut(one, other) or self.is_cut(other, one) or {one, other} & self.down)
+        return not (
+            lost
+            or self.is_cut(sender_name, receiver_name)
+            or self.is_cut(receiver_name, sender_name)
+            or {sender_name, receiver_name} & self.down
+        )
 
-    def ping(self, one, other, join=False):
-        if not self.reaches(one, other):
+    def ping(self, sender_name, receiver_name, join=False):
+        if not self.reaches(sender_name, receiver_name):
             return False
-        sender, receiver = self.nodes[one], self.nodes[other]
+        sender, receiver = self.nodes[sender_name], self.nodes[receiver_name]
         own = sender.own
         receiver.receive_gossip([own, *(sender.full_state() if join else sender.gossip())], self.now)
         sender.receive_gossip(
@@ -82,7 +92,7 @@
         while self.due and self.due[0][0] <= until:
             self.now, _, name, node = heapq.heappop(self.due)
             if self.nodes.get(name) is not node:
-                continue  # another process goes by its name now
+                continue  # another process has replaced it under this name
             heapq.heappush(self.due, (self.now + CONFIG.probe_interval, next(self.serial), name, node))
             if name in self.down or node.replaced:
                 continue
@@ -90,14 +100,14 @@
             if target is None or self.ping(name, target.name, target.status is MemberState.GONE):
                 continue
             if target.status is not MemberState.GONE and not any(
-                self.ping(name, one.name) and self.ping(one.name, target.name)
-                for one in node.indirect_probe_helpers(target.name)
+                self.ping(name, helper.name) and self.ping(helper.name, target.name)
+                for helper in node.indirect_probe_helpers(target.name)
             ):
                 node.probe_failed(target.name, self.now)
         self.now = until
 
     def count_views(self, status, names=None):
-        """By name: how many of the other gateways see it in that state."""
+        """Returns the number of other gateways that see each member in `status`, by the member's name."""
         return {
             name: sum(
                 node.members[name].status is status
@@ -109,18 +119,18 @@
 
 
 @pytest.mark.parametrize("count, loss", [(2, 0.0), (3, 0.1), (20, 0.0), (20, 0.05), (60, 0.05)])
-def test_all_members_find_each_other_and_none_is_declared_gone(count, loss):
+def test_no_member_is_declared_gone_in_a_healthy_fleet_despite_message_loss(count, loss):
     fleet = SimulatedFleet(count, loss=loss)
     fleet.run(30 * SECOND)
-    seen = []
+    gone_counts = []
     for _ in range(60):
         fleet.run(SECOND)
-        seen.append(sum(fleet.count_views(MemberState.GONE).values()))
-    assert max(seen) == 0
+        gone_counts.append(sum(fleet.count_views(MemberState.GONE).values()))
+    assert max(gone_counts) == 0
 
 
 @pytest.mark.parametrize("count", [3, 20, 60])
-def test_a_member_that_is_gone_is_known_everywhere_within_seconds(count):
+def test_a_failed_member_is_seen_as_gone_by_all_and_as_alive_after_its_return(count):
     fleet = SimulatedFleet(count)
     fleet.run(20 * SECOND)
     fleet.down.add("m1")
@@ -131,7 +141,7 @@
     assert fleet.count_views(MemberState.ALIVE, ["m1"]) == {"m1": count - 1}
 
 
-def test_messages_per_gateway_do_not_grow_with_the_fleet():
+def test_messages_per_gateway_do_not_grow_with_the_size_of_the_fleet():
     rates = []
     for count in (10, 60):
         fleet = SimulatedFleet(count)
@@ -140,40 +150,40 @@
         fleet.run(20 * SECOND)
         rates.append((fleet.messages - before) / count / 20)
         assert all(len(node.gossip()) <= CONFIG.gossip_limit + 1 for node in fleet.nodes.values())
-    assert rates[0] <= 2.1 and rates[1] <= 2.1  # a second, at a probe interval of half a second
+    assert rates[0] <= 2.1 and rates[1] <= 2.1  # messages per second, at a probe interval of half a second
 
 
-def test_a_link_cut_between_two_members_makes_neither_of_them_gone():
+def test_no_member_is_declared_gone_when_only_the_link_between_two_is_cut():
     fleet = SimulatedFleet(6)
     fleet.run(10 * SECOND)
-    fleet.is_cut = lambda one, other: {one, other} == {"m1", "m2"}
+    fleet.is_cut = lambda sender, receiver: {sender, receiver} == {"m1", "m2"}
     fleet.run(60 * SECOND)
     assert sum(fleet.count_views(MemberState.GONE).values()) == 0
 
 
-def test_a_partitioned_fleet_sees_the_other_half_gone_and_heals():
+def test_views_differ_during_a_partition_and_agree_after_it():
     fleet = SimulatedFleet(8)
     fleet.run(10 * SECOND)
-    fleet.is_cut = lambda one, other: (int(one[1:]) < 4) != (int(other[1:]) < 4)
+    fleet.is_cut = lambda sender, receiver: (int(sender[1:]) < 4) != (int(receiver[1:]) < 4)
     fleet.run(30 * SECOND)
     views = {name: node.full_state() for name, node in fleet.nodes.items()}
     assert {difference.name for difference in view_differences(views)} == set(fleet.nodes)
-    fleet.is_cut = lambda one, other: False
+    fleet.is_cut = lambda sender, receiver: False
     fleet.run(30 * SECOND)
     assert sum(fleet.count_views(MemberState.GONE).values()) == 0
     assert view_differences({name: node.full_state() for name, node in fleet.nodes.items()}) == []
 
 
-def test_a_member_back_without_its_disk_and_with_a_slow_clock_goes_past_its_old_incarnation():
+def test_a_restarted_member_without_disk_and_with_a_slow_clock_exceeds_its_old_incarnation():
     fleet = SimulatedFleet(4)
     fleet.run(10 * SECOND)
-    fleet.start("m1", 5, [f"m{n}" for n in range(4)])  # its incarnation was 1001 before
+    fleet.start("m1", 5, [f"m{n}" for n in range(4)])  # its previous incarnation was 1001
     fleet.run(10 * SECOND)
     assert fleet.nodes["m1"].own.incarnation == 1002 and not fleet.nodes["m1"].replaced
     assert fleet.count_views(MemberState.ALIVE, ["m1"]) == {"m1": 3}
 
 
-def test_a_process_that_slept_while_its_successor_started_is_replaced():
+def test_a_paused_process_is_replaced_when_its_successor_has_joined():
     fleet = SimulatedFleet(4)
     fleet.run(10 * SECOND)
     old = fleet.nodes["m1"]
@@ -183,7 +193,7 @@
     assert old.replaced and fleet.nodes["m1"].own.incarnation == 2000
 
 
-def test_a_stalled_process_waits_longer_before_it_suspects_others():
+def test_timeouts_grow_after_a_stall_of_the_own_process():
     fleet = SimulatedFleet(4)
     fleet.run(10 * SECOND)
     healthy, stalled = fleet.nodes["m1"], fleet.nodes["m2"]
@@ -192,34 +202,36 @@
     assert stalled.suspicion_timeout() > healthy.suspicion_timeout()
 
 
-def test_members_and_gossip_are_bounded_whatever_is_received():
+def test_members_and_gossip_stay_bounded_when_many_members_are_reported():
     node = FailureDetector(Member("m0", 1), FailureDetectorConfig(max_members=10), random.Random(1))
     node.receive_gossip([Member(f"x{n}", 1) for n in range(100)], 0)
     assert len(node.members) == 10 and len(node.gossip()) <= CONFIG.gossip_limit + 1
 
 
 @pytest.mark.parametrize("stored, clock, expected", [(0, 500, 500), (700, 500, 701), (400, 500, 500)])
-def test_incarnations_never_go_back(stored, clock, expected):
+def test_next_incarnation_exceeds_the_stored_one_and_follows_the_clock(stored, clock, expected):
     assert next_incarnation(stored, clock) == expected
 
 
-def test_unknown_fields_of_other_releases_are_ignored():
-    later = b"\x83\xa5fleet\xa1f\xa3own\x83\xa4name\xa2m1\xabincarnation\x07\xa6future\x01\xa6unseen\xc0"
-    ping = messages.decode(later, messages.Ping)
+def test_messages_decode_with_unknown_fields_and_are_rejected_when_malformed():
+    later_release = (
+        b"\x83\xa5fleet\xa1f\xa3own\x83\xa4name\xa2m1\xabincarnation\x07\xa6future\x01\xa6unseen\xc0"
+    )
+    ping = messages.decode(later_release, messages.Ping)
     assert ping is not None and ping.own.name == "m1" and ping.gossip == []
     assert messages.decode(b"\xc1nonsense", messages.Ping) is None
     assert messages.to_member(messages.Row("m1", 1, status=9)) is None
 
 
-def test_the_overview_of_leases_prints_as_in_earlier_releases():
-    """The lines were printed by the release before the code was renamed."""
+def test_the_lease_overview_prints_the_lines_of_earlier_releases():
+    """The expected lines are output of an earlier release, as operators' tools may read them."""
     voters, token = ["m1", "m2", "m3"], (7 << 32) + 3
     held = TaskStatus("tidy", holds=True, token=token, remaining_ms=2500)
     older = TaskStatus("tidy", holds=True, token=token - 1, remaining_ms=100)
     first = LeasesStatus("m1", voters, memory="knows", era=7, tasks=[held, TaskStatus("warm")])
     second = LeasesStatus("m2", voters, memory="blank", era=6, tasks=[older], reason="no quorum")
     summary = lease_summary.summarize({"m1": first, "m2": second})
-    assert not summary.healthy  # a task without a holder, and one voter of three
+    assert not summary.healthy  # one task has no holder, and only one voter of three votes
     assert list(summary.json_lines()) == [
         '{"task": "tidy", "holder": "m1", "number": 30064771075, "left_ms": 2500}',
         '{"task": "warm", "holder": "", "number": 0, "left_ms": 0}',
@@ -237,15 +249,20 @@
 
 
 @pytest.mark.processes
-def test_ordered_settings_and_the_fencing_token_survive_a_restart_but_not_another_configuration(tmp_path):
-    """A gateway with operators' options, started on settings ordered before; shown by the command line."""
+def test_ordered_settings_apply_after_a_start_unless_the_configuration_has_changed(tmp_path):
+    """A gateway starts with stored settings of a rollout only if they replace its present configuration.
+
+    The settings in force are read with `vanerelay fleet show`.
+    """
     folder, listen, feed = tmp_path / "orders", free_address(), FakeDiscoveryService()
     folder.mkdir()
     ordered = copy.deepcopy(SETTINGS)
     ordered["limits"]["maxOpen"] = 500
-    for own in release.OWN:
-        del ordered[own]  # what is ordered is the fleet's; position and zone stay each gateway's own
-    stored = {"settings": ordered, "replaces": release.settings(SETTINGS)}
+    for setting in release.PER_GATEWAY_SETTINGS:
+        del ordered[
+            setting
+        ]  # a rollout orders shared settings only; position and zone stay those of each gateway
+    stored = {"settings": ordered, "replaces": release.settings_digest(SETTINGS)}
     (folder / "ordered.json").write_text(json.dumps(stored))
     (folder / "fence").write_text("7/change")
     options = f'fleet {{\nlisten = "{listen}"\n}}\nrollout {{\nfolder = "{folder}"\n}}\n'
@@ -254,16 +271,16 @@
 
     def settings_in_force():
         command = [sys.executable, "-m", "vanerelay", "fleet", "show", "--address", listen, "--json"]
-        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-        return json.loads(done.stdout)["settings"] if done.returncode == 0 else ""
+        finished = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+        return json.loads(finished.stdout)["settings"] if finished.returncode == 0 else ""
 
     try:
-        assert until(settings_in_force, "a reply of the fleet") == release.settings(ordered)
+        assert until(settings_in_force, "a reply of the fleet") == release.settings_digest(ordered)
         node.process.terminate()
         assert node.process.wait(30) == 0
         (folder / "ordered.json").write_text(json.dumps({**stored, "replaces": "another"}))
         node.start()
-        assert until(settings_in_force, "a reply of the fleet") == release.settings(SETTINGS)
+        assert until(settings_in_force, "a reply of the fleet") == release.settings_digest(SETTINGS)
     finally:
         node.process.kill()
         node.process.wait()
--- a/vanerelay/fleet/__init__.py
+++ b/vanerelay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet: gateways that know each other, their releases, failure detection and RPC between them."""
+"""The fleet of gateways: membership, failure detection, RPC between gateways, and release identifiers."""
--- a/vanerelay/fleet/commands.py
+++ b/vanerelay/fleet/commands.py
@@ -1,4 +1,4 @@
-"""`vanerelay fleet`: what operators ask of a running fleet."""
+"""`vanerelay fleet`: commands that show operators the state of a running fleet."""
 
 from __future__ import annotations
 
@@ -18,61 +18,64 @@
 REPLY_TIMEOUT_S = 3.0
 FAILURE_EXIT_CODE = 2
 
-OPTIONS_OPTION = click.option("--options", help="The operators' file of a manager: its own address is asked.")
+OPTIONS_OPTION = click.option("--options", help="Operators' file with the address of the gateway to ask.")
 ADDRESS_OPTION = click.option(
-    "--address", help="HOST:PORT of a manager's fleet listener, in place of --options."
+    "--address", help="HOST:PORT of a gateway's fleet listener, instead of --options."
 )
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Tells JSON, an object a line.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Prints JSON, one object per line.")
 
 T = TypeVar("T")
 
 
-def fail(*lines: str) -> NoReturn:
-    """Prints what is wrong and ends the program."""
+def exit_with_error(*lines: str) -> NoReturn:
+    """Prints the lines to standard error and exits with `FAILURE_EXIT_CODE`."""
     for line in lines:
         click.echo(f"vanerelay: {line}", err=True)
     sys.exit(FAILURE_EXIT_CODE)
 
 
 def gateway_address(options: str | None, address: str | None) -> str:
-    """The address of the gateway to ask: as given, or out of its operators' file."""
+    """Returns the address of the gateway to ask: the given one, or the one in its operators' file."""
     from vanerelay.operator_config import OperatorConfigError, read_subsystems
 
     if address:
         return address
     if not options:
-        fail("no manager named, expected --address or --options")
+        exit_with_error("no gateway given, expected --address or --options")
     try:
-        found = read_subsystems(options)
+        subsystems = read_subsystems(options)
     except OperatorConfigError as error:
-        fail(str(error))
-    if "fleet" not in found:
-        fail(f"{options}: no fleet block, expected one")
-    return str(found["fleet"].listen)
+        exit_with_error(str(error))
+    if "fleet" not in subsystems:
+        exit_with_error(f"{options}: no fleet block found, expected one with the address to ask (listen)")
+    return str(subsystems["fleet"].listen)
 
 
-def run_in_reactor(work: Callable[[Any], Deferred[T]]) -> T:
-    """Runs a function that returns a Deferred, in a reactor of its own, and returns the result."""
+def run_in_reactor(function: Callable[[Any], Deferred[T]]) -> T:
+    """Runs the reactor until the Deferred of `function` fires, and returns its result.
+
+    Exits with an error message where the Deferred fails.
+    """
     from twisted.internet import reactor as installed_reactor
 
     reactor: Any = installed_reactor
     results = list[Any]()
 
     def start() -> None:
-        work(reactor).addBoth(results.append).addBoth(lambda _: reactor.stop())
+        function(reactor).addBoth(results.append).addBoth(lambda _: reactor.stop())
 
     reactor.callWhenRunning(start)
     reactor.run()
     result = results[0]
     if isinstance(result, Failure):
-        fail(result.getErrorMessage())
-    found: T = result
-    return found
+        exit_with_error(result.getErrorMessage())
+    value: T = result
+    return value
 
 
 @click.group()
 def fleet() -> None:
-    """The managers that know each other."""
+    """Shows the members and leases of a running fleet."""
 
 
 @fleet.command()
@@ -80,9 +83,9 @@
 @ADDRESS_OPTION
 @JSON_OPTION
 def show(options: str | None, address: str | None, as_json: bool) -> None:
-    """Who there is, as each manager that answers sees it. Exits with 1 where views differ."""
-    first = gateway_address(options, address)
-    views = run_in_reactor(lambda reactor: _collect_views(RpcNode(reactor), first))
+    """Shows the members as each gateway that replies sees them. Exits with 1 where views differ."""
+    first_address = gateway_address(options, address)
+    views = run_in_reactor(lambda reactor: _collect_views(RpcNode(reactor), first_address))
     members_by_viewer = {name: messages.to_members(view.rows) for name, view in views.items()}
     differences = view_differences(members_by_viewer)
     for member in _newest_members(members_by_viewer):
@@ -93,12 +96,12 @@
 
 
 def _newest_members(members_by_viewer: dict[str, list[Member]]) -> list[Member]:
-    """The newest report on each member, in the order of the names' numbers."""
+    """Returns the newest report on each member; shorter names first, so that m2 comes before m10."""
     newest = dict[str, Member]()
     for members in members_by_viewer.values():
         for member in members:
             known = newest.get(member.name)
-            if known is None or member.newer(known):
+            if known is None or member.is_newer_than(known):
                 newest[member.name] = member
     return [newest[name] for name in sorted(newest, key=lambda name: (len(name), name))]
 
@@ -136,8 +139,8 @@
     click.echo(f"views differ: {difference.name}: {opinions_text}")
 
 
-def _collect_views(node: RpcNode, first: str) -> Deferred[dict[str, messages.View]]:
-    """The views of one gateway and of all that it knows, by name; without those that do not reply."""
+def _collect_views(node: RpcNode, first_address: str) -> Deferred[dict[str, messages.View]]:
+    """Returns the views of a gateway and of all members it knows, by name, where they reply."""
     views = dict[str, messages.View]()
 
     def request_view(address: str) -> Deferred[messages.View | None]:
@@ -146,22 +149,22 @@
 
     def request_others(view: messages.View | None) -> Deferred[Any]:
         if view is None:
-            raise ValueError(f"{first} gives no view that can be read")
+            raise ValueError(f"{first_address}: its reply to the view request cannot be decoded")
         views[view.name] = view
         others = [row for row in view.rows if row.name != view.name and _is_reachable(row)]
         return DeferredList([request_view(row.address) for row in others], consumeErrors=True)
 
     def finish(results: list[tuple[bool, Any]]) -> dict[str, messages.View]:
-        for good, view in results:
-            if good and view is not None:
+        for succeeded, view in results:
+            if succeeded and view is not None:
                 views[view.name] = view
         node.stop()
         return views
 
-    return request_view(first).addCallback(request_others).addCallback(finish)
+    return request_view(first_address).addCallback(request_others).addCallback(finish)
 
 
-def _is_reachable(row: messages.Row) -> bool:
+def _is_reachable(row: messages.MemberRow) -> bool:
     return bool(row.address) and row.status != MemberState.LEFT
 
 
@@ -170,19 +173,19 @@
 @ADDRESS_OPTION
 @JSON_OPTION
 def leases(options: str | None, address: str | None, as_json: bool) -> None:
-    """Who holds which task of the fleet, as each manager that answers says of itself, and how voters stand.
+    """Shows the holder of each task of the fleet and the state of each voter, as the gateways report.
 
-    Exits with 1 where a task is held by nobody, or too few voters vote.
+    Exits with 1 where a task has no holder, or fewer voters than a quorum vote.
     """
-    first = gateway_address(options, address)
-    views = run_in_reactor(lambda reactor: _collect_lease_views(reactor, first))
+    first_address = gateway_address(options, address)
+    views = run_in_reactor(lambda reactor: _collect_lease_views(reactor, first_address))
     summary = lease_summary.summarize(views)
     for line in summary.json_lines() if as_json else summary.text_lines():
         click.echo(line)
     sys.exit(0 if summary.healthy else 1)
 
 
-def _collect_lease_views(reactor: Any, first: str) -> Deferred[dict[str, Any]]:
+def _collect_lease_views(reactor: Any, first_address: str) -> Deferred[dict[str, Any]]:
     from vanerelay.leases import messages as lease_messages
 
     node = RpcNode(reactor)
@@ -199,10 +202,12 @@
         def finish(results: list[tuple[bool, Any]]) -> dict[str, Any]:
             node.stop()
             replies = [
-                lease_messages.decode(body, lease_messages.LeasesStatus) for good, body in results if good
+                lease_messages.decode(body, lease_messages.LeasesStatus)
+                for succeeded, body in results
+                if succeeded
             ]
-            return {view.name: view for view in replies if view is not None}
+            return {status.name: status for status in replies if status is not None}
 
         return DeferredList(requests, consumeErrors=True).addCallback(finish)
 
-    return _collect_views(RpcNode(reactor), first).addCallback(request_all)
+    return _collect_views(RpcNode(reactor), first_address).addCallback(request_all)
--- a/vanerelay/fleet/config.py
+++ b/vanerelay/fleet/config.py
@@ -1,4 +1,4 @@
-"""The `fleet` block of the operators' file, typed."""
+"""Reads the `fleet` block of the operators' file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedMember:
-    """A gateway that the operators name, and where it is reached."""
+    """A gateway that the operators' file lists, with its fleet address and failure domain."""
 
     name: str
     address: str
@@ -22,15 +22,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """What the `fleet` block says.
+    """Settings of the `fleet` block.
 
     Attributes:
-        listen: Host and port on which other gateways reach us.
-        fleet_name: Which fleet we belong to; messages of others are refused.
-        domain: Our region of failure: what fails together.
-        folder: Where the incarnation is kept; nowhere if empty.
-        seeds: Members that the operators name, to be probed first.
-        failure_detector: The tuned values of failure detection.
+        listen: Host and port on which this gateway accepts connections of other gateways.
+        fleet_name: Name of the fleet that this gateway belongs to; messages of other fleets are refused.
+        domain: Failure domain of this gateway; gateways of one domain may fail together.
+        folder: Folder of the file with the incarnation; if empty, the incarnation is not stored.
+        seeds: Members that the operators' file lists; they are probed before any other is known.
+        failure_detector: Settings of failure detection, the inner `pace` block.
     """
 
     listen: str
@@ -42,11 +42,15 @@
 
 
 def read_config(block: Block) -> FleetConfig:
-    """Reads the block; raises OperatorConfigError with the line of what is wrong."""
+    """Returns the settings of the block.
+
+    Raises:
+        OperatorConfigError: A value is missing, wrong or unknown; the message names its line.
+    """
     detector_block, seed_blocks = block.find_block("pace"), block.blocks("member")
     config = block.fill(
         FleetConfig,
-        seeds=tuple(_read_seed(one) for one in seed_blocks),
+        seeds=tuple(_read_seed(member_block) for member_block in seed_blocks),
         failure_detector=(
             detector_block.fill(FailureDetectorConfig) if detector_block else FailureDetectorConfig()
         ),
@@ -55,10 +59,10 @@
     for seed, seed_block in zip(config.seeds, seed_blocks, strict=True):
         _check_address(seed_block, "address", seed.address)
     if any(not seed.name for seed in config.seeds):
-        raise block.error('member: no name, expected one, such as member "m2"')
-    for one in (block, detector_block, *seed_blocks):
-        if one is not None:
-            one.reject_unknown()
+        raise block.error('member: block without a name, expected one, such as member "m2"')
+    for checked_block in (block, detector_block, *seed_blocks):
+        if checked_block is not None:
+            checked_block.reject_unknown()
     return config
 
 
--- a/vanerelay/fleet/failure_detector.py
+++ b/vanerelay/fleet/failure_detector.py
@@ -1,11 +1,13 @@
-"""Failure detection: which gateways of the fleet are alive. Pure: told the time, given its random source.
+"""Failure detection: which gateways of the fleet are alive.
+
+Without I/O: the caller passes the time, the random generator and all messages.
 
 This is SWIM (Das, Gupta, Motivala 2002) with suspicion, and with the local health awareness of Lifeguard
-(Dadgar, Phillips, Currey 2018). In each probe interval a gateway probes one other, in an order that is
-shuffled anew each round. One that does not reply is probed indirectly, through a few helpers. One that
-nobody reaches is suspected, and counts as gone only after a timeout in which it could have refuted the
-suspicion. Gossip is piggybacked on these messages, so a gateway sends a bounded number of messages whatever
-the size of the fleet. Times are whole tenths of a millisecond.
+(Dadgar, Phillips, Currey 2018). In each probe interval a gateway probes one other member, in an order
+that is shuffled again for each round. A member that does not reply is probed indirectly, through a few
+helpers. A member that none of them reaches is suspected, and counts as gone only after a timeout in which it
+could have refuted the suspicion. Gossip is piggybacked on these messages, so a gateway sends a bounded number
+of messages whatever the size of the fleet. Times are integers in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -21,7 +23,10 @@
 
 
 class MemberState(IntEnum):
-    """Whether a member is alive. Of two reports on one version of a member, the higher state counts."""
+    """State of a member.
+
+    Of two reports with the same incarnation and sequence number, the one with the higher state counts.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -31,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """What is known of a gateway.
+    """A report on a member of the fleet.
 
-    `incarnation` is that of its process and never goes back. `sequence_number` is incremented by the member
-    itself whenever it announces something new of itself, and by nobody else.
+    `incarnation` numbers the processes that ran under the member's name and never decreases.
+    `sequence_number` is incremented only by the member itself, whenever it announces a change.
     """
 
     name: str
@@ -46,10 +51,12 @@
     program: str = ""
     settings: str = ""
     state: str = "starting"
-    orders: str = ""  # the highest fencing token of rollout orders that it knows, and for which change
+    orders: str = (
+        ""  # highest fencing token of a rollout order that the member has seen, and the name of its change
+    )
 
-    def newer(self, other: Member) -> bool:
-        """Whether this report supersedes another one on the same member."""
+    def is_newer_than(self, other: Member) -> bool:
+        """Returns True if this report supersedes another one on the same member."""
         return (self.incarnation, self.sequence_number, self.status) > (
             other.incarnation,
             other.sequence_number,
@@ -59,16 +66,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureDetectorConfig:
-    """Tuned values of the detector, the `pace` block of the operators' file.
+    """Settings of the failure detector, the `pace` block of the operators' file.
 
     Attributes:
-        probe_interval: Time between two probes.
-        probe_timeout: Time after which an unanswered probe is repeated through helpers.
-        indirect_probes: How many helpers are asked.
-        suspicion_factor: Probe intervals until a suspect is gone, times the logarithm of the fleet's size.
-        gossip_limit: Members of which one message carries reports.
-        max_members: Members that are known at all.
-        forget_after: Time after which a member that is gone is forgotten.
+        probe_interval: Time between the starts of two probes.
+        probe_timeout: Time without a reply after which a probe is repeated through helpers.
+        indirect_probes: Number of helpers that are asked to probe a member.
+        suspicion_factor: Suspicion timeout in probe intervals, per decimal logarithm of the fleet's size.
+        gossip_limit: Largest number of reports in one message, besides the one on the sender.
+        max_members: Largest number of members that are tracked; reports on further ones are ignored.
+        forget_after: Time after which a member that is gone or has left is removed.
     """
 
     probe_interval: Duration = config_field("period", default=500 * MILLISECOND)
@@ -81,21 +88,21 @@
 
 
 RETRANSMIT_FACTOR = 3.0
-"""Times that a report is gossiped, per decimal logarithm of the fleet's size: SWIM's lambda."""
+"""Number of times a report is sent, per decimal logarithm of the fleet's size: lambda in SWIM."""
 
 MIN_TRANSMISSIONS = 2
-"""Times that a report is gossiped at least, in the smallest fleet."""
+"""Smallest number of times a report is sent, which counts in the smallest fleets."""
 
 MAX_LOCAL_HEALTH = 8
-"""Bound of Lifeguard's local health multiplier: a gateway never waits more than nine times as long."""
+"""Upper bound of Lifeguard's local health score; timeouts grow to at most nine times their length."""
 
 STALL_PENALTY = 2
-"""What a stall of our own process adds to the multiplier: more than one failed probe does."""
+"""Increase of the local health score by a stall of this process, which counts more than a failed probe."""
 
 
 @dataclass(slots=True)
 class _Broadcast:
-    """A report that is still to be gossiped a number of times."""
+    """A report and the number of times it is still to be sent."""
 
     transmissions_left: int
     member: Member
@@ -105,62 +112,63 @@
     """One gateway's view of the fleet.
 
     The driver probes `next_probe_target` once per interval and reports the outcome with `probe_succeeded` or
-    `probe_failed`; it sends `gossip` with each message and passes on what it receives to `receive_gossip`.
+    `probe_failed`. It sends the result of `gossip` with each message, and passes received reports to
+    `receive_gossip`.
     """
 
-    def __init__(self, own: Member, config: FailureDetectorConfig, random_source: random.Random) -> None:
-        self.config, self._random = config, random_source
+    def __init__(self, own: Member, config: FailureDetectorConfig, random_generator: random.Random) -> None:
+        self.config, self._random = config, random_generator
         self._own = own
         self.members = {own.name: own}
-        self._probe_order = list[str]()  # the next one last
+        self._probe_order = list[str]()  # names; the next one to probe is the last
         self._broadcasts = dict[str, _Broadcast]()
         self._suspected_at = dict[str, int]()
         self._gone_at = dict[str, int]()
-        self._joined, self.replaced = False, False  # replaced: another process goes by our name
-        self._local_health = 0  # Lifeguard's multiplier: 0 is healthy
+        self._joined, self.replaced = False, False  # replaced: another process has this name
+        self._local_health = 0  # Lifeguard's local health score: 0 is healthy
         self._changes = list[Member]()
         self._broadcast(own)
 
     @property
     def own(self) -> Member:
-        """Ourselves, as we announce ourselves."""
+        """This gateway as a member, as it announces itself."""
         return self._own
 
     @property
     def has_joined(self) -> bool:
-        """Whether another member has acknowledged our present incarnation."""
+        """True if another member has acknowledged the present incarnation of this gateway."""
         return self._joined
 
     def announce(self, **changed: str) -> None:
-        """Announces something new of ourselves: our state, release or settings."""
+        """Announces changed fields of this gateway, such as its state, program or settings."""
         sequence_number = self._own.sequence_number + 1
         self._update(replace(self._own, sequence_number=sequence_number, **changed))  # type: ignore[arg-type]
 
     def leave(self) -> None:
-        """Announces that we leave the fleet."""
+        """Announces that this gateway leaves the fleet."""
         sequence_number = self._own.sequence_number + 1
         self._update(replace(self._own, sequence_number=sequence_number, status=MemberState.LEFT))
 
     def add_seed(self, name: str, address: str, domain: str = "") -> None:
-        """Adds a member that the operators name.
+        """Adds a member that the operators' file lists.
 
-        Nothing is known of it: it is probed, and does not count as alive before it replies.
+        Its state is not known yet: it is probed, and counts as gone until a report says that it is alive.
         """
         if name not in self.members:
             self.members[name] = Member(name, 0, 0, MemberState.GONE, domain, address)
 
     def take_changes(self) -> list[Member]:
-        """Members that have changed since the last call, in order."""
+        """Returns the changed members since the last call, in the order of the changes."""
         changes, self._changes = self._changes, []
         return changes
 
-    # Probes.
+    # Probes of other members.
 
     def next_probe_target(self, now: int) -> Member | None:
-        """Whom to probe in this interval.
+        """Returns the member to probe in this interval; None where there is no other member.
 
-        Everybody once, in shuffled order, before anybody again. Members that are gone are probed as well, so
-        that two halves of a partitioned fleet find each other again.
+        Each member is probed once, in shuffled order, before any is probed again. Members that are gone are
+        probed as well, so that the two halves of a partitioned fleet find each other again.
         """
         self._expire(now)
         others = self.members.keys() - {self._own.name}
@@ -175,7 +183,7 @@
         return self.members[self._probe_order.pop()] if self._probe_order else None
 
     def indirect_probe_helpers(self, target: str) -> list[Member]:
-        """Who is asked to probe a member that did not reply to us."""
+        """Returns the members to ask for a probe of `target`, which did not reply to this gateway."""
         alive = sorted(
             name
             for name, member in self.members.items()
@@ -185,21 +193,25 @@
         return [self.members[name] for name in self._random.sample(alive, count)]
 
     def probe_timeout(self) -> int:
-        """How long to wait for a reply: longer while our own health is poor."""
+        """Returns the time to wait for a reply, which grows while the local health is poor."""
         return self.config.probe_timeout * (1 + self._local_health)
 
     def suspicion_timeout(self) -> int:
-        """How long a suspect has to refute the suspicion."""
+        """Returns the time that a suspect has to refute the suspicion."""
         size_factor = max(1.0, math.log10(max(1, len(self.members))))
         timeout = int(self.config.suspicion_factor * size_factor * self.config.probe_interval)
         return timeout * (1 + self._local_health)
 
     def probe_succeeded(self) -> None:
-        """Some member replied. A suspect refutes its suspicion itself, under a later sequence number."""
+        """Improves the local health after a reply.
+
+        The state of the probed member stays: a suspect refutes the suspicion itself, with a later sequence
+        number.
+        """
         self._local_health = max(0, self._local_health - 1)
 
     def probe_failed(self, name: str, now: int) -> None:
-        """Neither we nor the helpers reached a member."""
+        """Suspects a member that neither this gateway nor its helpers reached."""
         self._degrade(1)
         member = self.members.get(name)
         if member is not None and member.status is MemberState.ALIVE:
@@ -207,53 +219,53 @@
             self._suspected_at[name] = now
 
     def process_stalled(self) -> None:
-        """Our own process stood still: nobody else is to blame for replies that were late."""
+        """Degrades the local health after a stall of this process, as late replies may be its own fault."""
         self._degrade(STALL_PENALTY)
 
-    # Gossip.
+    # Gossip with other members.
 
     def gossip(self) -> list[Member]:
-        """The reports to send with the next message: ourselves, then those that were sent least often."""
+        """Returns the reports to send next: on this gateway, then those with most transmissions left."""
         pending = sorted(
-            self._broadcasts.values(), key=lambda one: (-one.transmissions_left, one.member.name)
+            self._broadcasts.values(), key=lambda entry: (-entry.transmissions_left, entry.member.name)
         )
         chosen = pending[: self.config.gossip_limit]
         for broadcast in chosen:
             broadcast.transmissions_left -= 1
             if broadcast.transmissions_left <= 0:
                 del self._broadcasts[broadcast.member.name]
-        others = [one.member for one in chosen if one.member.name != self._own.name]
+        others = [entry.member for entry in chosen if entry.member.name != self._own.name]
         return [self._own, *others]
 
     def gossip_reply(self, sender: Member) -> list[Member]:
-        """The reports to reply with: gossip, and what we know of the sender where that is newer."""
+        """Returns the reports for a reply: gossip, and the known report on the sender if it is newer."""
         known = self.members.get(sender.name)
-        return [*self.gossip(), *([known] if known is not None and known.newer(sender) else [])]
+        return [*self.gossip(), *([known] if known is not None and known.is_newer_than(sender) else [])]
 
     def full_state(self) -> list[Member]:
-        """All members of which anything is known, for one that joins."""
+        """Returns all members with a report, for a member that joins; omits seeds without one."""
         return [member for member in self.members.values() if member.incarnation]
 
     def receive_gossip(self, reports: Iterable[Member], now: int) -> None:
-        """Merges the reports of another member."""
+        """Merges reports that another member has sent."""
         for member in reports:
             if member.name == self._own.name:
-                self._receive_own(member)
+                self._handle_report_on_self(member)
             elif self._supersedes(member):
                 self._update(member)
-                self._note_state_times(member, now)
+                self._record_state_time(member, now)
 
     def acknowledged(self, incarnation: int) -> None:
-        """Another member has replied to this incarnation of ours, and knew of no later one."""
+        """Records that another member replied to this incarnation and reported no later one."""
         self._joined = self._joined or incarnation == self._own.incarnation
 
     def _supersedes(self, member: Member) -> bool:
         known = self.members.get(member.name)
         if known is None:
             return len(self.members) < self.config.max_members
-        return member.newer(known)
+        return member.is_newer_than(known)
 
-    def _note_state_times(self, member: Member, now: int) -> None:
+    def _record_state_time(self, member: Member, now: int) -> None:
         if member.status is MemberState.SUSPECT:
             self._suspected_at.setdefault(member.name, now)
         else:
@@ -263,19 +275,20 @@
         else:
             self._gone_at.pop(member.name, None)
 
-    def _receive_own(self, member: Member) -> None:
-        """Handles a report on ourselves.
+    def _handle_report_on_self(self, member: Member) -> None:
+        """Handles a report on this gateway.
 
-        A later incarnation than ours, before we have joined, is one from before a lost disk or from a clock
-        that was ahead: we go past it. After that it is our successor, and we fall silent. That we are suspect
-        or gone is refuted under a later sequence number.
+        A later incarnation that is reported before this gateway has joined stems from before the loss of its
+        disk, or from a clock that was ahead: the incarnation is raised past it. Reported after the joining,
+        it is that of a successor, and this process is marked as replaced. A report that this gateway is
+        suspect or gone is refuted with a later sequence number.
         """
         own = self._own
         if member.incarnation > own.incarnation and self._joined:
             self.replaced = True
         elif member.incarnation > own.incarnation:
             self._update(replace(own, incarnation=member.incarnation + 1, sequence_number=0))
-        elif member.newer(own) and own.status is not MemberState.LEFT:
+        elif member.is_newer_than(own) and own.status is not MemberState.LEFT:
             self._degrade(1)
             self._update(replace(own, sequence_number=member.sequence_number + 1))
 
@@ -283,7 +296,7 @@
         self._local_health = min(MAX_LOCAL_HEALTH, self._local_health + penalty)
 
     def _expire(self, now: int) -> None:
-        """Declares suspects gone whose timeout is over, and forgets members that are long gone."""
+        """Declares suspects gone after the suspicion timeout, and removes members `forget_after` later."""
         for name, since in list(self._suspected_at.items()):
             if now - since >= self.suspicion_timeout():
                 del self._suspected_at[name]
@@ -310,7 +323,7 @@
 
 
 class Liveness(StrEnum):
-    """Whether one viewer takes a member for alive, in the words that commands print."""
+    """Liveness of a member in the view of one gateway. The values are printed by `vanerelay fleet show`."""
 
     ALIVE = "alive"
     GONE = "gone"
@@ -318,14 +331,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewDifference:
-    """A member on which views differ: for each opinion, the gateways that hold it."""
+    """A member that some gateways see as alive and others as gone, with the names of both groups."""
 
     name: str
     viewers: tuple[tuple[Liveness, tuple[str, ...]], ...]
 
 
 def view_differences(views: Mapping[str, Iterable[Member]]) -> list[ViewDifference]:
-    """Members that some viewers take for alive and others for gone; `views` by the name of the viewer."""
+    """Returns the members that some gateways see as alive and others as gone; `views` by gateway name."""
     opinions = dict[str, dict[Liveness, list[str]]]()
     for viewer in sorted(views):
         for member in views[viewer]:
@@ -333,16 +346,19 @@
             liveness = Liveness.ALIVE if alive else Liveness.GONE
             opinions.setdefault(member.name, {}).setdefault(liveness, []).append(viewer)
     return [
-        ViewDifference(name, tuple((liveness, tuple(who)) for liveness, who in sorted(by_liveness.items())))
+        ViewDifference(
+            name, tuple((liveness, tuple(names)) for liveness, names in sorted(by_liveness.items()))
+        )
         for name, by_liveness in sorted(opinions.items())
         if len(by_liveness) > 1
     ]
 
 
 def next_incarnation(stored: int, wall_clock_ms: int) -> int:
-    """The incarnation of a process that starts.
+    """Returns the incarnation of a process that starts.
 
-    It is past the stored one, and about the time, so that it grows without a disk as well. Where the clock
-    was ahead before, other members know, and the detector goes past what they report.
+    It is greater than the stored one and at least the wall clock, so that it also grows without a disk. If
+    the clock was ahead before, the other members report the greater incarnation, and the detector raises its
+    own past it.
     """
     return max(stored + 1, wall_clock_ms)
--- a/vanerelay/fleet/messages.py
+++ b/vanerelay/fleet/messages.py
@@ -1,8 +1,8 @@
-"""Messages between gateways of a fleet, as bytes (MessagePack) and back. Pure.
+"""Messages between gateways of a fleet, and their encoding as MessagePack. Without I/O.
 
-A body of a later release may have more fields, which are ignored; one of an earlier release has fewer, and
-the missing ones take their defaults. What cannot be decoded is no body at all. Field names are keys on the
-wire: one that is renamed here keeps its wire name with `msgspec.field(name=...)`.
+Messages of later releases may have more fields, which are ignored. Messages of earlier releases may have
+fewer; the missing fields take their defaults. A body that cannot be decoded counts as none. Field names are
+keys on the wire: a field with another name here keeps its wire name with `msgspec.field(name=...)`.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 T = TypeVar("T")
 
 MAX_MESSAGE_BYTES = 60_000
-"""Bytes of a body: AMP carries at most 65,535 in one value."""
+"""Largest size of a body in bytes; AMP carries at most 65,535 bytes in one value."""
 
 MAX_ROWS = 200
-"""Members in one message, which keeps the longest ones within `MAX_MESSAGE_BYTES`."""
+"""Largest number of members in one message, so that it stays within `MAX_MESSAGE_BYTES`."""
 
 PING_KIND = "ping"
 INDIRECT_PING_KIND = "through"
 VIEW_KIND = "view"
 
 
-class Row(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A member on the wire."""
+class MemberRow(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A member of the fleet in its wire form; see `Member` for the fields."""
 
     name: str
     incarnation: int
@@ -42,23 +42,23 @@
 
 
 class Ping(msgspec.Struct, frozen=True):
-    """A direct probe with gossip.
+    """A direct probe, with gossip.
 
     Attributes:
-        fleet: The fleet that the sender belongs to.
-        own: The sender.
+        fleet: Name of the fleet that the sender belongs to.
+        own: The sender's report on itself.
         gossip: Reports on other members.
-        join: Whether the sender wants the full state in reply.
+        join: True if the sender asks for the full state in the reply.
     """
 
     fleet: str
-    own: Row
-    gossip: list[Row] = msgspec.field(default_factory=list, name="news")
+    own: MemberRow
+    gossip: list[MemberRow] = msgspec.field(default_factory=list, name="news")
     join: bool = False
 
 
 class IndirectPing(msgspec.Struct, frozen=True):
-    """Requests that the receiver probes `target`, which the sender does not reach."""
+    """A request to probe `target`, which the sender could not reach."""
 
     fleet: str
     target: str
@@ -66,26 +66,40 @@
 
 
 class PingReply(msgspec.Struct, frozen=True):
-    """The reply to both kinds of probe: gossip, and whether the target was reached."""
+    """The reply to a direct or an indirect probe.
 
-    gossip: list[Row] = msgspec.field(default_factory=list, name="news")
+    Attributes:
+        gossip: Reports on members.
+        reached: True if the target of an indirect probe replied; always True for a direct one.
+    """
+
+    gossip: list[MemberRow] = msgspec.field(default_factory=list, name="news")
     reached: bool = True
 
 
 class View(msgspec.Struct, frozen=True):
-    """All that a gateway knows of its fleet, for operators."""
+    """A gateway's view of its fleet, for operators.
+
+    Attributes:
+        name: Name of the gateway.
+        fleet: Name of its fleet.
+        rows: The members that it knows, itself included.
+        replaced: True if another process has joined under its name.
+        requests_sent: Requests of failure detection that it has sent since its start.
+        requests_answered: Requests of failure detection that it has answered since its start.
+    """
 
     name: str
     fleet: str
-    rows: list[Row]
+    rows: list[MemberRow]
     replaced: bool = False
     requests_sent: int = msgspec.field(default=0, name="asks")
     requests_answered: int = msgspec.field(default=0, name="answers")
 
 
-def to_row(member: Member) -> Row:
-    """A member in its form on the wire."""
-    return Row(
+def to_row(member: Member) -> MemberRow:
+    """Returns a member in its wire form."""
+    return MemberRow(
         name=member.name,
         incarnation=member.incarnation,
         sequence_number=member.sequence_number,
@@ -99,13 +113,13 @@
     )
 
 
-def to_rows(members: list[Member]) -> list[Row]:
-    """Members in their form on the wire."""
+def to_rows(members: list[Member]) -> list[MemberRow]:
+    """Returns members in their wire form."""
     return [to_row(member) for member in members]
 
 
-def to_member(row: Row) -> Member | None:
-    """A member out of its form on the wire; None where it has no name or a state that is not known."""
+def to_member(row: MemberRow) -> Member | None:
+    """Returns the member of a wire form; None if its name is empty or its state unknown."""
     if not row.name or not 0 <= row.status <= max(MemberState):
         return None
     return Member(
@@ -122,19 +136,19 @@
     )
 
 
-def to_members(rows: list[Row]) -> list[Member]:
-    """The members out of the first `MAX_ROWS` rows, without those that are not understood."""
+def to_members(rows: list[MemberRow]) -> list[Member]:
+    """Returns the members of the first `MAX_ROWS` rows, without those that `to_member` rejects."""
     return [member for member in map(to_member, rows[:MAX_ROWS]) if member is not None]
 
 
 def encode(body: msgspec.Struct) -> bytes:
-    """The bytes of a body."""
+    """Returns a message body encoded as MessagePack."""
     return msgspec.msgpack.encode(body)
 
 
-def decode(data: bytes, kind: type[T]) -> T | None:
-    """The body of a kind out of its bytes; None where they cannot be decoded."""
+def decode(data: bytes, body_type: type[T]) -> T | None:
+    """Returns the message body of type `body_type` that `data` encodes; None if it cannot be decoded."""
     try:
-        return msgspec.msgpack.decode(data, type=kind)
+        return msgspec.msgpack.decode(data, type=body_type)
     except msgspec.MsgspecError:
         return None
--- a/vanerelay/fleet/release.py
+++ b/vanerelay/fleet/release.py
@@ -1,4 +1,4 @@
-"""Digests that name a release: of the files that decide, and of a gateway's settings."""
+"""Identifiers of what a gateway runs: its program version and the digest of its settings."""
 
 from __future__ import annotations
 
@@ -38,26 +38,26 @@
     "policy/runtime_estimator.py",
     "policy/slow_start.py",
 )
-"""The files that decide, beside this package."""
-OWN = ("position", "az")  # settings that each gateway has of its own
-DIGEST_BYTES = 6  # twelve hex digits: few enough to read, enough to tell releases apart
+"""Source files that determine the decisions about queries, as paths within the `vanerelay` package."""
+PER_GATEWAY_SETTINGS = ("position", "az")  # settings that differ between the gateways of a fleet
+DIGEST_BYTES = 6  # twelve hex digits: short enough to read, long enough to distinguish releases
 
 
-def program(root: Path = Path(__file__).parent.parent) -> str:
-    """The version and a digest of the files that decide; the same wherever the same program is installed."""
+def program_version(root: Path = Path(__file__).parent.parent) -> str:
+    """Returns the version and a digest of the `POLICY` files, equal for equal installations."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for name in POLICY:
         digest.update((root / name).read_bytes())
     return f"{__version__}-{digest.hexdigest()}"
 
 
-def settings(profile: Mapping[str, Any]) -> str:
-    """The digest of those settings that the whole fleet shares."""
-    shared = {name: value for name, value in profile.items() if name not in OWN}
+def settings_digest(profile: Mapping[str, Any]) -> str:
+    """Returns the digest of the settings that the whole fleet shares."""
+    shared = {name: value for name, value in profile.items() if name not in PER_GATEWAY_SETTINGS}
     text = json.dumps(shared, sort_keys=True, separators=(",", ":")).encode()
     return hashlib.blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def with_own(shared: Mapping[str, Any], own: Mapping[str, Any]) -> dict[str, Any]:
-    """Settings of the fleet, with those that one gateway has of its own."""
-    return {**shared, **{name: value for name, value in own.items() if name in OWN}}
+def with_per_gateway_settings(shared: Mapping[str, Any], own: Mapping[str, Any]) -> dict[str, Any]:
+    """Returns the shared settings of the fleet, completed by the per-gateway settings out of `own`."""
+    return {**shared, **{name: value for name, value in own.items() if name in PER_GATEWAY_SETTINGS}}
--- a/vanerelay/fleet/rpc.py
+++ b/vanerelay/fleet/rpc.py
@@ -1,8 +1,8 @@
-"""RPC between gateways: requests and replies over Twisted's AMP, on connections that are kept while in use.
+"""RPC between gateways: requests and replies over Twisted's AMP, on connections that are reused.
 
-One AMP command carries requests of all kinds, by name. A kind that the other side does not know is answered
-with an error of its own, so that releases side by side do each other no harm. docs/design/fleet.md compares
-this with gRPC.
+One AMP command carries requests of all kinds, each with the name of its kind. A kind that the peer does not
+know is answered with UnknownKindError, so that gateways of different releases can run side by side.
+docs/design/fleet.md compares this with gRPC.
 """
 
 from __future__ import annotations
@@ -22,38 +22,38 @@
 CONNECTION_DONE = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 
 MAX_OPENED_CONNECTIONS = 16
-"""Connections to other gateways; past these the least recently used is closed."""
+"""Largest number of connections opened to gateways; past it the least recently used one is closed."""
 
 MAX_ACCEPTED_CONNECTIONS = 64
-"""Connections from other gateways; past these the least recently used is closed."""
+"""Largest number of connections accepted from gateways; past it the least recently used one is closed."""
 
 LISTEN_RETRY_S = 0.1
-"""Seconds between attempts to listen, while a predecessor of this process still does."""
+"""Time between attempts to listen, while a predecessor of this process still uses the address."""
 
 MIN_CONNECT_TIMEOUT_S = 1.0
-"""Seconds that a connection may take to open, where the request itself waits for less."""
+"""Shortest timeout for opening a connection, also for a request with a shorter timeout of its own."""
 
 log = structlog.get_logger()
 
 
 class RpcError(Exception):
-    """A request got no usable reply; the subclass says why."""
+    """A request failed; the subclass gives the kind of failure."""
 
 
 class UnknownKindError(RpcError):
-    """The other side does not know this kind of request."""
+    """The peer does not know this kind of request."""
 
 
 class RequestRefusedError(RpcError):
-    """The other side knows the request and refuses it; the message says why, in one line."""
+    """The peer refused the request; the message gives the reason in one line."""
 
 
 class NoReplyError(RpcError):
-    """No reply in time, or no connection: whether the request was received is not known."""
+    """No reply within the timeout, or no connection. The peer may or may not have received the request."""
 
 
 class Call(amp.Command):
-    """Carries one request of any kind. Its name on the wire is that of earlier releases."""
+    """The AMP command that carries a request of any kind. `commandName` is fixed by earlier releases."""
 
     commandName = b"Say"
     arguments = [(b"kind", amp.Unicode()), (b"body", amp.String())]  # type: ignore[no-untyped-call]
@@ -62,11 +62,14 @@
 
 
 Handler = Callable[[bytes], "bytes | Deferred[bytes]"]
-"""Answers the body of a request with the body of its reply, or raises RequestRefusedError."""
+"""Function that returns the body of the reply to a request body, or raises RequestRefusedError."""
 
 
 class RpcConnection(amp.AMP):
-    """One connection. A protocol error of the other side ends it and is logged without a traceback."""
+    """A connection to another gateway.
+
+    A protocol error of the peer ends the connection and is logged without a traceback.
+    """
 
     transport: Any
 
@@ -76,7 +79,7 @@
 
     @Call.responder
     def handle_call(self, kind: str, body: bytes) -> Deferred[dict[str, bytes]]:
-        """Answers a request of the other side."""
+        """Answers a request of the peer with the handler of its kind."""
         self._node.connection_used(self)
         handler = self._node.handlers.get(kind)
         if handler is None:
@@ -85,13 +88,16 @@
         return reply.addCallback(lambda reply_body: {"body": reply_body})
 
     def unhandledError(self, failure: Any) -> None:
-        """Ends the connection, as AMP asks for after an error that has no code."""
-        log.warning("rpc connection aborted", why=failure.getErrorMessage())
+        """Aborts the connection, as AMP requires after an error that has no error code."""
+        log.warning(
+            "fleet rpc failed with an unexpected error, aborting the connection",
+            why=failure.getErrorMessage(),
+        )
         if self.transport is not None:
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = CONNECTION_DONE) -> None:
-        """Fails the requests that wait for a reply."""
+        """Fails the requests that wait for a reply on this connection."""
         self.lost = True
         self._node.connection_lost(self)
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
@@ -105,16 +111,16 @@
     def __init__(self, reactor: Any) -> None:
         self.reactor = reactor
         self.handlers = dict[str, Handler]()
-        # Both with the least recently used first.
+        # Both dictionaries: the least recently used connection first.
         self._opened: OrderedDict[str, RpcConnection] = OrderedDict()
         self._accepted: OrderedDict[RpcConnection, None] = OrderedDict()
         self._port: Any = None
         self._stopped = self._listen_failed = False
 
-    # Requests of others.
+    # Requests of other gateways.
 
-    def listen(self, address: str, then: Callable[[], None] = lambda: None) -> None:
-        """Listens as soon as nobody else does at that address; calls `then` afterwards."""
+    def listen(self, address: str, on_listening: Callable[[], None] = lambda: None) -> None:
+        """Listens at `address`, retrying while another process does; then calls `on_listening`."""
         if self._stopped:
             return
         host, _, port = address.rpartition(":")
@@ -122,15 +128,15 @@
             self._port = self.reactor.listenTCP(int(port), self, interface=host)
         except CannotListenError as error:
             if not self._listen_failed:
-                log.warning("fleet listener not available yet", why=str(error))
+                log.warning("cannot listen on the fleet address, retrying", why=str(error))
             self._listen_failed = True
-            self.reactor.callLater(LISTEN_RETRY_S, self.listen, address, then)
+            self.reactor.callLater(LISTEN_RETRY_S, self.listen, address, on_listening)
             return
         self._listen_failed = False
-        then()
+        on_listening()
 
     def buildProtocol(self, addr: Any) -> RpcConnection:
-        """Accepts a connection."""
+        """Creates the protocol of an accepted connection."""
         connection = RpcConnection(self)
         self._accepted[connection] = None
         if len(self._accepted) > MAX_ACCEPTED_CONNECTIONS:
@@ -139,27 +145,27 @@
         return connection
 
     def connection_used(self, connection: RpcConnection) -> None:
-        """A request came in on a connection."""
+        """Marks an accepted connection as most recently used, after a request on it."""
         if connection in self._accepted:
             self._accepted.move_to_end(connection)
 
     def connection_lost(self, connection: RpcConnection) -> None:
-        """A connection has ended."""
+        """Removes a connection that has ended."""
         self._accepted.pop(connection, None)
         self.release_connection(connection)
 
-    # Requests of our own.
+    # Requests of this gateway.
 
     def call(self, address: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
-        """Sends a request; fires with the body of the reply, or fails with an RpcError."""
+        """Sends a request; the result fires with the body of the reply, or fails with an RpcError."""
         pending = _PendingCall(self, address, timeout_s)
         self._connect(address, timeout_s).addCallbacks(
-            lambda found: pending.send(found, kind, body), pending.failed
+            lambda connection: pending.send(connection, kind, body), pending.failed
         )
         return pending.result
 
     def release_connection(self, connection: RpcConnection) -> None:
-        """Sends no further request over a connection."""
+        """Excludes a connection from further requests; those in flight on it can still be answered."""
         for address, other in list(self._opened.items()):
             if other is connection:
                 del self._opened[address]
@@ -196,7 +202,7 @@
 
 
 class _PendingCall:
-    """One request, from before its connection is open until its reply, its error or its timeout."""
+    """A request, from the opening of its connection to its reply, error or timeout."""
 
     def __init__(self, node: RpcNode, address: str, timeout_s: float) -> None:
         self.result: Deferred[bytes] = Deferred()
@@ -205,7 +211,7 @@
         self._timer = node.reactor.callLater(timeout_s, self._timed_out)
 
     def send(self, connection: RpcConnection, kind: str, body: bytes) -> None:
-        """The connection is open: sends the request over it, unless it is too late."""
+        """Sends the request over its open connection, unless the request has timed out."""
         if self.result.called:
             return
         self._connection = connection
@@ -213,25 +219,28 @@
         reply: Deferred[dict[str, bytes]] = connection.callRemote(  # type: ignore[no-untyped-call]
             Call, kind=kind, body=body
         )
-        reply.addCallbacks(lambda arguments: self._end(arguments["body"]), self.failed)
+        reply.addCallbacks(lambda arguments: self._finish(arguments["body"]), self.failed)
 
     def failed(self, failure: Any) -> None:
-        """The other side answered with an error, or there is no connection."""
+        """Fails the request after an error reply of the peer, or where no connection could be opened."""
         if failure.check(UnknownKindError, RequestRefusedError):
-            self._end(failure.value)
+            self._finish(failure.value)
         else:
-            self._end(NoReplyError(f"{self._address}: {failure.getErrorMessage()}"))
+            self._finish(NoReplyError(f"{self._address}: {failure.getErrorMessage()}"))
 
     def _timed_out(self) -> None:
-        """The next request goes over a new connection; this one ends once nothing else waits on it."""
+        """Fails the request, and lets the next one to this address open a new connection.
+
+        The present connection is aborted if no other request waits on it.
+        """
         connection = self._connection
         if connection is not None:
             self._node.release_connection(connection)
             if connection.pending_calls == 1:
                 connection.transport.abortConnection()
-        self._end(NoReplyError(f"nothing came from {self._address} within {self._timeout_s:.1f} s"))
+        self._finish(NoReplyError(f"no reply from {self._address} within {self._timeout_s:.1f} s"))
 
-    def _end(self, outcome: bytes | RpcError) -> None:
+    def _finish(self, outcome: bytes | RpcError) -> None:
         if self._timer.active():
             self._timer.cancel()
         if self._connection is not None:
--- a/vanerelay/fleet/service.py
+++ b/vanerelay/fleet/service.py
@@ -1,4 +1,4 @@
-"""One gateway's place in its fleet: the driver of `failure_detector` over `rpc`."""
+"""Membership of this gateway in its fleet: runs `failure_detector` with the clock and `rpc`."""
 
 from __future__ import annotations
 
@@ -22,24 +22,26 @@
 DRAINING_STATE = "draining"
 
 STALL_THRESHOLD = 100 * MILLISECOND
-"""How late our own turn may come before late replies are laid on ourselves."""
+"""Delay of this process's probe timer past which missing replies may be caused by the process itself."""
 
 DIRECT_ANNOUNCEMENTS = 3
-"""Members that are told directly that we join or leave; the others hear of it by gossip."""
+"""Number of members notified directly of a join or leave; gossip reaches the others."""
 
 INDIRECT_TIMEOUT_FACTOR = 2
-"""Probe timeouts that an indirect probe may take: it is two probes, one after the other."""
+"""Timeout of an indirect probe in probe timeouts: it is two probes in sequence."""
 
 log = structlog.get_logger()
 
 
 class FleetService:
-    """The gateways that know each other, as this one sees them.
+    """Membership of this gateway in its fleet.
 
     Attributes:
-        rpc: The RPC node; other subsystems add handlers of their own kinds of request to it.
-        detector: The failure detector, which knows the members.
-        member_listeners: Called with each member that changes.
+        rpc: RPC with other gateways; other subsystems add handlers for their kinds of request.
+        config: The settings of the `fleet` block.
+        name: Name of this gateway.
+        detector: The failure detector, which tracks the members.
+        member_listeners: Functions that are called with each changed member.
     """
 
     def __init__(
@@ -65,13 +67,13 @@
             settings=settings,
         )
         self.detector = FailureDetector(own, config.failure_detector, self._random)
-        self._seed_addresses = {one.name: one.address for one in config.seeds}
-        for one in config.seeds:
-            self.detector.add_seed(one.name, one.address, one.domain)
+        self._seed_addresses = {seed_member.name: seed_member.address for seed_member in config.seeds}
+        for seed_member in config.seeds:
+            self.detector.add_seed(seed_member.name, seed_member.address, seed_member.domain)
         self.member_listeners = list[Callable[[Member], None]]()
         self._requests_sent = self._requests_answered = 0
         self._timer: Any = None
-        self._next_turn_at, self._stopped, self._silent = 0, False, False
+        self._next_probe_at, self._stopped, self._silent = 0, False, False
         self.rpc.handlers |= {
             messages.PING_KIND: self._handle_ping,
             messages.INDIRECT_PING_KIND: self._handle_indirect_ping,
@@ -79,33 +81,36 @@
         }
 
     def start(self) -> None:
-        """Listens as soon as it can, and begins to probe after that.
+        """Listens as soon as the address is free, and starts probing after that.
 
-        While a predecessor still listens under our name, the fleet hears of that one alone.
+        While a predecessor of the same name still listens, the fleet communicates with that process only.
         """
-        self.rpc.listen(self.config.listen, self._begin)
+        self.rpc.listen(self.config.listen, self._start_probing)
 
-    def _begin(self) -> None:
-        self._next_turn_at = self._clock.now()
-        self._turn()
+    def _start_probing(self) -> None:
+        self._next_probe_at = self._clock.now()
+        self._probe_next()
         seeds = self.config.seeds
-        for one in self._random.sample(seeds, min(DIRECT_ANNOUNCEMENTS, len(seeds))):
-            self._ping(self._address_of(one.name, one.address), join=True)
+        for seed_member in self._random.sample(seeds, min(DIRECT_ANNOUNCEMENTS, len(seeds))):
+            self._ping(self._address_of(seed_member.name, seed_member.address), join=True)
 
     def announce(self, **changed: str) -> None:
-        """Announces our state, settings, program or orders, if they have changed."""
+        """Announces fields of this gateway (state, settings, program, orders) if any has changed."""
         own = self.detector.own
         if any(getattr(own, name) != value for name, value in changed.items()):
             self.detector.announce(**changed)
             self._notify_changes()
 
     def hand_over(self) -> None:
-        """Falls silent: our successor under the same name takes our place."""
+        """Stops all messages, as a successor of the same name takes over."""
         self._silent = True
         self.rpc.stop()
 
     def leave(self) -> Deferred[Any]:
-        """Announces that we leave. Fires once a few members have replied, or could not be reached."""
+        """Announces that this gateway leaves the fleet.
+
+        The result fires once each of the members that are notified directly has replied or failed to.
+        """
         if self._silent:
             return succeed(None)
         self.detector.leave()
@@ -115,26 +120,26 @@
             if member.status is MemberState.ALIVE and member.name != self.name
         ]
         chosen = self._random.sample(others, min(DIRECT_ANNOUNCEMENTS, len(others)))
-        return DeferredList([self._ping(self._address_of(one.name, one.address)) for one in chosen])
+        return DeferredList([self._ping(self._address_of(other.name, other.address)) for other in chosen])
 
     def stop(self) -> None:
-        """Ends all probes and connections."""
+        """Stops probing and closes all connections."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self.rpc.stop()
 
     def address(self, name: str) -> str | None:
-        """Where a member is reached: as the operators say, else as it says itself."""
+        """Returns the address of a member: the one in the operators' file, else the one it announces."""
         if name in self._seed_addresses:
             return self._seed_addresses[name]
         member = self.detector.members.get(name)
         return member.address or None if member is not None else None
 
     def call(self, name: str, kind: str, body: bytes, timeout_s: float) -> Deferred[bytes]:
-        """Sends a request of another subsystem to a member by name.
+        """Sends a request of another subsystem to the member of the given name.
 
-        Fails with an RpcError; with RequestRefusedError where no address of that name is known.
+        The result fails with an RpcError: a RequestRefusedError if the address of the member is not known.
         """
         address = self.address(name)
         if address is None:
@@ -143,16 +148,16 @@
             return failed
         return self.rpc.call(address, kind, body, timeout_s)
 
-    # Probes, one in each interval.
+    # Probes of other members, one in each probe interval.
 
-    def _turn(self) -> None:
+    def _probe_next(self) -> None:
         if self._stopped:
             return
         now, interval = self._clock.now(), self.config.failure_detector.probe_interval
-        if now - self._next_turn_at > STALL_THRESHOLD:
+        if now - self._next_probe_at > STALL_THRESHOLD:
             self.detector.process_stalled()
-        self._next_turn_at = now + interval
-        self._timer = self._reactor.callLater(interval / SECOND, self._turn)
+        self._next_probe_at = now + interval
+        self._timer = self._reactor.callLater(interval / SECOND, self._probe_next)
         if self._silent:
             return
         target = self.detector.next_probe_target(now)
@@ -164,9 +169,9 @@
         is_gone = target.status is MemberState.GONE
         probing = self._ping(self._address_of(target.name, target.address), join=is_gone)
         if not is_gone:
-            probing.addCallback(self._probed, target)
+            probing.addCallback(self._handle_probe_result, target)
 
-    def _probed(self, reached: bool, target: Member) -> None:
+    def _handle_probe_result(self, reached: bool, target: Member) -> None:
         if reached or self._stopped:
             return
         helpers = self.detector.indirect_probe_helpers(target.name)
@@ -180,18 +185,20 @@
             )
             for helper in helpers
         ]
-        DeferredList(replies).addCallback(self._probed_indirectly, target)
+        DeferredList(replies).addCallback(self._handle_indirect_results, target)
 
-    def _probed_indirectly(self, results: list[tuple[bool, Any]], target: Member) -> None:
+    def _handle_indirect_results(self, results: list[tuple[bool, Any]], target: Member) -> None:
         replies = [
-            messages.decode(body, messages.PingReply) for good, body in results if good and body is not None
+            messages.decode(body, messages.PingReply)
+            for succeeded, body in results
+            if succeeded and body is not None
         ]
         if not any(reply is not None and reply.reached for reply in replies):
             self.detector.probe_failed(target.name, self._clock.now())
             self._notify_changes()
 
     def _ping(self, address: str, join: bool = False) -> Deferred[bool]:
-        """Sends a probe; fires with whether it was answered."""
+        """Sends a probe; the result fires with True if a reply came."""
         own = self.detector.own
         reports = self.detector.full_state()[: messages.MAX_ROWS] if join else self.detector.gossip()
         ping = messages.Ping(self.config.fleet_name, messages.to_row(own), messages.to_rows(reports), join)
@@ -210,13 +217,13 @@
     def _request(
         self, address: str, kind: str, body: bytes, timeout_factor: int = 1
     ) -> Deferred[bytes | None]:
-        """Sends a request of the detector; fires with None where no reply came."""
+        """Sends a request of the detector; the result fires with the reply's body, or None on failure."""
         self._requests_sent += 1
         timeout_s = self.detector.probe_timeout() * timeout_factor / SECOND
         reply: Deferred[Any] = self.rpc.call(address, kind, body, timeout_s)
         return reply.addErrback(lambda _: None)
 
-    # Requests of others.
+    # Requests of other gateways.
 
     def _handle_ping(self, body: bytes) -> bytes:
         ping = messages.decode(body, messages.Ping)
@@ -251,14 +258,17 @@
         )
         return messages.encode(view)
 
-    def _receive_gossip(self, rows: list[messages.Row]) -> None:
+    def _receive_gossip(self, rows: list[messages.MemberRow]) -> None:
         incarnation_before = self.detector.own.incarnation
         self.detector.receive_gossip(messages.to_members(rows), self._clock.now())
         if self.detector.own.incarnation != incarnation_before:
             self._incarnations.save(self.detector.own.incarnation)
         if self.detector.replaced and not self._silent:
             self._silent = True
-            log.warning("another process has joined under our name, falling silent", name=self.name)
+            log.warning(
+                "another process has joined under this name, sending no further fleet messages",
+                name=self.name,
+            )
         self._notify_changes()
 
     def _notify_changes(self) -> None:
@@ -268,8 +278,8 @@
             for listener in self.member_listeners:
                 listener(member)
 
-    def _address_of(self, name: str, announced: str) -> str:
-        return self._seed_addresses.get(name, announced)
+    def _address_of(self, name: str, announced_address: str) -> str:
+        return self._seed_addresses.get(name, announced_address)
 
     def _new_incarnation(self) -> int:
         number = next_incarnation(self._incarnations.load(), int(time.time() * 1000))
@@ -279,7 +289,7 @@
 
 def _log_change(member: Member) -> None:
     log.info(
-        "member changed",
+        "fleet member changed",
         member=member.name,
         standing=member.status.name.lower(),
         state=member.state,
--- a/vanerelay/fleet/store.py
+++ b/vanerelay/fleet/store.py
@@ -1,4 +1,4 @@
-"""The incarnation of this gateway's process, kept in a file over restarts."""
+"""Stores the incarnation number of this gateway in a file, so that it grows over restarts."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class IncarnationStore:
-    """Keeps one number in a folder; with no folder named it keeps nothing."""
+    """Stores the incarnation number in a file of `folder`; stores nothing where `folder` is empty."""
 
     def __init__(self, folder: str) -> None:
         self._path = Path(folder, FILE_NAME) if folder else None
 
     def load(self) -> int:
-        """The number that was saved last; 0 where there is none that can be read."""
+        """Returns the number that was saved last; 0 where the file is missing or unreadable."""
         stored = 0
         if self._path is not None:
             with contextlib.suppress(OSError, ValueError):
@@ -28,9 +28,9 @@
         return stored
 
     def save(self, number: int) -> None:
-        """Saves a number, completely or not at all.
+        """Saves a number atomically: writes a temporary file and renames it.
 
-        A failure is logged and is no reason not to serve: the other gateways know the incarnation.
+        A failure is only logged, and the gateway goes on serving: the other gateways know its incarnation.
         """
         if self._path is None:
             return
@@ -43,4 +43,4 @@
                 os.fsync(file.fileno())
             temporary.rename(self._path)
         except OSError as error:
-            log.warning("incarnation not saved", why=str(error))
+            log.warning("incarnation could not be stored, continuing without a stored one", why=str(error))
--- a/vanerelay/rollout/agent.py
+++ b/vanerelay/rollout/agent.py
@@ -143,7 +143,7 @@
         except ValueError as error:
             return f"settings: {error}"
         try:
-            raw_settings = release.with_own(settings, self._host.settings)
+            raw_settings = release.with_per_gateway_settings(settings, self._host.settings)
         except (TypeError, AttributeError) as error:
             return f"{type(error).__name__}: {error}"
         refusal = self._host.apply_settings(raw_settings)
--- a/vanerelay/rollout/extension.py
+++ b/vanerelay/rollout/extension.py
@@ -32,8 +32,10 @@
 
     def reloaded_settings(self, raw_settings: dict[str, Any]) -> dict[str, Any]:
         """The same on a reload, which checks them itself."""
-        ordered = self._store.read_settings(release.settings(raw_settings))
-        return release.with_own(ordered, raw_settings) if ordered is not None else raw_settings
+        ordered = self._store.read_settings(release.settings_digest(raw_settings))
+        return (
+            release.with_per_gateway_settings(ordered, raw_settings) if ordered is not None else raw_settings
+        )
 
     def open(self) -> None:
         """Begins to answer controllers."""
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -170,7 +170,7 @@
     reason = settings_validation.find_restart_setting(old, new)
     if reason is not None:
         raise block.error(f"settings: {reason}", "settings")
-    if release.settings(old) == release.settings(new):
+    if release.settings_digest(old) == release.settings_digest(new):
         raise block.error("settings: the same as before, expected something that changes", "settings")
     return old, new
 
@@ -207,12 +207,14 @@
         Release.NEW: new,
     }
     bodies = {name: _shared_body(one) for name, one in settings.items()}
-    return bodies, {name: release.settings(one) for name, one in settings.items()}
+    return bodies, {name: release.settings_digest(one) for name, one in settings.items()}
 
 
 def _shared_body(settings: Mapping[str, Any]) -> bytes:
     """Settings as they are ordered: without those that each gateway has of its own."""
-    return json.dumps({key: value for key, value in settings.items() if key not in release.OWN}).encode()
+    return json.dumps(
+        {key: value for key, value in settings.items() if key not in release.PER_GATEWAY_SETTINGS}
+    ).encode()
 
 
 def _read_stage(block: Block, gateways: Mapping[str, GatewayAddress]) -> Stage:
