--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -220,7 +220,7 @@
     ping = messages.decode(later_release, messages.Ping)
     assert ping is not None and ping.own.name == "m1" and ping.gossip == []
     assert messages.decode(b"\xc1nonsense", messages.Ping) is None
-    assert messages.to_member(messages.Row("m1", 1, status=9)) is None
+    assert messages.to_member(messages.MemberRow("m1", 1, status=9)) is None
 
 
 def test_the_lease_overview_prints_the_lines_of_earlier_releases():
--- a/vanerelay/fleet/failure_detector.py
+++ b/vanerelay/fleet/failure_detector.py
@@ -51,9 +51,7 @@
     program: str = ""
     settings: str = ""
     state: str = "starting"
-    orders: str = (
-        ""  # highest fencing token of a rollout order that the member has seen, and the name of its change
-    )
+    orders: str = ""  # highest fencing token of rollout orders that the member knows, and their change
 
     def is_newer_than(self, other: Member) -> bool:
         """Returns True if this report supersedes another one on the same member."""
@@ -91,7 +89,7 @@
 """Number of times a report is sent, per decimal logarithm of the fleet's size: lambda in SWIM."""
 
 MIN_TRANSMISSIONS = 2
-"""Smallest number of times a report is sent, which counts in the smallest fleets."""
+"""Smallest number of times a report is sent, which applies in the smallest fleets."""
 
 MAX_LOCAL_HEALTH = 8
 """Upper bound of Lifeguard's local health score; timeouts grow to at most nine times their length."""
@@ -279,8 +277,8 @@
         """Handles a report on this gateway.
 
         A later incarnation that is reported before this gateway has joined stems from before the loss of its
-        disk, or from a clock that was ahead: the incarnation is raised past it. Reported after the joining,
-        it is that of a successor, and this process is marked as replaced. A report that this gateway is
+        disk, or from a clock that was ahead: the incarnation is raised past it. After this gateway has
+        joined, it is that of a successor, and this process is marked as replaced. A report that this gateway is
         suspect or gone is refuted with a later sequence number.
         """
         own = self._own
--- a/vanerelay/fleet/service.py
+++ b/vanerelay/fleet/service.py
@@ -22,7 +22,7 @@
 DRAINING_STATE = "draining"
 
 STALL_THRESHOLD = 100 * MILLISECOND
-"""Delay of this process's probe timer past which missing replies may be caused by the process itself."""
+"""Delay of the probe timer past which late replies are attributed to a stall of this process."""
 
 DIRECT_ANNOUNCEMENTS = 3
 """Number of members notified directly of a join or leave; gossip reaches the others."""
