--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,19 +48,20 @@
             [],
             itertools.count(),
         )
-        self.nodes = {}
+        self.detectors = {}
         for number in range(count):
             self.start(f"m{number}", 1000 + number, [f"m{n}" for n in range(count)])
 
     def start(self, name, incarnation, seeds):
-        node = FailureDetector(
+        detector = FailureDetector(
             Member(name, incarnation, address=name), CONFIG, random.Random(f"{name}{incarnation}")
         )
         for other in seeds:
-            node.add_seed(other, other)
-        self.nodes[name] = node
+            detector.add_seed(other, other)
+        self.detectors[name] = detector
         heapq.heappush(
-            self.due, (self.now + self.random.randrange(CONFIG.probe_interval), next(self.serial), name, node)
+            self.due,
+            (self.now + self.random.randrange(CONFIG.probe_interval), next(self.serial), name, detector),
         )
 
     def reaches(self, sender_name, receiver_name):
@@ -77,7 +78,7 @@
     def ping(self, sender_name, receiver_name, join=False):
         if not self.reaches(sender_name, receiver_name):
             return False
-        sender, receiver = self.nodes[sender_name], self.nodes[receiver_name]
+        sender, receiver = self.detectors[sender_name], self.detectors[receiver_name]
         own = sender.own
         receiver.receive_gossip([own, *(sender.full_state() if join else sender.gossip())], self.now)
         sender.receive_gossip(
@@ -90,31 +91,31 @@
     def run(self, duration):
         until = self.now + duration
         while self.due and self.due[0][0] <= until:
-            self.now, _, name, node = heapq.heappop(self.due)
-            if self.nodes.get(name) is not node:
+            self.now, _, name, detector = heapq.heappop(self.due)
+            if self.detectors.get(name) is not detector:
                 continue  # another process has replaced it under this name
-            heapq.heappush(self.due, (self.now + CONFIG.probe_interval, next(self.serial), name, node))
-            if name in self.down or node.replaced:
+            heapq.heappush(self.due, (self.now + CONFIG.probe_interval, next(self.serial), name, detector))
+            if name in self.down or detector.replaced:
                 continue
-            target = node.next_probe_target(self.now)
+            target = detector.next_probe_target(self.now)
             if target is None or self.ping(name, target.name, target.status is MemberState.GONE):
                 continue
             if target.status is not MemberState.GONE and not any(
                 self.ping(name, helper.name) and self.ping(helper.name, target.name)
-                for helper in node.indirect_probe_helpers(target.name)
+                for helper in detector.indirect_probe_helpers(target.name)
             ):
-                node.probe_failed(target.name, self.now)
+                detector.probe_failed(target.name, self.now)
         self.now = until
 
     def count_views(self, status, names=None):
         """Returns the number of other gateways that see each member in `status`, by the member's name."""
         return {
             name: sum(
-                node.members[name].status is status
-                for other, node in self.nodes.items()
-                if other != name and other not in self.down and name in node.members
+                detector.members[name].status is status
+                for other, detector in self.detectors.items()
+                if other != name and other not in self.down and name in detector.members
             )
-            for name in (names or self.nodes)
+            for name in (names or self.detectors)
         }
 
 
@@ -149,7 +150,7 @@
         before = fleet.messages
         fleet.run(20 * SECOND)
         rates.append((fleet.messages - before) / count / 20)
-        assert all(len(node.gossip()) <= CONFIG.gossip_limit + 1 for node in fleet.nodes.values())
+        assert all(len(detector.gossip()) <= CONFIG.gossip_limit + 1 for detector in fleet.detectors.values())
     assert rates[0] <= 2.1 and rates[1] <= 2.1  # messages per second, at a probe interval of half a second
 
 
@@ -166,12 +167,12 @@
     fleet.run(10 * SECOND)
     fleet.is_cut = lambda sender, receiver: (int(sender[1:]) < 4) != (int(receiver[1:]) < 4)
     fleet.run(30 * SECOND)
-    views = {name: node.full_state() for name, node in fleet.nodes.items()}
-    assert {difference.name for difference in view_differences(views)} == set(fleet.nodes)
+    views = {name: detector.full_state() for name, detector in fleet.detectors.items()}
+    assert {difference.name for difference in view_differences(views)} == set(fleet.detectors)
     fleet.is_cut = lambda sender, receiver: False
     fleet.run(30 * SECOND)
     assert sum(fleet.count_views(MemberState.GONE).values()) == 0
-    assert view_differences({name: node.full_state() for name, node in fleet.nodes.items()}) == []
+    assert view_differences({name: detector.full_state() for name, detector in fleet.detectors.items()}) == []
 
 
 def test_a_restarted_member_without_disk_and_with_a_slow_clock_exceeds_its_old_incarnation():
@@ -179,33 +180,33 @@
     fleet.run(10 * SECOND)
     fleet.start("m1", 5, [f"m{n}" for n in range(4)])  # its previous incarnation was 1001
     fleet.run(10 * SECOND)
-    assert fleet.nodes["m1"].own.incarnation == 1002 and not fleet.nodes["m1"].replaced
+    assert fleet.detectors["m1"].own.incarnation == 1002 and not fleet.detectors["m1"].replaced
     assert fleet.count_views(MemberState.ALIVE, ["m1"]) == {"m1": 3}
 
 
 def test_a_paused_process_is_replaced_when_its_successor_has_joined():
     fleet = SimulatedFleet(4)
     fleet.run(10 * SECOND)
-    old = fleet.nodes["m1"]
+    old = fleet.detectors["m1"]
     fleet.start("m1", 2000, [f"m{n}" for n in range(4)])
     fleet.run(10 * SECOND)
-    old.receive_gossip(fleet.nodes["m2"].full_state(), fleet.now)
-    assert old.replaced and fleet.nodes["m1"].own.incarnation == 2000
+    old.receive_gossip(fleet.detectors["m2"].full_state(), fleet.now)
+    assert old.replaced and fleet.detectors["m1"].own.incarnation == 2000
 
 
 def test_timeouts_grow_after_a_stall_of_the_own_process():
     fleet = SimulatedFleet(4)
     fleet.run(10 * SECOND)
-    healthy, stalled = fleet.nodes["m1"], fleet.nodes["m2"]
+    healthy, stalled = fleet.detectors["m1"], fleet.detectors["m2"]
     stalled.process_stalled()
     assert stalled.probe_timeout() > healthy.probe_timeout()
     assert stalled.suspicion_timeout() > healthy.suspicion_timeout()
 
 
 def test_members_and_gossip_stay_bounded_when_many_members_are_reported():
-    node = FailureDetector(Member("m0", 1), FailureDetectorConfig(max_members=10), random.Random(1))
-    node.receive_gossip([Member(f"x{n}", 1) for n in range(100)], 0)
-    assert len(node.members) == 10 and len(node.gossip()) <= CONFIG.gossip_limit + 1
+    detector = FailureDetector(Member("m0", 1), FailureDetectorConfig(max_members=10), random.Random(1))
+    detector.receive_gossip([Member(f"x{n}", 1) for n in range(100)], 0)
+    assert len(detector.members) == 10 and len(detector.gossip()) <= CONFIG.gossip_limit + 1
 
 
 @pytest.mark.parametrize("stored, clock, expected", [(0, 500, 500), (700, 500, 701), (400, 500, 500)])
@@ -267,7 +268,7 @@
     (folder / "fence").write_text("7/change")
     options = f'fleet {{\nlisten = "{listen}"\n}}\nrollout {{\nfolder = "{folder}"\n}}\n'
     engine = FakeEngine(lambda engine, connection, ident: engine.return_result(connection, ident))
-    node = GatewayProcess(tmp_path, feed, member(engine), options=options)
+    gateway = GatewayProcess(tmp_path, feed, member(engine), options=options)
 
     def settings_in_force():
         command = [sys.executable, "-m", "vanerelay", "fleet", "show", "--address", listen, "--json"]
@@ -276,14 +277,14 @@
 
     try:
         assert until(settings_in_force, "a reply of the fleet") == release.settings_digest(ordered)
-        node.process.terminate()
-        assert node.process.wait(30) == 0
+        gateway.process.terminate()
+        assert gateway.process.wait(30) == 0
         (folder / "ordered.json").write_text(json.dumps({**stored, "replaces": "another"}))
-        node.start()
+        gateway.start()
         assert until(settings_in_force, "a reply of the fleet") == release.settings_digest(SETTINGS)
     finally:
-        node.process.kill()
-        node.process.wait()
+        gateway.process.kill()
+        gateway.process.wait()
         engine.close()
         feed.server.shutdown()
         feed.server.server_close()
--- a/vanerelay/fleet/failure_detector.py
+++ b/vanerelay/fleet/failure_detector.py
@@ -277,8 +277,8 @@
         """Handles a report on this gateway.
 
         A later incarnation that is reported before this gateway has joined stems from before the loss of its
-        disk, or from a clock that was ahead: the incarnation is raised past it. After the gateway has joined, a
-        later incarnation is that of a successor, and this process is marked as replaced. A report that this
+        disk, or from a clock that was ahead: the incarnation is raised past it. After the gateway has joined,
+        a later incarnation is that of a successor, and this process is marked as replaced. A report that this
         gateway is suspect or gone is refuted with a later sequence number.
         """
         own = self._own
