--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -537,7 +537,7 @@
     """Automatic garbage collection is off, so queries must be freed by reference counting."""
     harness = ServiceHarness()
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-    harness.service.listed(EngineListChange(1, True, [member]))
+    harness.service.apply_engine_list_change(EngineListChange(1, True, [member]))
     harness.send_query(1)
     protocol, transport = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
     protocol.makeConnection(transport)
@@ -570,7 +570,7 @@
         harness.advance(0.2)
     else:
         member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-        harness.service.listed(EngineListChange(1, True, [member]))
+        harness.service.apply_engine_list_change(EngineListChange(1, True, [member]))
         harness.send_query(1, service="load")
         monkeypatch.setattr(gateway._report_dispatcher, "engine_responded", fail)
         protocol, transport = harness.reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
@@ -761,7 +761,7 @@
     harness = ServiceHarness()
 
     def change(number, whole=False, **states):
-        harness.service.listed(
+        harness.service.apply_engine_list_change(
             EngineListChange(
                 number,
                 whole,
@@ -815,7 +815,7 @@
     peers.transport.write = raise_error
     peers.send(peer, b"x" * size)  # lost, without an exception
     peers.transport.write = working_write
-    peers.received = lambda number, data: received_sizes.append((number, len(data)))
+    peers.on_received = lambda number, data: received_sizes.append((number, len(data)))
     for host, port in (("127.0.0.3", 7), ("127.0.0.3", 8), ("127.0.0.4", 7)):
         peers.datagramReceived(b"\xff" * 2000, (host, port))
     assert received_sizes == [(1, 256)]  # identified by its address; other senders are ignored
@@ -880,9 +880,9 @@
 
 def test_failing_extension_fails_a_query_only_if_its_constrain_raises():
     harness = ServiceHarness()
-    harness.service.join([FailingOnQueries()])
+    harness.service.add_extensions([FailingOnQueries()])
     member = ListedEngine("e", "127.0.0.1:9", discovery_codec.EngineState.UP, 0, 0, 0, 1.0, 0)
-    harness.service.listed(EngineListChange(1, True, [member]))
+    harness.service.apply_engine_list_change(EngineListChange(1, True, [member]))
     harness.send_query(1)
     assert harness.answers() == [(1, AnswerStatus.FAILED)]  # which engines may run it is unknown
     harness.send_query(2, service="load")
@@ -914,7 +914,7 @@
 
 
 class FakeReactor(MemoryReactorClock):
-    def latest(self):
+    def take_max_delay_s(self):
         return 0.0
 
 
@@ -935,7 +935,7 @@
         Clock(reactor.seconds),
         Configuration(configuration),
         "127.0.0.1:0",
-        join=lambda host: [FailingOnShutdown()],
+        make_extensions=lambda host: [FailingOnShutdown()],
     )
     yield server, configuration
     gc.enable()
@@ -985,7 +985,7 @@
         (["check", "missing.json"], 2, "missing.json"),
         (["check", "good.json"], 0, "engines known: 1"),
         (["serve"], 2, "--config"),
-        (["check", "empty.json"], 2, "nothing told under"),
+        (["check", "empty.json"], 2, "required keys are missing"),
         (["--help"], 0, "serve"),
     ],
 )
