--- a/vanerelay/estimation.py
+++ b/vanerelay/estimation.py
@@ -107,7 +107,7 @@
         return math.exp(self._y + self._yy / 2) if self.samples else 0.0
 
     def spread(self) -> float:
-        """Returns the standard deviation of the log of the actual value around that of the expected value."""
+        """Returns the standard deviation of the log of the actual value around the expected log."""
         if self.samples <= 1:
             return 0.0
         return math.sqrt(max(0.0, self._yy - self.slope() * self._xy))
--- a/vanerelay/extension.py
+++ b/vanerelay/extension.py
@@ -71,7 +71,7 @@
 
     @property
     def gateway(self) -> Gateway:
-        """The object that takes the decisions under the current settings."""
+        """The policy's gateway under the current settings."""
 
     def engine_addresses(self) -> dict[int, str]:
         """Returns the address of each listed engine, by the engine's index."""
@@ -90,7 +90,18 @@
     def submit_internal(
         self, service_class: str, statement: str, engine: int, memory: float, max_duration: int
     ) -> InternalQuery | None:
-        """Submits a query of this gateway itself to one engine. Returns None if it cannot be admitted now."""
+        """Submits a query of this gateway itself to one engine.
+
+        Args:
+            service_class: The name of its service class.
+            statement: The statement to run.
+            engine: The index of the engine.
+            memory: The estimate of its memory, in MB.
+            max_duration: The time until its deadline, in ticks; limited to the deadline of its service class.
+
+        Returns:
+            The query, or None if it cannot be admitted now.
+        """
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +148,7 @@
         """Fires with the status of the final answer, and never fails."""
 
     def cancel(self) -> None:
-        """Gives the query up: its answer is no longer wanted."""
+        """Cancels the query, as its answer is no longer needed."""
 
 
 class ConstrainedQuery(Protocol):
@@ -149,7 +160,7 @@
     def reject(self, retry_after: int) -> None:
         """Rejects the query at once because no engine may serve it.
 
-        Has no effect once the query has been submitted to the decisions.
+        Has no effect once the query has been submitted to the policy.
 
         Args:
             retry_after: The time after which the client may retry, in ticks.
--- a/vanerelay/invariants.py
+++ b/vanerelay/invariants.py
@@ -37,7 +37,7 @@
 """The budget, in attempts in a window during slow start, below which the tolerance is wider."""
 
 TOLERANCE_DEVIATIONS = 2.0
-"""The tolerance above a slow start budget is this many times its square root plus this many attempts."""
+"""The tolerance above a slow start budget, in attempts, is this times (1 + the square root of the budget)."""
 
 SMALL_TOLERANCE_DEVIATIONS = 3.0
 """The same for budgets below `LARGE_BUDGET`."""
@@ -203,7 +203,7 @@
     # Checks.
 
     def may_answer(self, record: QueryRecord) -> bool:
-        """Returns True if the final answer may be given, as none was given before."""
+        """Returns True if the final answer may be given: none was given, and the client has not left."""
         return self._allow(Invariant.ANSWER if record.is_ended else None)
 
     def may_close(self, unanswered: int) -> bool:
--- a/vanerelay/policy/__init__.py
+++ b/vanerelay/policy/__init__.py
@@ -1,8 +1,8 @@
 """The policy: decides which query runs on which engine, when, with how much memory, and which are rejected.
 
 `gateway` holds the main path of a query. Each other module covers one concern, with the tuned values of that
-concern as constants. Times and durations are in ticks of 0.1 ms, memory is in MB. The policy does no I/O,
-reads no clock and uses no random numbers but from the seed that it is given.
+concern as constants. Times and durations are in ticks of 0.1 ms, memory is in MB. The policy does no I/O and
+reads no clock, and its only random generator is seeded by the caller.
 
 Doc comments refer to these rules by number:
 
--- a/vanerelay/policy/admission_queue.py
+++ b/vanerelay/policy/admission_queue.py
@@ -21,7 +21,7 @@
         self._queues: defaultdict[PlacementConstraints, list[Query]] = defaultdict(list)
 
     def enqueue(self, query: Query) -> bool:
-        """Adds a query by its order of arrival.
+        """Adds a query at its place in the order of submission.
 
         Returns:
             True if the query is at the head of its queue, so that `serve` is to be called.
--- a/vanerelay/policy/engine_registry.py
+++ b/vanerelay/policy/engine_registry.py
@@ -33,7 +33,8 @@
 """Trial queries per second at an ejected engine, from all gateways that use it together."""
 
 LARGE_QUERY_DIVISOR = 8
-"""The work of a large query is the largest latency objective times threads of a class, divided by this."""
+"""The work of a large query is the largest product of latency objective and threads of any service class,
+divided by this."""
 
 ANYWHERE = PlacementConstraints(None, None, None)
 """Constraints that every engine satisfies."""
@@ -147,7 +148,7 @@
             engine.health.record_activity(now)
         unchanged_placement = PlacementConstraints((entry.zone,), (entry.machine_kind,), entry.cell)
         if not unchanged_placement.allow(engine.entry):
-            self._set_listed(engine, False)  # takes it from the lists of `order` that it no longer matches
+            self._set_listed(engine, False)  # removes it from the lists of `order` that it no longer matches
         engine.entry = entry
         self._set_listed(engine, entry.state is EngineState.UP)
 
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -346,9 +346,9 @@
 
         Args:
             engine: The index of the engine.
-            running: The queries that proxies have running there.
-            ended: The queries that ended there since the last report.
-            errors: How many of those failed.
+            running: The requests that the proxies have in flight at this engine.
+            ended: The requests that have ended since the last report.
+            errors: Those of the ended requests that failed.
         """
         known_engine = self._engines.get(engine)
         if known_engine is not None:
--- a/vanerelay/policy/outlier_detection.py
+++ b/vanerelay/policy/outlier_detection.py
@@ -80,7 +80,7 @@
         mean_log_slowdown: The mean log of the slowdown of queries compared to an engine without load.
         has_slowdown: Whether any run was observed, so that `mean_log_slowdown` is known.
         last_attempt_at: When the last attempt was sent to the engine.
-        is_lost: Whether the last attempt found no connection, and nothing was received since.
+        is_lost: Whether an attempt found no connection, and nothing was received since.
     """
 
     def __init__(self) -> None:
@@ -138,7 +138,8 @@
     def run_observed(self, slowdown: float, weight: float) -> None:
         """Records the slowdown of a run compared to an engine without load.
 
-        The first run, and a run of a trial query, replaces the earlier ones in proportion to its weight.
+        The first run and the runs of trial queries change the mean by their whole weight, other runs by a
+        `SLOWDOWN_RUNS`th of it.
         """
         if self.has_slowdown and not self.is_ejected:
             weight = weight / SLOWDOWN_RUNS
--- a/vanerelay/policy/placement.py
+++ b/vanerelay/policy/placement.py
@@ -24,8 +24,8 @@
 """Factor of the weight of an engine in this gateway's zone."""
 
 DATA_LOAD_MISMATCH_FACTOR = 0.02
-"""Factor of the weight of the engines for queries that wait for data loads when a data load is placed, and
-the reverse."""
+"""Factor of the weight of an engine that is meant for waiting queries if a data load is placed, and of one
+that is meant for data loads if a waiting query is placed."""
 
 MAX_CACHE_FACTOR = 16.0
 """Largest factor of the weight of an engine that is likely to have the query's table group cached."""
--- a/vanerelay/policy/report_dispatcher.py
+++ b/vanerelay/policy/report_dispatcher.py
@@ -1,4 +1,4 @@
-"""Passes figures in the answers and reports of engines to the estimators that learn from them."""
+"""Passes the values in answers and reports of engines to the estimators that learn from them."""
 
 from __future__ import annotations
 
--- a/vanerelay/policy/retry_budget.py
+++ b/vanerelay/policy/retry_budget.py
@@ -13,8 +13,8 @@
 """Ticks over which queries are counted if the settings state no budget."""
 
 WINDOW_BUCKETS = 50
-"""Number of buckets of the window. It is large, as the count of queries leaves out whole buckets at the end
-of the window."""
+"""Number of buckets of the window. It is large, as the count of queries that raise the budget leaves out the
+oldest buckets of the window."""
 
 _QUERIES = 0
 _RETRIES = 1
--- a/vanerelay/policy/slow_start.py
+++ b/vanerelay/policy/slow_start.py
@@ -18,7 +18,7 @@
 BUDGET_CAUTION = 0.7
 """The part of the budget that is used, as the actual work of queries differs from the expected work."""
 
-AFTER_RESTART = 0.5
+RESTART_BUDGET_SHARE = 0.5
 """The part of its budget that a gateway uses in the first window after its start. Its predecessor at the same
 position may have sent the rest shortly before."""
 
@@ -89,7 +89,7 @@
         window = self._terms.overload_window
         budget = own_share * self._budget * self.ramp_share(max(self.engine_started_at, now - window))
         if self.engine_started_at < self._gateway_started_at and now < self._gateway_started_at + window:
-            budget *= AFTER_RESTART
+            budget *= RESTART_BUDGET_SHARE
         return self.is_warmed_up(now) or (self.is_sender and self.sent_work(now) + work <= budget)
 
     def record_sent(self, now: int, work: float) -> None:
--- a/vanerelay/settings.py
+++ b/vanerelay/settings.py
@@ -1,4 +1,4 @@
-"""Converts the settings, which are the same JSON object on both wires, to the types of the policy.
+"""Converts the settings, the same JSON object on sockets and in the simulator, to the types of the policy.
 
 The keys of the JSON object are an external format and must not change. Those that the policy needs are
 converted only here. A setting that is missing or null has the default given here. No scheduling decision is
@@ -227,10 +227,10 @@
     """Creates the policy gateway for these settings.
 
     Args:
-        transport: Through which the policy sends attempts and answers and sets timers.
+        transport: The transport through which the policy sends attempts and answers and sets timers.
         seed: The seed of the policy's random generator.
         raw_settings: Valid settings, for which `settings_validation.find_error` returns None.
-        polls_load: True if the answer to a probe on this wire carries a load report. On sockets it does not.
+        polls_load: True if answers to probes carry load reports, as in the simulator; on sockets they do not.
     """
     allowed = capabilities(raw_settings)
     gateway_settings = GatewaySettings(
