--- a/vanerelay/interface.py
+++ b/vanerelay/interface.py
@@ -336,6 +336,7 @@
         estimated_cost: The client's estimate of its work; 0 if it gave none.
         estimated_memory: The client's estimate of its memory in MB; 0 if it gave none.
         table_group: The number of the group of tables that it reads, the same at every gateway.
+        is_retry: Whether it is a retry by its client, as far as the caller knows.
         eligible_engines: The engines that may serve it at present, read again for each attempt; None for all.
         earns_no_retries: Whether it does not raise the retry budget, as no client sent it or a client sent it
             again.
--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -397,12 +397,12 @@
         self._key_ordering = old._key_ordering.with_pause_of(self._key_ordering)
         self._attempts.inherit(old._attempts)
         self._retry_budget.inherit(old._retry_budget)
-        old_indexes = {
+        old_indices = {
             (service_class.name, service_class.threads): index
             for index, service_class in enumerate(old._classes)
         }
         for index, service_class in enumerate(self._classes):
-            old_index = old_indexes.get((service_class.name, service_class.threads))
+            old_index = old_indices.get((service_class.name, service_class.threads))
             if old_index is not None:
                 self._memory.inherit_class(index, old._memory, old_index)
                 self._runtime.inherit_class(index, old._runtime, old_index)
--- a/vanerelay/policy/outlier_detection.py
+++ b/vanerelay/policy/outlier_detection.py
@@ -138,8 +138,8 @@
     def run_observed(self, slowdown: float, weight: float) -> None:
         """Records the slowdown of a run compared to an engine without load.
 
-        The first run and the runs of trial queries change the mean by their whole weight, other runs by a
-        `SLOWDOWN_RUNS`th of it.
+        The first run and the runs of trial queries change the mean by their whole weight, other runs by their
+        weight divided by `SLOWDOWN_RUNS`.
         """
         if self.has_slowdown and not self.is_ejected:
             weight = weight / SLOWDOWN_RUNS
