--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: the pure parts one by one, the store, and the configuration."""
+"""Leases: unit tests of the pure modules, the store, the voter service and the configuration."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
     Reply,
     Voter,
     VoterAnswer,
-    VoterMemory,
     VoterRecord,
     Voters,
     VoterState,
+    VoterStatus,
 )
 from vanerelay.leases.voter_service import VoterService
 from vanerelay.operator_config import OperatorConfigError, read_file
@@ -42,7 +42,7 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet():
+def silence_logs():
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     yield
     structlog.reset_defaults()
@@ -51,21 +51,21 @@
 # Voters.
 
 
-def test_a_voter_without_a_store_is_silent_then_recovers_from_a_majority_of_the_others():
+def test_voter_without_a_store_refuses_requests_then_recovers_from_a_majority_of_other_voters():
     voter = Voter("a", TERMS, THREE, None, 0)
     assert voter.prepare(1, 1, "t", Ballot(1, "x", 1)).answer is VoterAnswer.REFUSED
     assert not voter.may_recover(TERMS.max_term - 1) and voter.may_recover(TERMS.max_term)
     grant = Grant(7, "m", 1, SECOND, Ballot(4, "m", 1))
     states = {"b": VoterState(3, 1, {"t": VoterRecord(Ballot(5, "n", 1), Grant())})}
-    assert not voter.recover(30000, states)  # one of three: it may be the one that did not hear
-    assert not voter.recover(30000, {**states, "a": VoterState(9, 1)})  # itself counts for nothing
+    assert not voter.recover(30000, states)  # one of three voters may lack an accepted grant
+    assert not voter.recover(30000, {**states, "a": VoterState(9, 1)})  # its own state does not count
     assert voter.recover(
         30000, {**states, "c": VoterState(2, 1, {"t": VoterRecord(Ballot(4, "m", 1), grant)})}
     )
     assert voter.era == 3 and voter.records["t"] == VoterRecord(Ballot(5, "n", 1), grant, 30000 + SECOND)
 
 
-def test_a_voter_with_its_store_counts_terms_anew():
+def test_voter_that_restarts_with_its_store_counts_terms_again_in_full():
     grant = Grant(7, "m", 1, SECOND, Ballot(4, "m", 1))
     voter = Voter("a", TERMS, THREE, VoterState(1, 1, {"t": VoterRecord(grant.ballot, grant)}), 50)
     assert voter.prepare(60, 1, "t", Ballot(9, "x", 1)).answer is VoterAnswer.HELD
@@ -75,26 +75,26 @@
 @pytest.mark.parametrize(
     "era, latest_era, accepted", [(1, 0, True), (4, 3, True), (3, 3, False), (1, 2, False)]
 )
-def test_an_operator_starts_a_later_era_only(era, latest_era, accepted):
+def test_start_era_accepts_only_a_later_era_and_only_after_the_silent_time(era, latest_era, accepted):
     voter = Voter("a", TERMS, THREE, None, 0)
     assert voter.start_era(era, latest_era) == "it is silent yet"
     voter.may_recover(TERMS.max_term)
     assert (voter.start_era(era, latest_era) is None) == accepted
-    assert (voter.memory is VoterMemory.READY) == accepted
+    assert (voter.status is VoterStatus.READY) == accepted
 
 
-def test_a_joint_step_needs_both_majorities_and_fences_the_step_before():
+def test_joint_step_needs_both_majorities_and_refuses_requests_of_the_previous_version():
     joint = Voters(2, ("c", "d", "e"), ("a", "b", "c"))
     assert not joint.is_quorum({"a", "b"}) and not joint.is_quorum({"d", "e"})
     assert joint.is_quorum({"b", "c", "d"})
     assert joint.is_recovery_quorum({"a", "b"}) and not joint.is_recovery_quorum({"d", "e"})
     old = Voter("a", TERMS, THREE, VoterState(1, 1), 0)
-    assert old.raise_version(2) and not old.raise_version(2)  # a new voter has asked for its memory
+    assert old.raise_version(2) and not old.raise_version(2)  # a new voter has read its records
     assert old.prepare(0, 1, "t", Ballot(1, "x", 1)).answer is VoterAnswer.REFUSED
     assert old.prepare(0, 2, "t", Ballot(1, "x", 1)).answer is VoterAnswer.GRANTED
 
 
-def test_a_promise_is_refused_while_another_holds_but_not_to_the_holder():
+def test_promise_is_refused_while_another_process_holds_the_lease_but_given_to_the_holder():
     voter = Voter("a", TERMS, THREE, VoterState(1, 1), 0)
     first = Ballot(1, "x", 1)
     voter.prepare(0, 1, "t", first)
@@ -105,7 +105,7 @@
     assert voter.accept(6, 1, "u", Grant(1, "x", 1, 9 * SECOND, first)).answer is VoterAnswer.REFUSED
 
 
-def test_a_holder_goes_past_a_higher_ballot_without_a_new_token():
+def test_holder_keeps_its_token_in_a_round_above_a_higher_ballot():
     claim = Claim(
         ClaimStage.HOLDING,
         Ballot(1, "x", 1),
@@ -117,7 +117,7 @@
     claim = claim.accept_replied(
         "a", Ballot(1, "x", 1), 1, Reply(VoterAnswer.HIGHER_BALLOT, promised=Ballot(6, "y", 2)), THREE, TERMS
     )
-    assert claim.outbid and claim.is_held(10)
+    assert claim.saw_higher_ballot and claim.is_held(10)
     claim = claim.start_round(10, "x", 1)
     assert claim.ballot.round == 7 and claim.is_held(10)
     for voter in "ab":
@@ -131,7 +131,7 @@
 # Fencing.
 
 
-def test_a_holder_begins_nothing_that_may_end_after_its_term():
+def test_holder_begins_no_operation_that_may_end_after_its_term():
     holder, ballot = LeaseHolder("t", "x/1"), Ballot(1, "x", 1)
     claim = Claim(
         ClaimStage.HOLDING,
@@ -139,20 +139,20 @@
         0,
         grant=Grant(3, "x", 1, SECOND, ballot),
         expires_at=1000,
-        was_released=False,
+        predecessor_released=False,
     )
     assert holder.update(0, claim, TERMS) and holder.acts_from == TERMS.takeover_delay
-    assert holder.begin(TERMS.takeover_delay - 1, 5) is None  # what another sent may still arrive
-    at = TERMS.takeover_delay
-    holder.expires_at = at + 100
-    assert holder.begin(at, 100) is None and holder.begin(at, 99) is not None
+    assert holder.begin(TERMS.takeover_delay - 1, 5) is None  # the predecessor's may still arrive
+    now = TERMS.takeover_delay
+    holder.expires_at = now + 100
+    assert holder.begin(now, 100) is None and holder.begin(now, 99) is not None
     holder.start_release()
-    assert holder.begin(at, 1) is None and not holder.may_release
+    assert holder.begin(now, 1) is None and not holder.may_release
     holder.in_flight.clear()
     assert holder.may_release
 
 
-GATE = [
+GATE_CASES = [
     ((1, 1, "x"), True),
     ((1, 2, "x"), True),
     ((1, 2, "x"), False),
@@ -164,12 +164,12 @@
 ]
 
 
-def test_a_receiver_refuses_outdated_late_and_repeated_operations():
+def test_gate_refuses_outdated_tokens_other_holders_and_repeated_serials():
     gate = FencingGate()
-    for (number, serial, holder), taken in GATE:
-        assert (gate.refusal("t", number, serial, holder) is None) == taken, (number, serial, holder)
-        if taken:
-            gate.accept("t", number, serial, holder)
+    for (token, serial, holder), allowed in GATE_CASES:
+        assert (gate.refusal("t", token, serial, holder) is None) == allowed, (token, serial, holder)
+        if allowed:
+            gate.accept("t", token, serial, holder)
     gate.learn("t", 9, "z")
     assert gate.refusal("t", 8, 1, "x") is not None and gate.highest_token("t") == 9
     assert gate.refusal("u", 1, 1, "x") is None
@@ -178,25 +178,25 @@
 # Assignment.
 
 
-def fleet(count, **more):
-    return [assignment.Candidate(f"m{n}", **more) for n in range(count)]
+def make_candidates(count, **attributes):
+    return [assignment.Candidate(f"m{n}", **attributes) for n in range(count)]
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 40), st.integers(1, 12), st.integers(0, 11))
-def test_tasks_are_spread_and_only_those_of_a_gateway_that_left_move_far(count, gateways, gone):
-    names, all_ = [f"t{n}" for n in range(count)], fleet(gateways)
-    before = assignment.assign(names, all_)
-    assert set(before) == set(names) and assignment.assign(names[::-1], all_[::-1]) == before
-    loads = [sum(order[0] == one.name for order in before.values()) for one in all_]
-    assert max(loads) <= assignment.load_limits(count, all_)["m0"]
-    left = [one for one in all_ if one.name != f"m{gone}"]
-    if left:
-        after = assignment.assign(names, left)
-        assert all(f"m{gone}" not in order for order in after.values())
-
-
-def test_outdated_gateways_rank_last_and_those_of_no_weight_never():
+def test_assign_bounds_loads_ignores_input_order_and_drops_a_gateway_that_left(count, gateways, gone):
+    names, candidates = [f"t{n}" for n in range(count)], make_candidates(gateways)
+    before = assignment.assign(names, candidates)
+    assert set(before) == set(names) and assignment.assign(names[::-1], candidates[::-1]) == before
+    loads = [sum(watchers[0] == one.name for watchers in before.values()) for one in candidates]
+    assert max(loads) <= assignment.load_limits(count, candidates)["m0"]
+    remaining = [one for one in candidates if one.name != f"m{gone}"]
+    if remaining:
+        after = assignment.assign(names, remaining)
+        assert all(f"m{gone}" not in watchers for watchers in after.values())
+
+
+def test_candidates_with_an_older_release_rank_last_and_those_of_weight_0_are_excluded():
     members = [
         Member("m1", 1, state="serving", program="0.2.0-aa"),
         Member("m2", 1, state="serving", program="0.10.0-bb"),
@@ -210,16 +210,16 @@
     assert [one.name for one in assignment.eligible_candidates(members, "m2", False)] == ["m1", "m5"]
 
 
-def test_a_task_is_handed_over_to_a_preferred_gateway_less_and_less_readily():
+def test_handover_waits_twice_as_long_after_a_handover():
     watch = assignment.TaskWatch()
-    watch.set_order(0, "m2", ("m1", "m2"))
+    watch.update_rank(0, "m2", ("m1", "m2"))
     watch.acquired(0)
     assert not watch.should_hand_over(2 * SECOND, SECOND, True) and watch.should_hand_over(
         3 * SECOND, SECOND, True
     )
     assert not watch.should_hand_over(
         3 * SECOND, SECOND, False
-    )  # suspected to be gone: it would take nothing
+    )  # suspected to have failed: it would not take the task
     watch.released(3 * SECOND, SECOND)
     assert not watch.wants_lease(5 * SECOND, SECOND) and watch.wants_lease(7 * SECOND, SECOND)
     watch.acquired(7 * SECOND)
@@ -231,25 +231,25 @@
 # Maintenance tasks.
 
 
-def test_commands_leave_at_an_even_pace_and_never_two_to_one_engine():
-    schedule, engines, sent, out = MaintenanceSchedule(10 * SECOND, 3), [f"e{n}" for n in range(40)], [], []
-    schedule.begin(0)
+def test_take_due_spreads_commands_and_never_sends_two_at_once_to_one_engine():
+    schedule, engines, sent, batch = MaintenanceSchedule(10 * SECOND, 3), [f"e{n}" for n in range(40)], [], []
+    schedule.reset(0)
     for tick in range(300):
         now = tick * SECOND // 10
-        for name in out:
-            schedule.ended(now, name, True)
-        out = schedule.take_due(now, engines)
-        assert len(out) <= 3 and not set(out) & schedule.in_flight
-        for name in out:
-            schedule.sent(name)
-        sent += [(now, name) for name in out]
-    first = [now for now, _ in sent[:40]]
+        for name in batch:
+            schedule.mark_ended(now, name, True)
+        batch = schedule.take_due(now, engines)
+        assert len(batch) <= 3 and not set(batch) & schedule.in_flight
+        for name in batch:
+            schedule.mark_sent(name)
+        sent += [(now, name) for name in batch]
+    first_times = [now for now, _ in sent[:40]]
     assert {name for _, name in sent[:40]} == set(engines)
-    assert 5 * SECOND <= first[-1] <= 8 * SECOND  # all were due at once, and were spread
+    assert 5 * SECOND <= first_times[-1] <= 8 * SECOND  # all are due at once, and are spread over time
     assert sum(name == "e7" for _, name in sent) in (3, 4, 5)
 
 
-def test_every_engine_has_one_shard():
+def test_shard_of_covers_all_shards():
     assert {shard_of(f"e{n}", 4) for n in range(100)} == {0, 1, 2, 3} and shard_of("e1", 1) == 0
 
 
@@ -257,28 +257,28 @@
 
 
 class DirectReactor:
-    """A reactor whose thread calls come at once."""
+    """A reactor that runs calls from other threads at once."""
 
-    def callFromThread(self, call, *values):
-        call(*values)
+    def callFromThread(self, call, *arguments):
+        call(*arguments)
 
 
-def test_what_is_put_outlives_the_process_and_a_full_disk_is_reported(tmp_path):
+def test_store_keeps_records_when_reopened_and_fails_on_a_full_disk_or_an_unusable_file(tmp_path):
     store = DurableStore(DirectReactor(), str(tmp_path))
-    store._pool.callInThread = lambda call, *values: call(*values)
+    store._pool.callInThread = lambda call, *arguments: call(*arguments)
     results = []
     store.put("a", {"x": b"1", "y": b"2"}).addCallback(results.append)
     store.put("a", {"y": None}).addCallback(results.append)
     store.put("a", {}).addCallback(results.append)
     assert results == [None] * 3
     store._connection.execute("pragma max_page_count = 3")
-    failed = []
-    store.put("a", {"z": b"0" * 100_000}).addErrback(lambda fault: failed.append(fault.value))
-    assert isinstance(failed[0], StoreError) and store.load("a") == {"x": b"1"}
+    errors = []
+    store.put("a", {"z": b"0" * 100_000}).addErrback(lambda failure: errors.append(failure.value))
+    assert isinstance(errors[0], StoreError) and store.load("a") == {"x": b"1"}
     store.close()
-    again = DurableStore(DirectReactor(), str(tmp_path))
-    assert again.load("a") == {"x": b"1"} and again.load("b") == {}
-    again.close()
+    reopened = DurableStore(DirectReactor(), str(tmp_path))
+    assert reopened.load("a") == {"x": b"1"} and reopened.load("b") == {}
+    reopened.close()
     with pytest.raises(StoreError):
         DurableStore(DirectReactor(), str(tmp_path / "promises.db"))
     (tmp_path / "promises.db").write_bytes(b"no database " * 1000)
@@ -287,16 +287,16 @@
 
 
 class FailingStore:
-    """A store whose disk is full for a while."""
+    """A store that fails all writes while `is_full` is set."""
 
     def __init__(self):
-        self.full, self.records = False, {}
+        self.is_full, self.records = False, {}
 
     def load(self, space):
         return {"meta": b"\x92\x01\x01"}
 
     def put(self, space, records):
-        if self.full:
+        if self.is_full:
             return fail(StoreError("full"))
         self.records |= records
         return succeed(None)
@@ -305,25 +305,25 @@
         pass
 
 
-def test_what_a_full_disk_did_not_store_is_stored_before_anything_else_is_answered():
+def test_voter_service_stores_records_that_failed_to_be_stored_with_the_next_request():
     store = FailingStore()
-    voting = VoterService(Clock(), "a", TERMS, THREE, store, lambda: 0, None)
-    ask = messages.VoteRequest(1, [("t", Ballot(1, "x", 1))])
-    store.full, refused, responses = True, [], []
-    voting.answer(ask).addErrback(lambda fault: refused.append(fault.value))
-    assert isinstance(refused[0], RequestRefusedError) and store.records == {} and voting.reason == "full"
-    store.full = False
-    voting.answer(messages.VoteRequest(1, [("u", Ballot(1, "x", 1))])).addCallback(responses.append)
+    service = VoterService(Clock(), "a", TERMS, THREE, store, lambda: 0, None)
+    request = messages.VoteRequest(1, [("t", Ballot(1, "x", 1))])
+    store.is_full, errors, responses = True, [], []
+    service.answer(request).addErrback(lambda failure: errors.append(failure.value))
+    assert isinstance(errors[0], RequestRefusedError) and store.records == {} and service.reason == "full"
+    store.is_full = False
+    service.answer(messages.VoteRequest(1, [("u", Ballot(1, "x", 1))])).addCallback(responses.append)
     assert (
         set(store.records) == {"t", "u"}
         and responses[0].prepares[0].answer is VoterAnswer.GRANTED
-        and voting.reason == ""
+        and service.reason == ""
     )
 
 
 # Configuration.
 
-GOOD = """
+VALID_BLOCK = """
 leases {
   voters = ["m1", "m2", "m3"]
   folder = "/f"
@@ -339,34 +339,34 @@
   }
 }
 """
-BAD = {
+BAD_CHANGES = {
     'voters = ["m1", "m2", "m3"]|voters = ["m1", "m2"]': "line 3: voters: m1, m2, expected 3, 5 or 7",
     'voters = ["m1", "m2", "m3"]|voters = ["m1", "m2", "m1"]': "expected 3, 5 or 7",
-    'term = "4s"|term = "10s"': "not past longest",
-    'longest = "9s"|drift = 2': "drift: 2.0, expected a part",
-    '"@ID@"|"ID"': "words: expected 1 to 16, @ID@ one of them",
+    'term = "4s"|term = "10s"': "at most the value of longest",
+    'longest = "9s"|drift = 2': "drift: 2.0, expected a fraction",
+    '"@ID@"|"ID"': "words: expected 1 to 16 arguments, one with @ID@",
     'every = "30s"|every = "0s"': "expected more than 0",
     'chore "sweep"|chore "a/b"': "expected a name",
     'folder = "/f"|folders = "/f"': "folders in leases, expected one of",
 }
 
 
-def filled(tmp_path, text):
+def read_block(tmp_path, text):
     path = tmp_path / "options.hcl"
     path.write_text(text)
     return leases_config.read_config(read_file(str(path)).find_block("leases"))
 
 
-def test_the_block_is_read(tmp_path):
-    found = filled(tmp_path, GOOD)
-    assert found.voters == Voters(1, ("m1", "m2", "m3")) and found.terms.term == 4 * SECOND
-    assert found.maintenance_tasks[0].shards == 2 and found.weights == {"m9": 0}
+def test_read_config_reads_all_parts_of_the_block(tmp_path):
+    config = read_block(tmp_path, VALID_BLOCK)
+    assert config.voters == Voters(1, ("m1", "m2", "m3")) and config.terms.term == 4 * SECOND
+    assert config.maintenance_tasks[0].shards == 2 and config.weights == {"m9": 0}
 
 
-@pytest.mark.parametrize("change", BAD)
-def test_a_faulty_block_is_reported_in_one_line(tmp_path, change):
+@pytest.mark.parametrize("change", BAD_CHANGES)
+def test_read_config_reports_an_invalid_block_in_one_line(tmp_path, change):
     old, new = change.split("|")
-    assert old in GOOD
+    assert old in VALID_BLOCK
     with pytest.raises(OperatorConfigError) as error:
-        filled(tmp_path, GOOD.replace(old, new))
-    assert BAD[change] in str(error.value) and "\n" not in str(error.value)
+        read_block(tmp_path, VALID_BLOCK.replace(old, new))
+    assert BAD_CHANGES[change] in str(error.value) and "\n" not in str(error.value)
--- a/vanerelay/fleet/lease_summary.py
+++ b/vanerelay/fleet/lease_summary.py
@@ -71,7 +71,7 @@
 
 def summarize(views: Mapping[str, LeasesStatus]) -> LeaseSummary:
     """Summarizes the views of the gateways that replied, by name."""
-    from vanerelay.leases.voter import VoterMemory, Voters
+    from vanerelay.leases.voter import Voters, VoterStatus
 
     tasks = _tasks(views)
     newest = max(views.values(), key=lambda view: view.version, default=None)
@@ -79,7 +79,7 @@
         Voters(1, tuple(newest.voters), tuple(newest.previous_voters)) if newest is not None else Voters()
     )
     rows = tuple(_voter(name, views.get(name)) for name in voters.names)
-    quorum = voters.is_quorum(row.voter for row in rows if row.memory == VoterMemory.READY.value)
+    quorum = voters.is_quorum(row.voter for row in rows if row.memory == VoterStatus.READY.value)
     healthy = quorum and bool(tasks) and all(task.holder for task in tasks)
     return LeaseSummary(tasks, rows, healthy)
 
--- a/vanerelay/freshness/config.py
+++ b/vanerelay/freshness/config.py
@@ -6,7 +6,7 @@
 
 from vanerelay.config_field import config_field
 from vanerelay.interface import MILLISECOND, SECOND, Duration
-from vanerelay.leases.config import MAX_COMMAND_WORDS
+from vanerelay.leases.config import MAX_COMMAND_ARGUMENTS
 from vanerelay.operator_config import Block
 
 
@@ -86,7 +86,7 @@
 
 
 def _check_watch(block: Block, watch: WatchConfig) -> None:
-    if not 0 < len(watch.command) <= MAX_COMMAND_WORDS or "@ID@" not in watch.command:
+    if not 0 < len(watch.command) <= MAX_COMMAND_ARGUMENTS or "@ID@" not in watch.command:
         raise block.error("words: expected 1 to 16, @ID@ one of them, under which engines answer", "words")
     positive = (
         watch.poll_interval,
--- a/vanerelay/leases/__init__.py
+++ b/vanerelay/leases/__init__.py
@@ -1,7 +1,8 @@
-"""Leases: which gateway may do a task of the whole fleet, until when, and under which fencing token.
+"""Leases: which gateway may perform a fleet-wide task, until when, and under which fencing token.
 
-The protocol's two sides are `voter` and `claim`; `assignment` says which gateway should hold which task, and
-`fencing` when a holder may act and what a receiver refuses. `service` drives a gateway's tasks through
-`voter_client`, `voter_service` its own voter on a `durable_store`. `maintenance_schedule` and
-`maintenance_runner` send commands to engines under a lease. docs/design/leases.md has the reasons.
+`voter` and `claim` are the two sides of the protocol. `assignment` decides which gateway should hold which
+task, and `fencing` when a holder may act and which operations a receiver refuses. `service` requests and
+renews a gateway's leases through `voter_client`; `voter_service` runs the gateway's own voter on a
+`durable_store`. `maintenance_schedule` and `maintenance_runner` send commands to engines under a lease.
+docs/design/leases.md explains the design.
 """
--- a/vanerelay/leases/config.py
+++ b/vanerelay/leases/config.py
@@ -1,4 +1,4 @@
-"""The `leases` block of the operators' file, typed."""
+"""Configuration of leases, read from the `leases` block of the operators' file."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from vanerelay.operator_config import Block
 
 VOTER_COUNTS = (3, 5, 7)
-"""Voters that a fleet may have: odd, as one more would add no fault that can be survived."""
+"""Allowed numbers of voters: odd, as an even number tolerates no more failures than one voter fewer."""
 
-MAX_COMMAND_WORDS = 16
-"""Words of a maintenance command: what a protocol line of the engines may hold."""
+MAX_COMMAND_ARGUMENTS = 16
+"""Limit of arguments in a maintenance command, set by the engines' protocol lines."""
 
 MIN_TERM = SECOND // 10
-"""The shortest term: it has to be several times a round trip between gateways."""
+"""Shortest term: a term has to be several times a round trip between gateways."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,11 +25,12 @@
 
     Attributes:
         name: the task's name.
-        command: its words, with @ID@, @TASK@, @NUMBER@, @SERIAL@, @HOLDER@ and @FROM@ filled in.
-        interval: between two commands to one engine.
-        timeout: for an engine's reply.
-        shards: parts of the engines; each is a task with a lease of its own.
-        max_in_flight: commands of one shard that are in flight at once.
+        command: the command's arguments, in which the placeholders @ID@, @TASK@, @NUMBER@, @SERIAL@,
+            @HOLDER@ and @FROM@ are replaced.
+        interval: time between two commands to one engine.
+        timeout: time that an engine has to reply.
+        shards: number of parts into which engines are divided; each part has a lease of its own.
+        max_in_flight: maximum number of commands of one shard in flight at once.
     """
 
     name: str
@@ -42,15 +43,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasesConfig:
-    """The block's content.
+    """The content of the `leases` block.
 
     Attributes:
         voters: the gateways that vote, by name.
-        folder: where a voter stores what it promised.
-        weights: of gateways beside the others' 1.0; one of weight 0 holds nothing.
-        history: a file for the laboratory.
-        terms: durations and bounds.
-        maintenance_tasks: commands to all engines.
+        folder: the folder of a voter's store.
+        weights: weights of gateways by name, 1.0 where none is given; a gateway of weight 0 holds no task.
+        history: file of the operation history that the laboratory checks; empty for none.
+        terms: durations and bounds of leases.
+        maintenance_tasks: commands that are sent to all engines.
     """
 
     voters: Voters
@@ -65,12 +66,12 @@
     """Reads the block.
 
     Raises:
-        OperatorConfigError: with the line of what is wrong.
+        OperatorConfigError: a value is missing, unknown or out of range; the error names the line.
     """
     voters = _read_voters(block)
     terms_block = block.find_block("terms")
     terms = _read_terms(terms_block) if terms_block is not None else LeaseTerms()
-    tasks = tuple(_read_maintenance_task(one) for one in block.blocks("chore"))
+    tasks = tuple(_read_maintenance_task(chore) for chore in block.blocks("chore"))
     config = block.fill(LeasesConfig, voters=voters, terms=terms, maintenance_tasks=tasks)
     block.reject_unknown()
     if terms_block is not None:
@@ -91,16 +92,16 @@
 def _check_voters(block: Block, key: str, names: tuple[str, ...]) -> None:
     if len(names) not in VOTER_COUNTS or len(set(names)) != len(names):
         listed = ", ".join(names) or "none"
-        raise block.error(f"{key}: {listed}, expected 3, 5 or 7 managers by name", key)
+        raise block.error(f"{key}: {listed}, expected 3, 5 or 7 different gateway names", key)
 
 
 def _read_terms(block: Block) -> LeaseTerms:
     terms = block.fill(LeaseTerms)
     if not MIN_TERM <= terms.term <= terms.max_term:
-        raise block.error("term: expected one of 100ms or more, and not past longest", "term")
+        raise block.error("term: expected at least 100ms and at most the value of longest", "term")
     if not 0 < terms.clock_drift < 1:
         raise block.error(
-            f"drift: {terms.clock_drift}, expected a part between 0 and 1, such as 0.02", "drift"
+            f"drift: {terms.clock_drift}, expected a fraction between 0 and 1, such as 0.02", "drift"
         )
     return terms
 
@@ -110,8 +111,10 @@
     block.reject_unknown()
     if not task.name or "/" in task.name:
         raise block.error('chore: expected a name without "/", such as chore "refresh"')
-    if not 0 < len(task.command) <= MAX_COMMAND_WORDS or "@ID@" not in task.command:
-        raise block.error("words: expected 1 to 16, @ID@ one of them, under which engines answer", "words")
+    if not 0 < len(task.command) <= MAX_COMMAND_ARGUMENTS or "@ID@" not in task.command:
+        raise block.error(
+            "words: expected 1 to 16 arguments, one with @ID@, which engines repeat in replies", "words"
+        )
     if task.shards < 1 or task.max_in_flight < 1 or task.interval <= 0 or task.timeout <= 0:
         raise block.error("shards, at_once, every, patience: expected more than 0", "shards")
     return task
--- a/vanerelay/leases/durable_store.py
+++ b/vanerelay/leases/durable_store.py
@@ -1,7 +1,7 @@
 """A store that survives crashes: records under a space and a key, on disk before their Deferred fires.
 
-A thin driver of SQLite with one thread; what arrives while one commit runs goes with the next. It knows
-nothing of leases. The names of the file, the table and its columns are those of the first release.
+A thin driver of SQLite with one thread; records that arrive during a commit are written by the next one. It
+is independent of leases. The file, the table and its columns keep their names from the first release.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 FILE_NAME = "promises.db"
 SCHEMA = "create table if not exists kept (space text, key text, body blob, primary key (space, key))"
 MAX_PENDING_RECORDS = 10_000
-"""Records that wait for a commit. Past it the disk can't follow, and further ones are refused."""
+"""Limit of records that wait for a commit. Further records are refused, as the disk can't keep up."""
 
 log = structlog.get_logger()
 
 PendingRecords = dict[tuple[str, str], bytes | None]
-"""Records to be written by space and key; None for one to be deleted."""
+"""Records to write, by space and key; None deletes a record."""
 
 
 class DurableStore:
@@ -56,10 +56,10 @@
         self._pool.start()
 
     def load(self, space: str) -> dict[str, bytes]:
-        """All records of a space.
+        """Returns all records of a space, by key.
 
         Raises:
-            StoreError: they can't be read.
+            StoreError: the records can't be read.
         """
         query = "select key, body from kept where space = ?"
         try:
@@ -69,21 +69,22 @@
         return {str(key): bytes(body) for key, body in rows}
 
     def read_operator_file(self, name: str) -> str:
-        """The text of a file that an operator put beside the records; empty where there is none."""
+        """Returns the text of an operator's file in the store's folder; empty where there is none."""
         try:
             return self._path.with_name(name).read_text(encoding="utf-8").strip()
         except (OSError, UnicodeDecodeError):
             return ""
 
     def remove_operator_file(self, name: str) -> None:
-        """Removes an operator's file once it was followed."""
+        """Removes an operator's file after its content was applied."""
         self._path.with_name(name).unlink(missing_ok=True)
 
     def put(self, space: str, records: Mapping[str, bytes | None]) -> Deferred[None]:
-        """Writes records; None deletes one.
+        """Writes records by key; None deletes a record.
 
-        The result fires once these, and all that were put before, are on disk, and fails with StoreError.
-        Without records it fires once all that were put before are on disk.
+        Returns:
+            A Deferred that fires once these records and all that were put before are on disk, and fails with
+            StoreError if they can't be written. With no records it waits for those that were put before.
         """
         done: Deferred[None] = Deferred()
         if self._is_closed or len(self._pending) + len(records) > MAX_PENDING_RECORDS:
@@ -141,10 +142,10 @@
             if self._connection.in_transaction:
                 self._connection.execute("rollback")
         except sqlite3.Error as error:
-            log.warning("a failed commit could not be rolled back", error=str(error))
+            log.warning("cannot roll back a failed commit to the store", error=str(error))
 
     def close(self) -> None:
-        """Ends the thread and closes the file. May be called twice."""
+        """Stops the thread and closes the file. May be called more than once."""
         if not self._is_closed:
             self._is_closed = True
             self._pool.stop()
--- a/vanerelay/leases/errors.py
+++ b/vanerelay/leases/errors.py
@@ -4,8 +4,8 @@
 
 
 class LeasesError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of the package's errors."""
 
 
 class StoreError(LeasesError):
-    """The store can't be opened, read or written; the text says why in one line."""
+    """Raised when the store can't be opened, read or written; the text is one line with the cause."""
--- a/vanerelay/leases/extension.py
+++ b/vanerelay/leases/extension.py
@@ -1,4 +1,4 @@
-"""How leases, and the maintenance tasks that stand on them, join the served program."""
+"""Adds leases, and the maintenance tasks that rely on them, to the gateway process."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from vanerelay.leases.service import Leases
 
 PROCESS_ID_BYTES = 6
-"""Random bytes that tell a process from all others; msgpack carries the number in 64 bits."""
+"""Length of the random number that identifies a process; msgpack encodes integers in at most 64 bits."""
 
 
 class LeasesExtension(Extension):
-    """The extension; `leases` is there once it was opened."""
+    """The leases extension. `leases` is set by `open`."""
 
     leases: Leases
 
@@ -51,15 +51,15 @@
         if self._host.name not in self._config.voters.names:
             return None
         if not self._config.folder:
-            raise StoreError("a voter needs a folder in its leases block")
+            raise StoreError("this gateway is a voter: expected a folder in the leases block")
         return DurableStore(self._host.reactor, self._config.folder)
 
     def loop_starting(self) -> None:
-        """Begins to request leases once the reactor runs."""
+        """Starts requesting leases once the reactor runs."""
         self._host.reactor.callWhenRunning(self.leases.start)
 
     def stop(self) -> Deferred[Any]:
-        """Gives all leases back; fires once that is done."""
+        """Releases all leases; the returned Deferred fires once that is done."""
         for runner in self._runners:
             runner.stop()
         return self.leases.release_all().addCallback(lambda _: self.leases.stop())
--- a/vanerelay/leases/lease_task.py
+++ b/vanerelay/leases/lease_task.py
@@ -1,4 +1,4 @@
-"""One task of the fleet as a gateway keeps it: its claim, its holder, and who is called when that changes."""
+"""A gateway's state of one task: its claim, its holder, and callbacks for changes of the holder."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from vanerelay.leases.voter import Grant
 
 HolderCallback = Callable[[LeaseHolder], None]
+"""Called with the holder of the lease that was acquired or lost."""
 
 
 class HistoryOp(StrEnum):
-    """The operations on a lease that histories record; checkers of histories read these words."""
+    """Operations on a lease in recorded histories. Checkers of histories match the values."""
 
     REQUEST = "asked"
     ACQUIRE = "acquire"
@@ -26,18 +27,18 @@
 
 @dataclass(slots=True)
 class LeaseTask:
-    """One task.
+    """A gateway's state of one task.
 
     Attributes:
         name: the task's name.
-        holder: the lease as this gateway may hold it.
-        on_acquired: called when operations may begin.
-        on_lost: called when they may not begin any more.
-        watch: whether and when to request the lease.
-        claim: this gateway's side of the protocol.
+        holder: this gateway's use of the lease.
+        on_acquired: called when the lease is acquired.
+        on_lost: called when no further operation may begin.
+        watch: decides when to request the lease.
+        claim: this gateway's claim on the lease.
         renewed_at: when the grant was last sent to the voters.
-        requested_at: when the last round began, by the histories' clock.
-        is_acting: `on_acquired` was called, and `on_lost` not yet.
+        requested_at: when the last round started, by the clock of the history.
+        is_acting: `on_acquired` was called, and `on_lost` has not been called since.
     """
 
     name: str
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptRequest:
-    """A grant that voters are asked to accept: serial 0 for the first time, then renewals."""
+    """A grant that voters are asked to accept. The first request has serial 0, renewals count from 1."""
 
     task: LeaseTask
     serial: int
--- a/vanerelay/leases/maintenance_runner.py
+++ b/vanerelay/leases/maintenance_runner.py
@@ -1,6 +1,6 @@
 """Sends a maintenance task's commands to engines while the lease of its shard is held.
 
-A thin driver: `maintenance_schedule` decides what is due, `fencing` what may be done.
+A thin driver: `maintenance_schedule` decides which engines are due, `fencing` which operations may begin.
 """
 
 from __future__ import annotations
@@ -21,32 +21,40 @@
 from vanerelay.leases.service import Leases
 
 POLL_S = 0.1
-"""Between two looks at what is due: well under any interval that an operator would write."""
+"""Interval of checks for due engines: well under any command interval that an operator would set."""
 
 FIRST_PAGE = "0"
-"""What @FROM@ stands for in the first command of a dialog."""
+"""Value of @FROM@ in the first command of a dialog."""
 
 MAX_TOKEN_DIGITS = 20
-"""An engine's reply names a token of fewer digits: all tokens of 64 bits have them."""
+"""Limit of digits in a token of an engine's reply; signed 64-bit tokens have fewer than 20 digits."""
 
 
 class MaintenanceDialog:
-    """What a subsystem makes of the engines' replies. All methods do nothing here."""
+    """Hooks for a subsystem that handles engines' replies to commands. The base class does nothing."""
 
     def acquired(self, holder: LeaseHolder) -> None:
-        """The lease of the shard is ours."""
+        """Called when this gateway acquires the lease of the shard."""
 
     def replied(self, engine: str, started_at: int, end: AttemptEnd) -> str | None:
-        """An engine replied to a dialog that began at `started_at`, by the leases' clock.
+        """Handles an engine's reply in a dialog that began at `started_at`, by the clock of leases.
 
-        Returns what @FROM@ stands for in a further command, which is sent at once; None for none.
+        Returns the value of @FROM@ in a further command, which is sent at once; None ends the dialog.
         """
         return None
 
 
 @dataclass(frozen=True, slots=True)
 class _Command:
-    """One command in flight. Its dialog began at `started_at`; `sent_at` is by the histories' clock."""
+    """One command in flight.
+
+    Attributes:
+        engine: the engine's name.
+        engine_index: the engine's index in the gateway.
+        operation: the operation under the lease.
+        started_at: when the dialog began, by the clock of leases.
+        sent_at: when the command was sent, by the clock of the history.
+    """
 
     engine: str
     engine_index: int
@@ -56,7 +64,7 @@
 
 
 class MaintenanceRunner:
-    """One shard of one maintenance task."""
+    """Runs one shard of a maintenance task."""
 
     def __init__(
         self,
@@ -67,7 +75,7 @@
         dialog: MaintenanceDialog | None = None,
         accepts: Callable[[EngineStatus], bool] = maintenance_schedule.accepts_maintenance,
     ) -> None:
-        """`accepts` says which engines may be sent commands of this task."""
+        """`accepts` returns True for engines that commands of this task may be sent to."""
         self._dialog, self._accepts = dialog or MaintenanceDialog(), accepts
         self._host, self._leases, self._task, self._shard = host, leases, task, shard
         self.name = name = task.name if task.shards == 1 else f"{task.name}/{shard}"
@@ -76,7 +84,7 @@
         self.holder = leases.add_task(name, self._acquired, self._lost)
 
     def _acquired(self, holder: LeaseHolder) -> None:
-        self._schedule.begin(self._leases.clock())
+        self._schedule.reset(self._leases.clock())
         self._dialog.acquired(holder)
         self.stop()
         self._poll()
@@ -85,7 +93,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Begins nothing further."""
+        """Sends no further commands."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
@@ -107,18 +115,21 @@
             self._send(name, indexes[name], FIRST_PAGE, self._leases.clock())
 
     def _send(self, engine: str, engine_index: int, page: str, started_at: int) -> bool:
-        """Sends one command where the lease still allows it: the process may have been frozen since."""
+        """Sends one command and returns True, if the lease still allows it.
+
+        The lease is checked again here, as the process may have been frozen since the last check.
+        """
         operation = self.holder.begin(self._leases.clock(), self._task.timeout)
         if operation is None:
             return False
-        self._schedule.sent(engine)
+        self._schedule.mark_sent(engine)
         task_digest = xxhash.xxh32_hexdigest(operation.task.encode())
         command_id = f"{task_digest}.{operation.token:x}.{operation.serial:x}"
-        words = _fill_in(self._task.command, _arguments(command_id, operation, page))
+        arguments = _fill_placeholders(self._task.command, _placeholder_values(command_id, operation, page))
         command = _Command(engine, engine_index, operation, started_at, self._leases.history.now())
         timeout_s = self._task.timeout / SECOND
-        sent = self._host.send_command(engine_index, words, command_id.encode(), timeout_s)
-        sent.addCallback(self._replied, command)
+        reply = self._host.send_command(engine_index, arguments, command_id.encode(), timeout_s)
+        reply.addCallback(self._replied, command)
         return True
 
     def _replied(self, end: AttemptEnd, command: _Command) -> None:
@@ -127,14 +138,14 @@
         page = self._dialog.replied(command.engine, started_at, end)
         if page is None or not self._send(command.engine, command.engine_index, page, started_at):
             succeeded = end.cause is EndCause.OK and page is None
-            self._schedule.ended(self._leases.clock(), command.engine, succeeded)
+            self._schedule.mark_ended(self._leases.clock(), command.engine, succeeded)
         self._record(command, end)
         newer_token = end.fields.get("number", "")
         if end.cause is EndCause.ERROR and newer_token.isdecimal() and len(newer_token) < MAX_TOKEN_DIGITS:
             self._leases.report_newer_token(operation, int(newer_token))
 
     def _record(self, command: _Command, end: AttemptEnd) -> None:
-        """Writes the operation to the history; checkers read these keys."""
+        """Writes the operation to the history; checkers of histories match these keys."""
         operation = command.operation
         self._leases.history.add(
             "deed",
@@ -148,8 +159,8 @@
         )
 
 
-def _arguments(command_id: str, operation: LeasedOperation, page: str) -> dict[str, str]:
-    """What the placeholders of a command stand for."""
+def _placeholder_values(command_id: str, operation: LeasedOperation, page: str) -> dict[str, str]:
+    """Returns the values of a command's placeholders."""
     return {
         "@ID@": command_id,
         "@TASK@": operation.task,
@@ -160,11 +171,11 @@
     }
 
 
-def _fill_in(words: tuple[str, ...], arguments: Mapping[str, str]) -> list[bytes]:
-    """The words of a command, with its arguments in place of the placeholders."""
+def _fill_placeholders(command: tuple[str, ...], values: Mapping[str, str]) -> list[bytes]:
+    """Returns a command's arguments with values in place of the placeholders."""
     filled = list[bytes]()
-    for word in words:
-        for placeholder, value in arguments.items():
-            word = word.replace(placeholder, value)
-        filled.append(word.encode())
+    for argument in command:
+        for placeholder, value in values.items():
+            argument = argument.replace(placeholder, value)
+        filled.append(argument.encode())
     return filled
--- a/vanerelay/leases/messages.py
+++ b/vanerelay/leases/messages.py
@@ -1,7 +1,7 @@
-"""Messages about leases between gateways, as bytes and back. Pure.
+"""Messages about leases between gateways, and their encoding. Pure.
 
-Names on the wire are those of the first release: a field that has another name in Python says so. Messages
-that are arrays on the wire must keep the order of their fields.
+Names on the wire are those of the first release; a field whose Python name differs gives the wire name with
+`name=`. Messages that are arrays on the wire must keep the order of their fields.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import msgspec
 
 from vanerelay.fleet.messages import MAX_MESSAGE_BYTES, decode, encode
-from vanerelay.leases.voter import Ballot, Grant, Reply, VoterAnswer, VoterMemory, VoterRecord
+from vanerelay.leases.voter import Ballot, Grant, Reply, VoterAnswer, VoterRecord, VoterStatus
 
 __all__ = [
     "RELEASED_KIND",
@@ -28,21 +28,21 @@
 ]
 
 VOTE_KIND = "lease"
-"""A `VoteRequest` to a voter, answered by a `VoteResponse`."""
+"""Message kind of a `VoteRequest` to a voter, answered by a `VoteResponse`."""
 RELEASED_KIND = "lease-free"
-"""A notice to the task's preferred gateway that its lease was given back: the task's name."""
+"""Message kind of a notice, to a task's preferred gateway, that the lease was released: the task's name."""
 STATUS_KIND = "leases"
-"""An empty request, answered by a `LeasesStatus`."""
+"""Message kind of an empty request that is answered by a `LeasesStatus`."""
 
 MAX_TASKS_PER_MESSAGE = 200
-"""Tasks in one request: the response stays under `MAX_MESSAGE_BYTES`."""
+"""Limit of tasks in one request, so that the response stays under `MAX_MESSAGE_BYTES`."""
 
 
 class VoteRequest(msgspec.Struct, frozen=True, omit_defaults=True):
-    """To a voter, for several tasks at once.
+    """A request to a voter, for several tasks at once.
 
-    `version` is that of the voters by which the sender counts. With `read_records` the voter returns all that
-    it remembers, of the tasks after `after`.
+    `version` is the version of the voters that the sender is configured with. With `read_records` the voter
+    returns its records of tasks whose names sort after `after`.
     """
 
     version: int = 1
@@ -62,16 +62,16 @@
 
     @classmethod
     def of(cls, reply: Reply) -> ReplyMessage:
-        """The message that carries a reply."""
+        """Returns the message for a reply."""
         return cls(reply.answer, reply.grant, reply.remaining, reply.promised)
 
     def reply(self) -> Reply:
-        """The reply that it carries."""
+        """Returns the reply in this message."""
         return Reply(self.answer, self.grant, self.remaining, self.promised)
 
 
 class RecordMessage(msgspec.Struct, frozen=True, array_like=True):
-    """What a voter remembers of one task. Stored in this form as well."""
+    """A voter's record of one task. The voter's store has records in this form as well."""
 
     task: str
     promised: Ballot
@@ -79,21 +79,22 @@
 
     @classmethod
     def of(cls, task: str, record: VoterRecord) -> RecordMessage:
-        """The message that carries a voter's record of a task."""
+        """Returns the message for a voter's record of a task."""
         return cls(task, record.promised, record.grant)
 
     def record(self) -> VoterRecord:
-        """The record that it carries."""
+        """Returns the record in this message."""
         return VoterRecord(self.promised, self.grant)
 
 
 class VoteResponse(msgspec.Struct, frozen=True, omit_defaults=True):
     """A voter's replies, in the order of the request.
 
-    `memory` is the value of its `VoterMemory`; with `more`, its records go on after the last of `records`.
+    `memory` is the value of its `VoterStatus`; with `more`, there are further records after the last of
+    `records`.
     """
 
-    memory: str = VoterMemory.READY.value
+    memory: str = VoterStatus.READY.value
     era: int = 0
     version: int = 0
     prepares: list[ReplyMessage] = []
@@ -103,9 +104,10 @@
 
 
 class TaskStatus(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One task as a gateway sees it.
+    """Status of one task at a gateway.
 
-    `operations` are in flight; `rank` is the gateway's place among those that watch the task, -1 for none.
+    `operations` is the number in flight; `rank` is the gateway's rank among those that watch the task, -1
+    where it does not watch it.
     """
 
     task: str
@@ -117,9 +119,10 @@
 
 
 class LeasesStatus(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a gateway stands with leases, for operators.
+    """Status of leases at a gateway, for operators.
 
-    `memory` is empty where the gateway does not vote; `reason` says why it does not vote although it should.
+    `memory` is the value of its voter's `VoterStatus`, empty where it is no voter; `reason` says why a voter
+    does not vote at present.
     """
 
     name: str
--- a/vanerelay/leases/service.py
+++ b/vanerelay/leases/service.py
@@ -1,6 +1,6 @@
-"""One gateway's part in leases: requests them from voters, renews them and gives them back.
+"""Requests leases from voters for this gateway, renews them and releases them.
 
-A thin driver: `claim`, `assignment` and `fencing` decide.
+A thin driver: `claim`, `assignment` and `fencing` make the decisions.
 """
 
 from __future__ import annotations
@@ -32,38 +32,38 @@
 from vanerelay.leases.voter_service import VoterService
 
 RENEWALS_PER_TERM = 3
-"""A lease outlives the loss of two renewals in a row."""
-TURNS_PER_TERM = 20
-"""How often all tasks are looked through."""
+"""At three renewals per term, a lease survives the loss of two renewals in a row."""
+CYCLES_PER_TERM = 20
+"""Checks of all tasks in one term."""
 RELEASE_TIMEOUT_S = 1.0
-"""For operations in flight to end on shutdown; what is held after it expires by itself."""
+"""Time for operations in flight to end on shutdown; leases still held after it expire by themselves."""
 RELEASE_POLL_S = RELEASE_TIMEOUT_S / 20
 RELEASE_NOTICE_TIMEOUT_S = 1.0
-"""For the notice to the preferred gateway, which requests the lease a little later without it."""
-SLOW_RENEWAL_FRACTION = 2
-"""A renewal is slow where it takes more than the term divided by this."""
+"""Timeout of the notice to the preferred gateway, which requests the lease a little later without it."""
+SLOW_RENEWAL_DIVISOR = 2
+"""A renewal is slow if it takes longer than the term divided by this."""
 MAX_SLOW_RENEWALS = 2
-"""Slow renewals in a row after which this gateway leaves tasks to others."""
+"""Slow renewals in a row after which this gateway leaves tasks to other gateways for a while."""
 ROUND_STAGES = (ClaimStage.PREPARING, ClaimStage.ACCEPTING)
 NANOSECONDS_PER_UNIT = 100_000
-"""Nanoseconds in the unit of all durations, a tenth of a millisecond."""
+"""Nanoseconds in the unit of all times and durations, a tenth of a millisecond."""
 
 log = structlog.get_logger()
 
 
 def boottime() -> int:
-    """The clock by which leases count: monotonic, and counting while the machine is suspended."""
+    """Returns the time of the clock of leases: monotonic, and running while the machine is suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_UNIT
 
 
 class Leases:
-    """All tasks of the fleet, as one gateway sees them.
+    """This gateway's leases on the fleet's tasks.
 
     Attributes:
-        tasks: by name.
-        voter_service: this gateway's voter, where it votes.
-        clock: by which all its times count.
-        history: for the laboratory.
+        tasks: the fleet's tasks, by name.
+        voter_service: this gateway's voter; None where it is no voter.
+        clock: returns the present time, on which all times of leases are based.
+        history: operations on leases, recorded for the laboratory.
     """
 
     def __init__(
@@ -76,7 +76,11 @@
         store: DurableStore | None,
         clock: Callable[[], int] = boottime,
     ) -> None:
-        """`process` is drawn for this process alone; `store` is given where the gateway votes.
+        """Creates the service without starting it.
+
+        `process` is a random number that identifies this process; `store` is None where this gateway is no
+        voter.
+
 
         Raises:
             StoreError: the store can't be read.
@@ -86,10 +90,10 @@
         self.history = History(self.name, config.history)
         self.tasks = dict[str, LeaseTask]()
         self._slow_renewals, self._slow_until = 0, 0
-        self._known_tokens = dict[str, int]()  # the highest that receivers have reported, by task
+        self._known_tokens = dict[str, int]()  # highest token that receivers have reported, by task
         self._preferred = dict[str, str]()  # the gateway that should hold a task, by task
-        self._assigned_for: tuple[tuple[Candidate, ...], int] | None = None
-        self._is_leaving = self._stopped = False
+        self._assignment_inputs: tuple[tuple[Candidate, ...], int] | None = None
+        self._is_shutting_down = self._stopped = False
         self._voters = VoterClient(fleet, config.voters, config.terms.term / RENEWALS_PER_TERM / SECOND)
         self.voter_service: VoterService | None = None
         if store is not None:
@@ -105,25 +109,25 @@
 
     @property
     def requests_sent(self) -> int:
-        """Requests to voters so far."""
+        """Number of requests sent to voters so far."""
         return self._voters.requests_sent
 
     def add_task(self, name: str, on_acquired: HolderCallback, on_lost: HolderCallback) -> LeaseHolder:
-        """Adds a task of the fleet; every gateway adds the same ones."""
+        """Adds a task of the fleet and returns its holder; every gateway adds the same tasks."""
         holder = LeaseHolder(name, f"{self.name}/{self._process:x}")
         self.tasks[name] = LeaseTask(name, holder, on_acquired, on_lost)
         return holder
 
     def start(self) -> None:
-        """Begins to request leases."""
-        self._turn()
+        """Starts the regular cycles, which request and renew leases."""
+        self._run_cycle()
 
-    # Regular turns.
+    # Regular cycles.
 
-    def _turn(self) -> None:
+    def _run_cycle(self) -> None:
         if self._stopped:
             return
-        self._reactor.callLater(self.config.terms.term / TURNS_PER_TERM / SECOND, self._turn)
+        self._reactor.callLater(self.config.terms.term / CYCLES_PER_TERM / SECOND, self._run_cycle)
         now = self.clock()
         self._update_assignment(now)
         preparing, renewing = list[LeaseTask](), list[tuple[LeaseTask, int]]()
@@ -132,7 +136,7 @@
             self._update_holder(task, now)
             if claim.stage is ClaimStage.HOLDING and self._should_release(task, now):
                 self._release(task, now)
-            elif claim.stage is ClaimStage.HOLDING and not claim.outbid:
+            elif claim.stage is ClaimStage.HOLDING and not claim.saw_higher_ballot:
                 if now - task.renewed_at >= self.config.terms.term // RENEWALS_PER_TERM:
                     task.claim, serial = claim.renew(now)
                     task.renewed_at = now
@@ -145,58 +149,60 @@
         self._send_accepts(renewing)
 
     def _end_overdue_round(self, task: LeaseTask, now: int) -> Claim:
-        """Gives a round up that has lasted too long, or a holding that has expired; the claim after it."""
+        """Ends a round that has taken too long, or an expired holding; returns the claim after it."""
         claim, term = task.claim, self.config.terms.term
         is_held = claim.is_held(now)
-        is_late = now - claim.started_at >= term // RENEWALS_PER_TERM
+        is_overdue = now - claim.started_at >= term // RENEWALS_PER_TERM
         has_expired = claim.stage is ClaimStage.HOLDING and not is_held
-        if has_expired or claim.stage in ROUND_STAGES and is_late:
+        if has_expired or claim.stage in ROUND_STAGES and is_overdue:
             claim = task.claim = claim.end_round(now)
             if not is_held:
                 task.watch.request_failed(now, term, 0, self._random.random())
         return claim
 
     def _should_start_round(self, task: LeaseTask, claim: Claim, now: int) -> bool:
-        """Whether to request the lease.
+        """Returns True if a new round should start.
 
-        While it is held, that is above a higher ballot that some voter promised, so that our ballot counts
-        again.
+        A round while the lease is held uses a ballot above a higher one that some voter promised, so that
+        voters accept this gateway's renewals again.
         """
         if claim.is_held(now):
             return claim.stage not in ROUND_STAGES
         return self._wants_lease(task, now)
 
     def _wants_lease(self, task: LeaseTask, now: int) -> bool:
-        alive = self._fleet.detector
-        has_joined = not alive.replaced and (alive.has_joined or len(alive.members) == 1)
+        detector = self._fleet.detector
+        has_joined = not detector.replaced and (detector.has_joined or len(detector.members) == 1)
         is_idle = task.claim.stage is ClaimStage.IDLE
         term = self.config.terms.term
-        return is_idle and has_joined and self._is_fit(now) and task.watch.wants_lease(now, term)
+        return is_idle and has_joined and self._is_eligible(now) and task.watch.wants_lease(now, term)
 
     def _should_release(self, task: LeaseTask, now: int) -> bool:
         preferred = self._fleet.detector.members.get(self._preferred.get(task.name, ""))
         is_alive = preferred is not None and preferred.status is MemberState.ALIVE
         return (
             task.holder.is_releasing
-            or not self._is_fit(now)
+            or not self._is_eligible(now)
             or task.watch.should_hand_over(now, self.config.terms.term, is_alive)
         )
 
-    def _is_fit(self, now: int) -> bool:
-        """Whether this gateway may hold tasks."""
+    def _is_eligible(self, now: int) -> bool:
+        """Returns True if this gateway may hold tasks."""
         is_serving = self._fleet.detector.own.state == "serving"
-        return is_serving and not self._is_leaving and now >= self._slow_until
+        return is_serving and not self._is_shutting_down and now >= self._slow_until
 
     def _update_assignment(self, now: int) -> None:
-        """Assigns the tasks anew where the fleet has changed."""
-        members, is_fit = self._fleet.detector.members.values(), self._is_fit(now)
-        candidates = tuple(assignment.eligible_candidates(members, self.name, is_fit, self.config.weights))
-        if (candidates, len(self.tasks)) == self._assigned_for:
+        """Recomputes the assignment if the eligible gateways or the number of tasks have changed."""
+        members, is_eligible = self._fleet.detector.members.values(), self._is_eligible(now)
+        candidates = tuple(
+            assignment.eligible_candidates(members, self.name, is_eligible, self.config.weights)
+        )
+        if (candidates, len(self.tasks)) == self._assignment_inputs:
             return
-        self._assigned_for = candidates, len(self.tasks)
-        for name, order in assignment.assign(self.tasks, candidates).items():
-            self.tasks[name].watch.set_order(now, self.name, order)
-            self._preferred[name] = order[0] if order else ""
+        self._assignment_inputs = candidates, len(self.tasks)
+        for name, watchers in assignment.assign(self.tasks, candidates).items():
+            self.tasks[name].watch.update_rank(now, self.name, watchers)
+            self._preferred[name] = watchers[0] if watchers else ""
 
     # Requests to voters.
 
@@ -219,7 +225,7 @@
         self._send_accepts(promised)
 
     def _prepare_replied(self, task: LeaseTask, now: int, voter: str, ballot: Ballot, reply: Reply) -> bool:
-        """Counts a voter's reply for one task; whether its grant is to be accepted now."""
+        """Counts a voter's reply for one task; returns True if the grant is now due for acceptance."""
         terms, voters, stage_before = self.config.terms, self.config.voters, task.claim.stage
         min_token = max(self._voters.era * TOKENS_PER_ERA, self._known_tokens.get(task.name, 0))
         claim = task.claim.prepare_replied(now, voter, ballot, reply, voters, terms, min_token)
@@ -227,14 +233,14 @@
         if stage_before is ClaimStage.PREPARING and claim.stage is ClaimStage.ACCEPTING:
             return True
         if claim.cannot_win(voters) and not claim.is_held(now):
-            # Another holds it, or requests it at the same time: one of us has to come again later.
+            # Another gateway holds the lease, or requests it at the same time: retry after a random delay.
             remaining = reply.remaining if reply.answer is VoterAnswer.HELD else 0
             task.watch.request_failed(now, terms.term, remaining, self._random.random())
             task.claim = claim.end_round(now)
         return False
 
     def _send_accepts(self, accepting: list[tuple[LeaseTask, int]]) -> None:
-        """Asks all voters to accept the grants of these tasks, each with the serial of the request."""
+        """Asks all voters to accept the grants of these tasks; each task comes with its request's serial."""
         size, version = messages.MAX_TASKS_PER_MESSAGE, self.config.voters.version
         for first in range(0, len(accepting), size):
             requests = [
@@ -266,40 +272,45 @@
                 voter, grant.ballot, request.serial, message.reply(), voters, terms
             )
             if task.claim.expires_at > expires_before:
-                self._note_latency(now - sent_at, now)
+                self._track_latency(now - sent_at, now)
                 is_renewal = grant.token == task.holder.token
                 op = HistoryOp.RENEW if is_renewal else HistoryOp.ACQUIRE
                 self._record(op, task, begin if request.serial else task.requested_at, grant.token, "ok")
                 self._update_holder(task, now)
 
-    def _note_latency(self, latency: int, now: int) -> None:
-        """A gateway whose renewals are slow leaves tasks to others for a while."""
+    def _track_latency(self, latency: int, now: int) -> None:
+        """Makes this gateway ineligible for a while after several slow renewals in a row."""
         term = self.config.terms.term
-        is_slow = latency > term // SLOW_RENEWAL_FRACTION
+        is_slow = latency > term // SLOW_RENEWAL_DIVISOR
         self._slow_renewals = self._slow_renewals + 1 if is_slow else 0
         if self._slow_renewals >= MAX_SLOW_RENEWALS and now >= self._slow_until:
-            log.warning("slow replies from voters: tasks are left to others", ms=latency // MILLISECOND)
+            log.warning(
+                "voters replied slowly several times in a row; leaving tasks to other gateways",
+                ms=latency // MILLISECOND,
+            )
             self._slow_renewals, self._slow_until = 0, now + assignment.COOLDOWN_TERMS * term
 
-    # Leases acquired, lost and given back.
+    # Leases acquired, lost and released.
 
     def _update_holder(self, task: LeaseTask, now: int) -> None:
-        """Calls those who act under the lease where it was acquired or lost."""
+        """Updates the task's holder, and calls its callback if the lease was acquired or lost."""
         holder = task.holder
         if holder.update(now, task.claim, self.config.terms):
             wait = max(0, holder.acts_from - now)
-            log.info("lease held", task=task.name, token=holder.token, wait_ms=wait // MILLISECOND)
+            log.info("lease acquired", task=task.name, token=holder.token, wait_ms=wait // MILLISECOND)
             task.is_acting = True
             task.watch.acquired(now)
             task.on_acquired(holder)
         elif task.is_acting and not task.claim.is_held(now):
             task.is_acting = False
-            log.warning("lease lost", task=task.name, token=holder.token)
+            log.warning(
+                "lease lost; no further operations begin under it", task=task.name, token=holder.token
+            )
             self._record(HistoryOp.LOSE, task, self.history.now(), holder.token, "ok")
             task.on_lost(holder)
 
     def _release(self, task: LeaseTask, now: int) -> None:
-        """Gives the lease back once what is in flight has ended; until then nothing further begins."""
+        """Releases the lease once all operations in flight have ended; none begins meanwhile."""
         holder = task.holder
         if not holder.is_releasing:
             holder.start_release()
@@ -318,7 +329,10 @@
         self._voters.request_all(request, self._release_notifier(task.name))
 
     def _release_notifier(self, task: str) -> Callable[[str, messages.VoteResponse], None]:
-        """Notifies the preferred gateway once a majority knows: it need not wait for its turn to check."""
+        """Returns a response handler that notifies the preferred gateway once a majority has replied.
+
+        That gateway then requests the lease without waiting for its next check.
+        """
         released, preferred = set[str](), self._preferred.get(task, self.name)
 
         def replied(voter: str, _: messages.VoteResponse) -> None:
@@ -332,39 +346,45 @@
         return replied
 
     def report_newer_token(self, operation: LeasedOperation, token: int) -> None:
-        """A receiver knows a newer token than the operation's: another acts, and our lease is void."""
+        """Gives up the lease of an operation whose receiver knows a newer token, as it has another holder."""
         task = self.tasks[operation.task]
         self._known_tokens[task.name] = max(self._known_tokens.get(task.name, 0), token)
         if token > task.holder.token and task.claim.is_held(self.clock()):
-            log.warning("a receiver knows a newer token", task=task.name, token=operation.token, newer=token)
+            log.warning(
+                "receiver reports a newer fencing token; giving up the lease",
+                task=task.name,
+                token=operation.token,
+                newer=token,
+            )
             task.claim = Claim(highest_round=task.claim.highest_round)
-            self._update_holder(task, self.clock())  # a new round goes past that token
+            self._update_holder(task, self.clock())  # the next round uses a token above it
 
     def release_all(self) -> Deferred[None]:
-        """Gives everything back; fires once voters have been notified, or could not be."""
-        self._is_leaving = True
+        """Releases all leases; the Deferred fires once voters were notified or the timeout has passed."""
+        self._is_shutting_down = True
         done: Deferred[None] = Deferred()
-        since = self.clock()
-        self._update_assignment(since)  # without us: the next preferred gateway is notified
-        self._poll_release(since, done)
+        started_at = self.clock()
+        # Without this gateway, so that the next preferred gateway is notified.
+        self._update_assignment(started_at)
+        self._poll_release(started_at, done)
         return done
 
-    def _poll_release(self, since: int, done: Deferred[None]) -> None:
+    def _poll_release(self, started_at: int, done: Deferred[None]) -> None:
         now = self.clock()
         held = [task for task in self.tasks.values() if task.claim.is_held(now)]
         for task in held:
             if task.claim.stage is ClaimStage.HOLDING:
                 self._release(task, now)
         remaining = [task for task in held if task.claim.is_held(now)]
-        if remaining and now - since < RELEASE_TIMEOUT_S * SECOND:
-            self._reactor.callLater(RELEASE_POLL_S, self._poll_release, since, done)
+        if remaining and now - started_at < RELEASE_TIMEOUT_S * SECOND:
+            self._reactor.callLater(RELEASE_POLL_S, self._poll_release, started_at, done)
         elif held and self.config.voters.names:
-            self._reactor.callLater(RELEASE_POLL_S, done.callback, None)  # what was written leaves first
+            self._reactor.callLater(RELEASE_POLL_S, done.callback, None)  # requests are sent first
         else:
             done.callback(None)
 
     def stop(self) -> None:
-        """Requests and answers nothing further."""
+        """Stops sending requests and answering them, and stops this gateway's voter."""
         self._stopped = True
         self._voters.stop()
         if self.voter_service is not None:
@@ -389,5 +409,7 @@
         return messages.encode(status)
 
     def _record(self, op: HistoryOp, task: LeaseTask, begin: int, token: int, result: str) -> None:
-        """Writes a row of the history; checkers read these keys."""
-        self.history.add(op, begin, task=task.name, number=token, holder=task.holder.holder, result=result)
+        """Writes a row of the history; checkers of histories match these keys."""
+        self.history.add(
+            op, begin, task=task.name, number=token, holder=task.holder.process_name, result=result
+        )
--- a/vanerelay/leases/status.py
+++ b/vanerelay/leases/status.py
@@ -1,4 +1,4 @@
-"""What a gateway reports to operators of its leases (`vanerelay fleet leases`). Pure."""
+"""Status of a gateway's leases for operators (`vanerelay fleet leases`). Pure."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 def leases_status(
     name: str, voters: Voters, tasks: Iterable[LeaseTask], client: VoterClient, now: int
 ) -> LeasesStatus:
-    """The status of the gateway `name`: tasks that it watches or holds, and its voter, if it votes."""
-    service = client.local
+    """Returns the status of the gateway `name`: the tasks that it watches or holds, and its voter, if any."""
+    voter_service = client.local
     statuses = [_task_status(task, now) for task in tasks if task.watch.rank >= 0 or task.claim.is_held(now)]
     return LeasesStatus(
         name,
         list(voters.current),
         list(voters.previous),
         voters.version,
-        service.voter.memory.value if service is not None else "",
-        service.voter.era if service is not None else client.era,
+        voter_service.voter.status.value if voter_service is not None else "",
+        voter_service.voter.era if voter_service is not None else client.era,
         statuses[:MAX_TASKS_PER_MESSAGE],
         client.requests_sent,
-        service.reason if service is not None else "",
+        voter_service.reason if voter_service is not None else "",
     )
 
 
--- a/vanerelay/leases/voter.py
+++ b/vanerelay/leases/voter.py
@@ -1,18 +1,19 @@
-"""One voter of the lease protocol. Pure: values in, values out; the caller passes the voter's own clock.
+"""One voter of the lease protocol. Pure: the caller passes the time of the voter's own clock.
 
-The protocol is PaxosLease (Trencseni, Gazso, Reinhardt 2010) on voters that store what they promised: a
-ballot is promised, then a grant is accepted, and after the grant's term the voter forgets that the lease is
-held. Three things are added: a fencing token that only rises, carried by the same ballots; a promise that is
-refused while another process holds the lease, so that a gateway which only looks around takes no lease away;
+The protocol is PaxosLease (Trencseni, Gazso, Reinhardt 2010) with voters that store their promises: a voter
+promises a ballot, then accepts a grant, and after the grant's term no longer counts the lease as held. Three
+things are added: a fencing token that only rises, carried by the same ballots; a voter refuses a promise
+while another process holds the lease, so that a claimant's check does not take the lease from its holder;
 and the rules by which a voter that lost its store votes again. `claim` is the other side of the protocol.
 
-Why two processes never hold one lease. A holder counts its term from its request, on its own clock, and
-shorter than voters count theirs from the acceptance, by the stated bound on how far the rates of two clocks
-differ. Its successor has the promises of a majority, each given by a voter for which the holder's term was
-over. Every renewal of the holder was accepted by one of these voters before it promised, and none can be
-accepted after. A voter without a store keeps silent for the longest term, so that whatever it said before has
-expired, then learns from a majority of the others, one of which knows whatever a majority with it accepted.
-A claimant drops a round that is older than a term.
+Why two processes never hold one lease: a holder counts its term from its request, on its own clock. Voters
+count the term from their acceptance, and the holder's term is shorter by the bound on how far the rates of
+two clocks differ. A successor needs the promises of a majority, each given by a voter for which the holder's
+term was over. Every successful renewal of the holder was accepted by one of these voters before it promised,
+and none can be accepted after. A voter without a store refuses all requests for the longest term, until every
+lease that it may have granted has expired. It then reads the records of a majority of voters among the
+others; at least one of them knows whatever a majority that included this voter accepted. A claimant drops a
+round that is older than a term.
 """
 
 from __future__ import annotations
@@ -26,16 +27,17 @@
 from vanerelay.interface import SECOND, Duration
 
 TOKENS_PER_ERA = 2**32
-"""Fencing tokens of one era. Tokens of a later era are above all tokens of the eras before it."""
+"""Number of fencing tokens in one era. Tokens of a later era are above all tokens of earlier eras."""
 
 MAX_TASKS = 500
-"""Tasks that a voter remembers: its store and its answers stay small. A further one is refused."""
+"""Limit of tasks in a voter's records, which keeps its store and responses small. It refuses further ones."""
 
 
 class Ballot(NamedTuple):
     """A ballot of the protocol; ballots are ordered as tuples.
 
-    `process` is drawn anew by each process, so that no two processes ever use the same ballot.
+    `process` is a random number that each process draws at start, so that no two processes use the same
+    ballot.
     """
 
     round: int = 0
@@ -44,10 +46,10 @@
 
 
 class Grant(NamedTuple):
-    """A lease as a voter accepted it.
+    """A lease as a voter accepts it.
 
-    `token` is the fencing token, `term` counts by the voters' clocks, and `holder` is empty where the lease
-    was given back. Grants travel and are stored as arrays: the order of the fields must stay.
+    `token` is the fencing token, `term` is measured by the voters' clocks, and `holder` is empty where the
+    lease was released. Grants are sent and stored as arrays: the order of the fields must stay.
     """
 
     token: int = 0
@@ -62,12 +64,12 @@
     """The durations and bounds on which the safety of leases rests.
 
     Attributes:
-        term: how long a lease lasts unless it is renewed.
-        max_term: the longest term that any gateway may ask for, and how long a voter without a store is
-            silent.
-        clock_drift: how much faster one clock may run than another, at most (0.02: two percent).
-        takeover_delay: how long an operation may still arrive after its holder's term, at receivers that
-            can't refuse it by its fencing token.
+        term: duration of a lease that is not renewed.
+        max_term: longest term that a gateway may request, and the time for which a voter without a store
+            refuses all requests.
+        clock_drift: bound on how much faster one clock may run than another (0.02: two percent).
+        takeover_delay: time after a holder's term in which its operations may still arrive at receivers that
+            can't refuse them by fencing token.
     """
 
     term: Duration = 10 * SECOND
@@ -76,7 +78,7 @@
     takeover_delay: Duration = config_field("linger", default=2 * SECOND)
 
     def holder_term(self, term: int) -> int:
-        """How long a holder may act, by its own clock, counted from its request."""
+        """Returns how long a holder may act after its request, by its own clock."""
         return int(term / (1.0 + self.clock_drift))
 
 
@@ -84,8 +86,8 @@
 class Voters:
     """The voters of a fleet.
 
-    While one set replaces another, a joint step needs a majority of both sets. `version` rises by one with
-    each step: 1 (the old set), 2 (both sets), 3 (the new set).
+    While one set of voters replaces another, a joint step needs a majority of both sets. `version` rises by
+    one with each step: 1 (the old set), 2 (both sets), 3 (the new set).
     """
 
     version: int = 1
@@ -94,35 +96,42 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """All voters, each once."""
+        """Names of all voters, without duplicates."""
         return tuple(dict.fromkeys((*self.current, *self.previous)))
 
     def is_quorum(self, names: Iterable[str]) -> bool:
-        """Whether these are a majority of each set."""
-        given = set(names)
-        return all(2 * len(given & set(one)) > len(one) for one in (self.current, self.previous) if one)
+        """Returns True if `names` include a majority of each set of voters."""
+        present = set(names)
+        return all(
+            2 * len(present & set(voter_set)) > len(voter_set)
+            for voter_set in (self.current, self.previous)
+            if voter_set
+        )
 
     def is_recovery_quorum(self, names: Iterable[str]) -> bool:
-        """Whether these know everything that was ever accepted: a majority of the set that voted before."""
-        voted = self.previous or self.current
-        return 2 * len(set(names) & set(voted)) > len(voted)
+        """Returns True if the voters `names` together know every grant that was accepted.
+
+        They do if they are a majority of the older set, as every grant was accepted by a majority of it.
+        """
+        older_set = self.previous or self.current
+        return 2 * len(set(names) & set(older_set)) > len(older_set)
 
 
 class VoterAnswer(Enum):
-    """What a voter answers; the values are sent."""
+    """A voter's answer to a request; the values are sent."""
 
     GRANTED = "yes"
     HELD = "held"
     """Another process holds the lease."""
     HIGHER_BALLOT = "later"
-    """A higher ballot was promised to somebody else."""
+    """The voter has promised an equal or higher ballot."""
     REFUSED = "refused"
-    """For a reason that no ballot mends: outdated voters, too long a term, too many tasks, no memory."""
+    """Refused whatever the ballot: older version of voters, term too long, too many tasks, or not READY."""
 
 
 @dataclass(frozen=True, slots=True)
 class VoterRecord:
-    """What a voter remembers of one task. `expires_at`, by its own clock, is not stored; the rest is."""
+    """A voter's record of one task. `expires_at`, by its own clock, is not stored; the other fields are."""
 
     promised: Ballot = Ballot()
     grant: Grant = Grant()
@@ -134,10 +143,10 @@
     """A voter's reply for one task.
 
     Attributes:
-        answer: whether it promised or accepted.
-        grant: the last grant that it accepted.
-        remaining: for how long that grant still holds.
-        promised: the highest ballot that it promised.
+        answer: the voter's answer.
+        grant: last grant that it accepted.
+        remaining: time until that grant expires.
+        promised: highest ballot that it promised.
     """
 
     answer: VoterAnswer
@@ -147,7 +156,7 @@
 
 
 def prepare(record: VoterRecord, now: int, ballot: Ballot) -> tuple[VoterRecord, Reply]:
-    """Answers a claimant that wants a promise for a ballot.
+    """Answers a claimant's request to promise a ballot.
 
     Returns the voter's new record, which has to be stored before the reply is sent, and the reply.
     """
@@ -160,7 +169,7 @@
 
 
 def accept(record: VoterRecord, now: int, grant: Grant) -> tuple[VoterRecord, Reply]:
-    """Answers a claimant that has a majority's promises, renews its lease or gives it back.
+    """Answers a request to accept a grant, by which a claimant acquires, renews or releases a lease.
 
     Returns the voter's new record, which has to be stored before the reply is sent, and the reply.
     """
@@ -171,19 +180,20 @@
     return VoterRecord(grant.ballot, grant, expires_at), Reply(VoterAnswer.GRANTED, grant)
 
 
-class VoterMemory(Enum):
-    """Whether a voter remembers what it promised; the values are sent and shown to operators."""
+class VoterStatus(Enum):
+    """A voter's progress in recovering its records; the values are sent and shown to operators."""
 
     SILENT = "silent"
-    """It lost its store, and waits until whatever it said before has expired."""
+    """It has no stored records, and refuses requests until all leases it may have granted have expired."""
     RECOVERING = "blank"
-    """It asks the other voters what they remember."""
+    """It asks the other voters for their records."""
     READY = "knows"
+    """It has its records, and votes."""
 
 
 @dataclass(frozen=True, slots=True)
 class VoterState:
-    """What outlives a voter's process, or what one voter learns from another."""
+    """A voter's state as it is stored, or as another voter reads it."""
 
     era: int = 0
     version: int = 0
@@ -191,26 +201,26 @@
 
 
 class Voter:
-    """One voter's part in all leases.
+    """One voter, for all tasks.
 
     Attributes:
-        memory: whether it may vote.
-        era: the era of fencing tokens that it knows.
-        version: the highest version of voters that asked for its memory; requests under older ones are
-            refused.
-        records: what it remembers, by task.
-        unsaved: the tasks whose records have to be on disk before the next reply is sent.
+        status: whether it has its records; it votes only where it is READY.
+        era: latest era of fencing tokens that it knows.
+        version: highest version of voters under which its records were read; requests under older versions
+            are refused.
+        records: its records, by task.
+        unsaved: tasks whose records have to be on disk before the next reply is sent.
     """
 
     def __init__(
         self, name: str, terms: LeaseTerms, voters: Voters, stored: VoterState | None, now: int
     ) -> None:
-        """`stored`: what it remembered before; None where there is nothing, and the voter is silent first."""
+        """Creates a voter from its `stored` state; with None it is SILENT for the longest term first."""
         self.name, self.terms, self.voters = name, terms, voters
-        self.memory = VoterMemory.READY if stored is not None else VoterMemory.SILENT
+        self.status = VoterStatus.READY if stored is not None else VoterStatus.SILENT
         self.era, self.version = (stored.era, stored.version) if stored is not None else (0, 0)
         self._silent_until = now + terms.max_term
-        # A clock that began anew says nothing of terms that were running: they begin again.
+        # The clock may have restarted, so what is left of a term is unknown: each term starts again in full.
         records = stored.records if stored is not None else {}
         self.records = {
             task: replace(record, expires_at=now + record.grant.term) for task, record in records.items()
@@ -218,18 +228,18 @@
         self.unsaved = set[str]()
 
     def prepare(self, now: int, version: int, task: str, ballot: Ballot) -> Reply:
-        """Answers a request for a promise."""
+        """Answers a request to promise a ballot for a task."""
         return self._answer(version, task, lambda record: prepare(record, now, ballot), 0)
 
     def accept(self, now: int, version: int, task: str, grant: Grant) -> Reply:
-        """Answers a request to accept a grant."""
+        """Answers a request to accept a grant for a task."""
         return self._answer(version, task, lambda record: accept(record, now, grant), grant.term)
 
     def _answer(
         self, version: int, task: str, decide: Callable[[VoterRecord], tuple[VoterRecord, Reply]], term: int
     ) -> Reply:
         if (
-            self.memory is not VoterMemory.READY
+            self.status is not VoterStatus.READY
             or version < self.version
             or term > self.terms.max_term
             or task not in self.records
@@ -243,7 +253,10 @@
         return reply
 
     def raise_version(self, version: int) -> bool:
-        """Refuses requests under older voters from now on; whether this is new, and to be stored first."""
+        """Refuses requests under older versions of voters from now on.
+
+        Returns True if the version is new; it then has to be stored before the response is sent.
+        """
         is_new = version > self.version
         self.version = max(self.version, version)
         return is_new
@@ -251,31 +264,31 @@
     # Recovery after a lost store.
 
     def may_recover(self, now: int) -> bool:
-        """Whether it is time to ask the other voters; ends the silence once it has lasted long enough."""
-        if self.memory is VoterMemory.SILENT and now >= self._silent_until:
-            self.memory = VoterMemory.RECOVERING
-        return self.memory is VoterMemory.RECOVERING
+        """Returns True if the voter should ask others for records; ends SILENT after the longest term."""
+        if self.status is VoterStatus.SILENT and now >= self._silent_until:
+            self.status = VoterStatus.RECOVERING
+        return self.status is VoterStatus.RECOVERING
 
     def recover(self, now: int, states: Mapping[str, VoterState]) -> bool:
-        """Learns what other voters remember, by their names; whether it is enough to vote again."""
+        """Merges the states of other voters, by name; returns True if they suffice for it to vote again."""
         others = {name: state for name, state in states.items() if name != self.name}
-        if self.memory is not VoterMemory.RECOVERING or not self.voters.is_recovery_quorum(others):
+        if self.status is not VoterStatus.RECOVERING or not self.voters.is_recovery_quorum(others):
             return False
         for state in others.values():
             self.era, self.version = max(self.era, state.era), max(self.version, state.version)
             for task, record in state.records.items():
-                self.records[task] = _merged(self.records.get(task, VoterRecord()), record, now)
+                self.records[task] = _merge_records(self.records.get(task, VoterRecord()), record, now)
         self._become_ready()
         return True
 
     def start_era(self, era: int, latest_era: int) -> str | None:
-        """Votes again on an operator's order, with fencing tokens of a later era.
+        """Makes the voter READY on an operator's order, with fencing tokens of a later era.
 
-        An operator gives it when no majority remembers. `latest_era` is the latest that any voter reports.
-        Returns why the order is refused; None where it is followed.
+        An operator gives the order when no majority of voters has its records. `latest_era` is the latest era
+        that other voters report. Returns why the order is refused, None where it is followed.
         """
-        if self.memory is not VoterMemory.RECOVERING:
-            return "it is silent yet" if self.memory is VoterMemory.SILENT else "it knows"
+        if self.status is not VoterStatus.RECOVERING:
+            return "it is silent yet" if self.status is VoterStatus.SILENT else "it knows"
         if era <= max(latest_era, self.era):
             return f"era {era}, expected one after {max(latest_era, self.era)}"
         self.era = era
@@ -283,13 +296,13 @@
         return None
 
     def _become_ready(self) -> None:
-        self.memory = VoterMemory.READY
+        self.status = VoterStatus.READY
         self.version = max(self.version, self.voters.version)
         self.unsaved |= set(self.records)
 
 
-def _merged(own: VoterRecord, other: VoterRecord, now: int) -> VoterRecord:
-    """The later of what two voters remember; as far as is known, its term begins now."""
-    grant = max(own.grant, other.grant, key=lambda one: one.ballot)
+def _merge_records(own: VoterRecord, other: VoterRecord, now: int) -> VoterRecord:
+    """Returns the later promise and grant of two records; the start of the term is unknown, so it is now."""
+    grant = max(own.grant, other.grant, key=lambda accepted: accepted.ballot)
     expires_at = now + grant.term if grant.holder else 0
     return VoterRecord(max(own.promised, other.promised), grant, expires_at)
--- a/vanerelay/leases/voter_client.py
+++ b/vanerelay/leases/voter_client.py
@@ -1,4 +1,4 @@
-"""Requests to voters: over the fleet's links, or directly to a voter of this gateway."""
+"""Requests to voters: over the fleet's links, or directly to this gateway's own voter."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from vanerelay.leases.voter_service import VoterService
 
 ResponseHandler = Callable[[str, messages.VoteResponse], None]
-"""Takes a voter's name and its response."""
+"""Called with a voter's name and its response."""
 
 
 class FleetLinks(Protocol):
-    """What this module needs of the fleet."""
+    """The part of the fleet service that this module uses."""
 
     name: str
 
     def call(self, name: str, kind: str, body: bytes, patience_s: float) -> Deferred[bytes]:
-        """Sends a request to another gateway."""
+        """Sends a request to another gateway; the Deferred fires with its reply."""
         ...
 
 
 def ignore_no_reply(failure: Failure) -> None:
-    """Errback where nothing came or the receiver refuses: a majority of the other voters may do."""
+    """Errback for a request that was refused or got no reply: replies of the other receivers may suffice."""
     failure.trap(UnknownKindError, RequestRefusedError, NoReplyError)  # type: ignore[no-untyped-call]
 
 
@@ -36,9 +36,9 @@
     """Sends requests to voters.
 
     Attributes:
-        local: the voter of this gateway, where it votes.
-        requests_sent: how many requests there were.
-        era: the latest era of fencing tokens that a voter has reported.
+        local: this gateway's own voter; None where it is no voter.
+        requests_sent: number of requests so far.
+        era: latest era of fencing tokens that a voter has reported.
     """
 
     def __init__(self, fleet: FleetLinks, voters: Voters, timeout_s: float) -> None:
@@ -48,7 +48,7 @@
         self._stopped = False
 
     def request(self, voter: str, request: messages.VoteRequest) -> Deferred[messages.VoteResponse]:
-        """Sends a request to one voter."""
+        """Sends a request to one voter; the Deferred fires with its response."""
         self.requests_sent += 1
         if voter == self._fleet.name and self.local is not None:
             try:
@@ -60,7 +60,7 @@
         return reply.addCallback(_read_response)
 
     def request_all(self, request: messages.VoteRequest, handle: ResponseHandler) -> None:
-        """Sends a request to all voters; `handle` is called with each response that comes."""
+        """Sends a request to all voters, and calls `handle` with each response that arrives."""
 
         def received(response: messages.VoteResponse, voter: str) -> None:
             self.era = max(self.era, response.era)
@@ -73,7 +73,7 @@
             result.addErrback(ignore_no_reply)
 
     def stop(self) -> None:
-        """Responses that come later are dropped."""
+        """Drops responses that arrive from now on."""
         self._stopped = True
 
 
