--- a/vanerelay/fleet/lease_summary.py
+++ b/vanerelay/fleet/lease_summary.py
@@ -90,7 +90,7 @@
 
 def summarize(statuses: Mapping[str, LeasesStatus]) -> LeaseSummary:
     """Summarizes the status reports of the gateways that replied; `statuses` by gateway name."""
-    from vanerelay.leases.voter import VoterMemory, Voters
+    from vanerelay.leases.voter import Voters, VoterStatus
 
     tasks = _summarize_tasks(statuses)
     newest = max(statuses.values(), key=lambda status: status.version, default=None)
@@ -98,7 +98,7 @@
         Voters(1, tuple(newest.voters), tuple(newest.previous_voters)) if newest is not None else Voters()
     )
     rows = tuple(_summarize_voter(name, statuses.get(name)) for name in voters.names)
-    quorum = voters.is_quorum(row.voter for row in rows if row.memory == VoterMemory.READY.value)
+    quorum = voters.is_quorum(row.voter for row in rows if row.memory == VoterStatus.READY.value)
     healthy = quorum and bool(tasks) and all(task.holder for task in tasks)
     return LeaseSummary(tasks, rows, healthy)
 
