--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -328,8 +328,8 @@
     ],
 )
 def test_query_with_an_invalid_field_fails(started, fields):
-    """It must not reach an engine, which closes the connection on invalid input, and which takes two queries
-    with one id for the same query.
+    """Such a query must not reach an engine: an engine closes the connection on invalid input, and treats two
+    queries with one id as the same query.
     """
     held = []
     engine = started.engine(lambda e, c, i: held.append((c, i)))
@@ -411,7 +411,7 @@
     for connection, query_id in held:
         engine.return_result(connection, query_id)
     assert client.answer()[:2] == (1, 0) and late_client.answer()[:2] == (1, 0)
-    for other in (idle, partial):  # connections without a send_result request do not delay the end
+    for other in (idle, partial):  # connections without a complete request do not delay the shutdown
         assert other.read() == (64, 0, b"")
         assert other.read() in ((4, 0, b"\2\0"), None)
     assert gateway.process.wait(30) == 0
--- a/vanerelay/net/attempt_results.py
+++ b/vanerelay/net/attempt_results.py
@@ -48,14 +48,14 @@
         self._answers = answers
         self._extensions = extensions
 
-    def ended(self, end: AttemptEnd, query: ClientQuery, number: int, sent_at: int, engine: int) -> None:
+    def ended(self, end: AttemptEnd, query: ClientQuery, number: int, planned_at: int, engine: int) -> None:
         """Handles the end of an attempt: passes its answer to the client and its result to the decisions.
 
         Args:
             end: The end of the attempt.
             query: The query of the attempt.
             number: The number of the attempt within its query.
-            sent_at: When the attempt was planned, in ticks.
+            planned_at: When the attempt was planned, in ticks.
             engine: The index of the engine.
         """
         query.in_flight -= 1
@@ -72,7 +72,7 @@
         if query.handle is not None:
             result = AttemptResult(
                 outcome=outcome,
-                duration=self._clock.now() - sent_at,
+                duration=self._clock.now() - planned_at,
                 work=work,
                 peak_memory=load_reports.peak_memory(end.fields),
                 load_report=settings.load_report(
--- a/vanerelay/net/attempt_sender.py
+++ b/vanerelay/net/attempt_sender.py
@@ -126,7 +126,7 @@
             attempt.end(NOT_SENT)
 
     def _may_begin(self, query: ClientQuery, number: int, engine: int) -> bool:
-        """Returns True if an attempt may be written; every attempt passes this check."""
+        """Returns True if an attempt may be written. Called for every attempt right before it is written."""
         if query.guard_record is None or not self._decisions.may_begin(query, number):
             return False
         violation = self._guard.begin_attempt(self._decisions.now, query.guard_record, number, engine)
--- a/vanerelay/net/client_connection.py
+++ b/vanerelay/net/client_connection.py
@@ -136,8 +136,8 @@
         self.used_at = owner.reactor.seconds()
         self.silent = True
         self.ended = False
-        # Input that is read up to this event-loop pass had not arrived before this time, which is earlier
-        # than the previous poll of the sockets.
+        # Input that is read in the event-loop passes up to this one may have arrived before the previous poll
+        # of the sockets, but not before this time.
         self._earlier_received_after = 0
         self._earlier_until_pass = -1
         self._go_away_sent = False
@@ -237,7 +237,7 @@
     def end_with_protocol_error(self, why: str) -> None:
         """Ends the connection of a client that violates the protocol.
 
-        The client gets a failure on stream 0 and one for each open query, all of which are abandoned. Further
+        Every open request is abandoned and answered with a failure; a failure on stream 0 follows. Further
         input is discarded, as frame boundaries are no longer known.
         """
         if self._dropping_input:
@@ -249,7 +249,7 @@
         self.end("protocol error", why)
 
     def _fail_open_requests(self) -> None:
-        """Answers every open query with a failure and abandons it."""
+        """Answers every open request with a failure and abandons it."""
         opened, self.open = self.open, {}
         for stream, request in opened.items():
             self._write(frames.encode_answer(FrameKind.ANSWER, stream, AnswerStatus.FAILED, {}))
--- a/vanerelay/net/client_listener.py
+++ b/vanerelay/net/client_listener.py
@@ -22,8 +22,8 @@
 earlier, so one that is kept for longer has been forgotten.
 """
 FRAME_TIMEOUT_S, SWEEP_INTERVAL_S = 2.0, 0.25
-"""The time for a complete frame, and between two sweeps. A client without a complete frame is ended within 3
-s.
+"""The time for a complete frame, and the time between two sweeps. A client that sends no complete
+frame is ended within 3 s.
 """
 
 log = structlog.get_logger()
--- a/vanerelay/net/discovery_client.py
+++ b/vanerelay/net/discovery_client.py
@@ -26,7 +26,7 @@
 difference leaves time for one connection that died silently, a backoff, a lost connect and the next poll.
 """
 CONNECT_TIMEOUT_S = 1.0
-"""Upper limit of the connect time-out, also where the one for engines is longer."""
+"""Upper limit of the connect timeout, also where the one for engines is longer."""
 MAX_SILENCE_S = 0.5
 """Maximum time after the wait until an answer begins, and between two pieces of it."""
 MAX_ANSWER_S = 2.0
@@ -47,7 +47,7 @@
 
 
 class DiscoveryConnection(Protocol):
-    """One connection to the service, with one poll at a time and time-outs for its answer.
+    """One connection to the service, with one poll at a time and timeouts for its answer.
 
     Attributes:
         usable: Whether polls can be sent on it.
@@ -136,7 +136,7 @@
             address: Host and port of the service.
             zones: The indices of the zones by their names.
             machine_kinds: The indices of the machine kinds by their names.
-            connect_s: The connect time-out in seconds.
+            connect_s: The connect timeout in seconds.
             randomness: Spreads the polls of many gateways over time.
             on_change: Called for each change of the list.
             on_answer: Called for each valid answer, with changes or without.
@@ -192,7 +192,7 @@
         """Polls another address, starting at once.
 
         The event numbers continue, so events in an answer that was under way are sent again. The pending poll
-        is cancelled, as it may hang until its time-out.
+        is cancelled, as it may hang until its timeout.
         """
         new_address = discovery_codec.parse_address(address)
         if self._stopped or new_address == self._address:
--- a/vanerelay/net/engine_connection.py
+++ b/vanerelay/net/engine_connection.py
@@ -82,10 +82,10 @@
 
     @property
     def exclusive(self) -> bool:
-        """Whether each attempt has a connection to itself.
+        """Returns True if each attempt has a connection to itself.
 
-        True where attempts can neither be cancelled nor hedged: an attempt that was given up must then be
-        ended before the next one begins, and only closing its connection does that.
+        That is so where attempts can neither be cancelled nor hedged: an attempt that was given up must then
+        be ended before the next one begins, and only closing its connection does that.
         """
         return not self.may_cancel and not self.may_hedge
 
@@ -326,7 +326,7 @@
         self._end()
         for ident, stage in self.exchange.connection_lost().items():
             # The transport has not reported an empty write buffer, so the last command was sent only partly.
-            # If a cancel or a read was written after it, the unsent bytes may be of that one instead.
+            # After a cancel or a read, `_last_written` is None: the unsent bytes may belong to that command.
             partly = ident == self._last_written and stage is AttemptStage.WRITTEN
             self.attempts.pop(ident).end(AttemptEnd(cause, AttemptStage.PARTLY_WRITTEN if partly else stage))
         self.all_sent()
--- a/vanerelay/net/engine_list_updates.py
+++ b/vanerelay/net/engine_list_updates.py
@@ -23,7 +23,7 @@
     Attributes:
         names: The names of the engines by their indices.
         gone: The indices of engines that have left the list and are not forgotten yet.
-        received: Whether any list was received.
+        received: True once a change of the list was received.
     """
 
     def __init__(
--- a/vanerelay/net/extensions.py
+++ b/vanerelay/net/extensions.py
@@ -55,17 +55,17 @@
 
     @property
     def has_constraints(self) -> bool:
-        """True if an extension may constrain queries."""
+        """Returns True if an extension may constrain queries."""
         return bool(self._constraining_extensions)
 
     @property
     def has_answer_listeners(self) -> bool:
-        """True if an extension is notified of the answers of queries."""
+        """Returns True if an extension is notified of the answers of queries."""
         return bool(self._answer_listeners)
 
     @property
     def has_run_listeners(self) -> bool:
-        """True if an extension is notified of the runs of queries on engines."""
+        """Returns True if an extension is notified of the runs of queries on engines."""
         return bool(self._run_listeners)
 
     def notify_engines_changed(self, change: EngineListChange) -> None:
--- a/vanerelay/net/frames.py
+++ b/vanerelay/net/frames.py
@@ -90,7 +90,7 @@
 
     @property
     def partial(self) -> bool:
-        """True while only a part of a frame has been received."""
+        """Returns True while only a part of a frame has been received."""
         return len(self._buffer) > 0
 
     def stop(self) -> None:
--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -1,10 +1,10 @@
-"""Connects clients, engines and the engine list to the decisions, and carries out the calls of the decisions.
+"""Connects clients, engines and the engine list to the decisions, and carries out what the decisions request.
 
-The decisions are a `policy.gateway.Gateway`. The work is done in other modules, in the order in which a
-query passes through them:
+"The decisions" is the `policy.gateway.Gateway` that decides which query runs on which engine, and when. The
+work is done in other modules, listed in the order in which a query passes through them:
 
 - `query_intake`: decodes, validates, admits or rejects, holds and submits queries to the decisions;
-- `attempt_sender`: sends attempts to engines when the decisions order it;
+- `attempt_sender`: sends attempts to engines when the decisions request it;
 - `attempt_results`: passes the results of engines on to the client and the decisions;
 - `query_answers`: sends the one answer of each query;
 - `query_ends`, `deadlines`: handle clients that disconnect, and deadlines that pass;
@@ -47,7 +47,9 @@
 
 
 class GatewayService:
-    """The Transport of the decisions on sockets. `apply_settings` has to be called after construction.
+    """Implements the `Transport` of the decisions on sockets.
+
+    `apply_settings` has to be called after construction.
 
     Attributes:
         events: The log of events that occur often.
@@ -216,9 +218,8 @@
             self._answers.note_rejection(client_query, "rejected by the decisions")
             fields = request_codec.retry_after_fields(retry_after)
             self._answers.answer(client_query, AnswerStatus.REJECTED, fields)
-        self.queries.discard_if_done(
-            client_query
-        )  # it was in the admission queue: nothing further arrives for it
+        # The query was in the admission queue, so it has no attempt whose end would discard it.
+        self.queries.discard_if_done(client_query)
 
     def fail(self, query: int) -> None:
         """See `Transport.fail`."""
@@ -235,7 +236,7 @@
             self._reactor.callLater(0, running.give_up, EndCause.CANCELLED)
 
     def send_to_peers(self, peer: int | None, data: bytes) -> None:
-        """See `Transport.send_to_peers`. Sends nothing while draining, as peers may drop this gateway."""
+        """See `Transport.send_to_peers`. While draining, sends nothing: peers may drop this gateway then."""
         if self._peers is not None and not self.draining:
             self._peers.send(peer, data)
 
--- a/vanerelay/net/held_queries.py
+++ b/vanerelay/net/held_queries.py
@@ -97,7 +97,7 @@
 
     @property
     def is_internal(self) -> bool:
-        """True for a query of this gateway itself."""
+        """Returns True for a query of this gateway itself."""
         return isinstance(self.client, InternalClient)
 
     def abandon(self) -> None:
--- a/vanerelay/net/query_ends.py
+++ b/vanerelay/net/query_ends.py
@@ -21,7 +21,7 @@
         self._events = events
 
     def client_left(self, query: ClientQuery) -> None:
-        """Abandons a query whose client no longer waits. Attempts that are running still end."""
+        """Abandons a query whose client no longer waits. The ends of running attempts are still handled."""
         if not query.ended:
             self._events.note(LogEventKind.REJECTION, "client left", False)
             self._answers.abandon(query)
@@ -36,7 +36,7 @@
         self._queries.discard_if_done(query)
 
     def _stop_attempts(self, query: ClientQuery) -> None:
-        """Notifies the decision module, and withdraws the attempts.
+        """Notifies the decisions, and withdraws the attempts.
 
         An attempt that has not begun does not begin, even if the engine does not support cancels.
         """
--- a/vanerelay/net/query_intake.py
+++ b/vanerelay/net/query_intake.py
@@ -1,4 +1,4 @@
-"""Query intake: decode, validate, admit or reject, hold, and submit to the decision module.
+"""Query intake: decode, validate, admit or reject, hold, and submit to the decisions.
 
 Each query of a client passes through these steps once, in this order. A step that rejects it returns a
 `Rejection`, which is answered in one place. Queries of this gateway itself enter by `submit_internal`,
@@ -52,7 +52,7 @@
 
     Attributes:
         reference: The reference of the request, as far as it could be read.
-        explanation: The text that is sent to the client; None for none.
+        explanation: The text that is sent to the client; None if there is none.
     """
 
     reason: RejectionReason
@@ -71,9 +71,9 @@
     """A validated request that can be held.
 
     Attributes:
-        service_class: The row of its service class in the settings.
+        service_class: The index of its service class in the settings.
         deadline: The time by which it must be answered.
-        constraint: The constraint that an extension sets for it; None for none.
+        constraint: The constraint that an extension sets for it; None if there is none.
     """
 
     request: QueryRequest
@@ -157,11 +157,11 @@
         """Submits a query of this gateway itself to one engine. Returns None if it cannot be admitted now."""
         now = self._decisions.read_clock()
         settings = self._settings.current
-        row = settings.service_class_indexes.get(service_class)
+        class_index = settings.service_class_indexes.get(service_class)
         body = statement.encode()
-        if row is None or not self._has_capacity(len(body)) or self._queries.is_open(reference):
+        if class_index is None or not self._has_capacity(len(body)) or self._queries.is_open(reference):
             return None
-        time_limit = min(max_duration, settings.service_classes[row].deadline)
+        time_limit = min(max_duration, settings.service_classes[class_index].deadline)
         request = QueryRequest(
             reference=reference,
             service_class=service_class,
@@ -179,7 +179,7 @@
         self._hold(query)
         query.arrival = QueryArrival(
             index=query.index,
-            service_class=row,
+            service_class=class_index,
             tenant=0,
             order_key=None,
             deadline=query.deadline,
@@ -190,7 +190,7 @@
             eligible_engines=frozenset({engine}),
             earns_no_retries=True,
         )
-        query.guard_record = self._guard.query_submitted(now, row, query.deadline, False)
+        query.guard_record = self._guard.query_submitted(now, class_index, query.deadline, False)
         self._decisions.submit(query)
         self._queries.discard_if_done(query)
         self._deadlines.check(self._queries.open_count)
@@ -246,15 +246,17 @@
         return AdmittedRequest(request, service_class, deadline, constraint)
 
     def _find_service_class(self, request: QueryRequest) -> int | None:
-        """Returns the row of the request's service class, or None if an engine could not use the request."""
+        """Returns the index of the request's service class; None if an engine could not use the request."""
         settings = self._settings.current
-        row = settings.service_class_indexes.get(request.service_class)
-        if row is None:
+        class_index = settings.service_class_indexes.get(request.service_class)
+        if class_index is None:
             return None
         known_tenant = not settings.tenant_indexes or request.tenant in settings.tenant_indexes
-        in_range = request.time_limit <= MAX_TIME_LIMIT_FACTOR * settings.service_classes[row].deadline
+        in_range = (
+            request.time_limit <= MAX_TIME_LIMIT_FACTOR * settings.service_classes[class_index].deadline
+        )
         usable = known_tenant and in_range and not self._queries.is_open(request.reference)
-        return row if usable else None
+        return class_index if usable else None
 
     def _has_capacity(self, size: int) -> bool:
         """Returns True if there is capacity for one more query with a statement of `size` bytes."""
@@ -264,7 +266,7 @@
     def _constrain(
         self, request: QueryRequest, service_class: int, deadline: int
     ) -> QueryConstraint | str | None:
-        """Returns the constraint of a query, None for none, or an explanation if it cannot be satisfied."""
+        """Returns the constraint of a query, None if it has none, or the explanation why it must fail."""
         if not self._extensions.has_constraints:
             return None
         objective = self._settings.current.service_classes[service_class].latency_objective
@@ -303,7 +305,7 @@
         self._deadlines.add(query)
 
     def _make_arrival(self, query: ClientQuery, admitted: AdmittedRequest) -> QueryArrival:
-        """Returns the query in the form that the decision module takes."""
+        """Returns the query in the form that the decisions take."""
         request = admitted.request
         return QueryArrival(
             index=query.index,
--- a/vanerelay/net/reactor.py
+++ b/vanerelay/net/reactor.py
@@ -19,7 +19,10 @@
     """
 
     LATE_PASS_S = 0.010
-    """A poll that returns later than this is repeated: twice the shortest tick that the settings may have."""
+    """A poll that returns more than this after its timeout is repeated.
+
+    This is twice the shortest tick that the settings may have.
+    """
 
     # Twisted's default is the wall clock: after a step back, pending timers would not fire.
     seconds = staticmethod(time.monotonic)
@@ -70,6 +73,6 @@
         self._clock.mark_input_handled(polled_until)
 
     def take_max_delay_s(self) -> float:
-        """Returns the longest delay by timers or a poll since the previous call, in seconds."""
+        """Returns the longest delay in seconds by running timers or a late poll since the previous call."""
         max_delay_s, self._max_delay_s = self._max_delay_s, 0.0
         return max_delay_s
--- a/vanerelay/net/request_codec.py
+++ b/vanerelay/net/request_codec.py
@@ -22,7 +22,7 @@
 """Upper bound of durations in milliseconds and of memory in MB; larger numbers are invalid."""
 TICKS_PER_MS = 10
 MAX_LOGGED_REFERENCE_LENGTH = 16
-"""The characters of an unchecked reference that a log line takes."""
+"""Maximum number of characters of an unchecked reference in a log line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
 
 
 def explanation_fields(explanation: str | None) -> dict[str, str]:
-    """Returns the fields of a failure with an explanation for the client; none for None."""
+    """Returns the fields of a failure with an explanation for the client; empty if there is none."""
     return {} if explanation is None else {"why": explanation}
 
 
--- a/vanerelay/net/resp_codec.py
+++ b/vanerelay/net/resp_codec.py
@@ -47,7 +47,7 @@
 
     @property
     def partial(self) -> bool:
-        """Whether the array received last is incomplete."""
+        """Returns True if a part of an array has been received, and the rest is missing."""
         return not self.broken and (self._parts_expected > 0 or len(self._buffer) > 0)
 
     def feed(self, data: bytes) -> Iterator[list[bytes] | None]:
@@ -194,7 +194,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all pages were received."""
+        """Returns True if all pages were received."""
         return len(self.pages) >= self.total
 
     def joined(self) -> bytes:
@@ -236,7 +236,7 @@
 
     @property
     def broken(self) -> bool:
-        """Whether the input was invalid, so that no more of it is read."""
+        """Returns True if no more input is read: it was invalid, or the connection has ended."""
         return self._reader.broken
 
     @property
@@ -251,7 +251,7 @@
     def fail_all(self, why: str) -> list[tuple[bytes, AttemptEnd]]:
         """Stops reading and ends all open attempts as malformed.
 
-        After invalid input, later answers can't be told apart. All open attempts may have run.
+        After invalid input, the boundaries of later answers are unknown. All open attempts may have run.
 
         Returns:
             The identifiers of the open attempts with their ends.
@@ -265,7 +265,7 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether abandoned attempts take all places, so that the connection should be replaced."""
+        """Returns True if abandoned attempts take all places, so that the connection should be replaced."""
         return len(self._abandoned) >= self._max_open
 
     def can_open(self, ident: bytes) -> bool:
--- a/vanerelay/net/shutdown.py
+++ b/vanerelay/net/shutdown.py
@@ -94,7 +94,7 @@
         self._done = Deferred[None]()
 
     def begin(self) -> Deferred[None]:
-        """Begins to drain. The result fires once all queries are answered and the extensions have stopped."""
+        """Begins to drain. The result fires once all client connections and the extensions have ended."""
         log.info("draining", open=self._service.queries.open_count)
         self._service.draining = True
         self._reactor.callLater(ACCEPT_CONNECTIONS_S, self._refuse_connections)
