--- a/vanerelay/net/gateway_service.py
+++ b/vanerelay/net/gateway_service.py
@@ -218,7 +218,7 @@
             self._answers.note_rejection(client_query, "rejected by the decisions")
             fields = request_codec.retry_after_fields(retry_after)
             self._answers.answer(client_query, AnswerStatus.REJECTED, fields)
-        # The query was in the admission queue, so it has no attempt whose end would discard it.
+        # The query was in the admission queue, so no attempt is left whose end would discard it.
         self.queries.discard_if_done(client_query)
 
     def fail(self, query: int) -> None:
--- a/vanerelay/net/resp_codec.py
+++ b/vanerelay/net/resp_codec.py
@@ -236,7 +236,7 @@
 
     @property
     def broken(self) -> bool:
-        """Returns True if no more input is read: it was invalid, or the connection has ended."""
+        """Returns True if no more input is read: it was invalid or stalled, or the connection has ended."""
         return self._reader.broken
 
     @property
@@ -251,7 +251,8 @@
     def fail_all(self, why: str) -> list[tuple[bytes, AttemptEnd]]:
         """Stops reading and ends all open attempts as malformed.
 
-        After invalid input, the boundaries of later answers are unknown. All open attempts may have run.
+        After a fault in the input, later answers cannot be attributed to attempts reliably. All open attempts
+        may have run.
 
         Returns:
             The identifiers of the open attempts with their ends.
