--- a/vanerelay/policy/gateway.py
+++ b/vanerelay/policy/gateway.py
@@ -346,9 +346,9 @@
 
         Args:
             engine: The index of the engine.
-            running: The queries that proxies have running there.
-            ended: The queries that ended there since the last report.
-            errors: How many of those failed.
+            running: The requests that the proxies have in flight at this engine.
+            ended: The requests that have ended since the last report.
+            errors: Those of the ended requests that failed.
         """
         known_engine = self._engines.get(engine)
         if known_engine is not None:
@@ -397,12 +397,12 @@
         self._key_ordering = old._key_ordering.with_pause_of(self._key_ordering)
         self._attempts.inherit(old._attempts)
         self._retry_budget.inherit(old._retry_budget)
-        old_indexes = {
+        old_indices = {
             (service_class.name, service_class.threads): index
             for index, service_class in enumerate(old._classes)
         }
         for index, service_class in enumerate(self._classes):
-            old_index = old_indexes.get((service_class.name, service_class.threads))
+            old_index = old_indices.get((service_class.name, service_class.threads))
             if old_index is not None:
                 self._memory.inherit_class(index, old._memory, old_index)
                 self._runtime.inherit_class(index, old._runtime, old_index)
