--- a/vanerelay/rollout/extension.py
+++ b/vanerelay/rollout/extension.py
@@ -38,8 +38,10 @@
 
         They are not validated here: the reload does that.
         """
-        ordered = self._store.read_settings(release.settings(raw_settings))
-        return release.with_own(ordered, raw_settings) if ordered is not None else raw_settings
+        ordered = self._store.read_settings(release.settings_digest(raw_settings))
+        return (
+            release.with_per_gateway_settings(ordered, raw_settings) if ordered is not None else raw_settings
+        )
 
     def open(self) -> None:
         """Starts to answer the requests of controllers."""
--- a/vanerelay/rollout/plan_reader.py
+++ b/vanerelay/rollout/plan_reader.py
@@ -181,7 +181,7 @@
     reason = settings_validation.find_restart_setting(old, new)
     if reason is not None:
         raise block.error(f"settings: {reason}", "settings")
-    if release.settings(old) == release.settings(new):
+    if release.settings_digest(old) == release.settings_digest(new):
         raise block.error("settings: the same as before, expected something that changes", "settings")
     return old, new
 
@@ -218,12 +218,14 @@
         Release.NEW: new,
     }
     bodies = {name: _encode_shared_settings(content) for name, content in settings.items()}
-    return bodies, {name: release.settings(content) for name, content in settings.items()}
+    return bodies, {name: release.settings_digest(content) for name, content in settings.items()}
 
 
 def _encode_shared_settings(settings: Mapping[str, Any]) -> bytes:
     """Encodes the body of an order for settings, without those that differ between gateways."""
-    return json.dumps({key: value for key, value in settings.items() if key not in release.OWN}).encode()
+    return json.dumps(
+        {key: value for key, value in settings.items() if key not in release.PER_GATEWAY_SETTINGS}
+    ).encode()
 
 
 def _read_stage(block: Block, gateways: Mapping[str, GatewayAddress]) -> Stage:
